--- a/crates/ctl/src/commands.rs
+++ b/crates/ctl/src/commands.rs
@@ -96,7 +96,7 @@
     let state = stream.state;
     println!(
         "in force: version={} operator={} publication={:032x} next_offset={}",
-        state.version, state.operator, state.publication, state.next
+        state.version, state.operator, state.publication, state.next_offset
     );
     Ok(())
 }
--- a/crates/ctl/src/error.rs
+++ b/crates/ctl/src/error.rs
@@ -68,7 +68,7 @@
             CommandError::OperatorName => write!(
                 f,
                 "the operator's name takes 1 to {} bytes; give it with --operator",
-                journal::MAX_NAME
+                journal::MAX_NAME_LEN
             ),
             CommandError::Unreadable(path) => write!(f, "{} cannot be read", path.display()),
             CommandError::Rules(path, errors) => {
--- a/crates/ctl/src/publish.rs
+++ b/crates/ctl/src/publish.rs
@@ -24,7 +24,7 @@
     let (file, _) = read_rules(&args.file)?;
     let user = std::env::var("USER").ok().filter(|user| !user.is_empty());
     let operator = args.operator.or(user).unwrap_or_else(|| NOBODY.to_owned());
-    if !(1..=journal::MAX_NAME).contains(&operator.len()) {
+    if !(1..=journal::MAX_NAME_LEN).contains(&operator.len()) {
         return Err(CommandError::OperatorName);
     }
     let store = args.store.ok_or(CommandError::NoAddress)?;
--- a/crates/ctl/src/status.rs
+++ b/crates/ctl/src/status.rs
@@ -31,7 +31,7 @@
         println!(
             "store version={} next_offset={} instances={}",
             state.version,
-            state.next,
+            state.next_offset,
             state.instances().count()
         );
         if doors.is_empty() {
@@ -40,7 +40,7 @@
     } else if doors.is_empty() {
         return Err(CommandError::NoAddress);
     }
-    let next = state.map(|state| state.next);
+    let next = state.map(|state| state.next_offset);
     let mut silent = 0;
     for chunk in doors.chunks(AT_ONCE) {
         let asked: Vec<_> = chunk
--- a/crates/ctl/src/stream.rs
+++ b/crates/ctl/src/stream.rs
@@ -34,21 +34,21 @@
         let end = newest.end;
         let values = newest.items.into_iter();
         let values = values.map(|item| (item.offset, item.value)).collect();
-        self.state = State::from_newest(&journal::in_order(values, end), end);
+        self.state = State::from_newest(&journal::sorted_before(values, end), end);
         Ok(())
     }
 
     /// Reads to the end.
     pub(crate) async fn read(&mut self) -> Result<(), StoreError> {
         loop {
-            let next = self.state.next;
+            let next = self.state.next_offset;
             match self.store.read(&self.topic, next, Duration::ZERO).await? {
                 Records::Expired { .. } => self.restart().await?,
                 Records::Some { items, end, .. } => {
                     for item in &items {
                         self.state.apply(item.offset, &item.value);
                     }
-                    if self.state.next >= end || items.is_empty() {
+                    if self.state.next_offset >= end || items.is_empty() {
                         return Ok(());
                     }
                 }
@@ -58,7 +58,7 @@
 
     /// Appends a record if nothing was appended since the stream was read.
     pub(crate) async fn append(&self, record: &Record) -> Result<u64, StoreError> {
-        let at = Some(self.state.next);
+        let at = Some(self.state.next_offset);
         self.store.append(&self.topic, at, &record.entries()).await
     }
 
--- a/crates/engine/src/admission.rs
+++ b/crates/engine/src/admission.rs
@@ -4,9 +4,9 @@
 use crate::outgoing::Outgoing;
 use crate::Engine;
 use policy::admission_value;
-use policy::come_back;
-use policy::Heard;
-use policy::Ranks;
+use policy::retry_delay;
+use policy::PriorityBands;
+use policy::ReportedLevel;
 use policy::RunTimes;
 use proto::Below;
 use proto::Class;
@@ -16,7 +16,7 @@
 use proto::Refusal;
 use rules::Operation;
 use std::time::Duration;
-use stdx::Bounded;
+use stdx::BoundedMap;
 use stdx::Time;
 
 /// Instances and operations whose levels are kept.
@@ -26,16 +26,16 @@
 #[derive(Debug)]
 pub(crate) struct Admission {
     /// By instance, from its own answers.
-    instances: Bounded<Incarnation, Heard>,
+    instances: BoundedMap<Incarnation, ReportedLevel>,
     /// By operation, of the services below it.
-    paths: Bounded<OperationKey, Path>,
-    ranks: Ranks,
+    paths: BoundedMap<OperationKey, Path>,
+    ranks: PriorityBands,
 }
 
 /// What lies below an operation.
 #[derive(Debug)]
 struct Path {
-    level: Heard,
+    level: ReportedLevel,
     calls: u16,
     runs: RunTimes,
 }
@@ -43,51 +43,52 @@
 impl Default for Admission {
     fn default() -> Self {
         Self {
-            instances: Bounded::new(LEVELS_KEPT),
-            paths: Bounded::new(LEVELS_KEPT),
-            ranks: Ranks::default(),
+            instances: BoundedMap::new(LEVELS_KEPT),
+            paths: BoundedMap::new(LEVELS_KEPT),
+            ranks: PriorityBands::default(),
         }
     }
 }
 
 impl Admission {
     /// Other rules are in force.
-    pub(crate) fn set_ranks(&mut self, ranks: Ranks) {
+    pub(crate) fn set_ranks(&mut self, ranks: PriorityBands) {
         self.ranks = ranks;
     }
 
     /// The random value of an action that begins with this operation: higher, the more urgent it
     /// is.
     pub(crate) fn dice(&self, operation: &Operation, dice: u16) -> u16 {
-        self.ranks.dice(operation.class, operation.priority, dice)
+        self.ranks
+            .scale_to_band(operation.class, operation.priority, dice)
     }
 
     /// An instance reports its own level.
     pub(crate) fn hear_instance(&mut self, now: Time, from: Incarnation, level: u16) {
         if let Some(heard) = self.instances.get_mut(&from) {
-            return heard.hear(now, level);
+            return heard.observe(now, level);
         }
-        let mut heard = Heard::new(now);
-        heard.hear(now, level);
+        let mut heard = ReportedLevel::new(now);
+        heard.observe(now, level);
         self.instances.insert(from, heard);
     }
 
     /// A run of an operation that is still under way met a level below it.
     pub(crate) fn hear_level(&mut self, now: Time, operation: &OperationKey, level: u16) {
-        self.path_of(now, operation).level.hear(now, level);
+        self.path_of(now, operation).level.observe(now, level);
     }
 
     /// A run of an operation met something below it.
     pub(crate) fn hear_path(&mut self, now: Time, operation: &OperationKey, below: Below) {
         let path = self.path_of(now, operation);
-        path.level.hear(now, below.level);
+        path.level.observe(now, below.level);
         path.calls = below.calls;
     }
 
     fn path_of(&mut self, now: Time, operation: &OperationKey) -> &mut Path {
         if self.paths.get(operation).is_none() {
             let path = Path {
-                level: Heard::new(now),
+                level: ReportedLevel::new(now),
                 calls: 0,
                 runs: RunTimes::default(),
             };
@@ -110,12 +111,12 @@
 
     /// A run of an operation on the own backend server took this long.
     pub(crate) fn learn_run(&mut self, now: Time, operation: &OperationKey, took: Duration) {
-        self.path_of(now, operation).runs.learn(took);
+        self.path_of(now, operation).runs.record(took);
     }
 
     /// After how long such a run is late, if that is known.
     pub(crate) fn late_after(&self, operation: &OperationKey) -> Option<Duration> {
-        self.paths.get(operation)?.runs.late_after()
+        self.paths.get(operation)?.runs.late_threshold()
     }
 
     /// The calls that the last run of an operation made.
@@ -247,5 +248,5 @@
 
 /// A refusal that says when it is worth coming back.
 pub(crate) fn shed(level: u16, class: Class, dice: u16) -> Refusal {
-    Refusal::new(Reason::Shed, come_back(level, class, dice))
+    Refusal::new(Reason::Shed, retry_delay(level, class, dice))
 }
--- a/crates/engine/src/answered.rs
+++ b/crates/engine/src/answered.rs
@@ -6,7 +6,7 @@
 use proto::Incarnation;
 use proto::Outcome;
 use std::collections::VecDeque;
-use stdx::Bounded;
+use stdx::BoundedMap;
 
 /// The most answers that are kept. A silent connection is noticed within a few seconds; this is
 /// more than one node answers in that time.
@@ -29,7 +29,7 @@
     answers: IndexMap<CallId, Answer>,
     order: VecDeque<CallId>,
     bytes: usize,
-    forgotten: Bounded<Incarnation, u64>,
+    forgotten: BoundedMap<Incarnation, u64>,
 }
 
 /// What is known of a call that has come.
@@ -49,7 +49,7 @@
             answers: IndexMap::new(),
             order: VecDeque::new(),
             bytes: 0,
-            forgotten: Bounded::new(MAX_NODES),
+            forgotten: BoundedMap::new(MAX_NODES),
         }
     }
 
--- a/crates/engine/src/calls.rs
+++ b/crates/engine/src/calls.rs
@@ -13,7 +13,7 @@
 use crate::Token;
 use crate::TreeRetries;
 use policy::admission_value;
-use policy::Place;
+use policy::Proximity;
 use proto::Answer;
 use proto::Below;
 use proto::Call;
@@ -67,7 +67,7 @@
         };
         // A call of a run that was itself tried again is a retry too.
         if !call.again {
-            self.retries.sent(now, &call.request.service);
+            self.retries.record_first_send(now, &call.request.service);
         }
         self.route(now, call);
     }
@@ -91,9 +91,9 @@
     pub(crate) fn send_to_target(&mut self, now: Time, mut call: Outgoing, target: Instance) {
         call.target = target;
         call.lent = if self.keeps_a_retry(&call) {
-            call.account.lend_all_but_one()
+            call.account.delegate_all_but_one()
         } else {
-            call.account.lend_all()
+            call.account.delegate_all()
         };
         let id = CallId {
             from: self.me.incarnation,
@@ -117,7 +117,7 @@
     /// is of use only farther down: kept at each hop, no read of a deep tree would ever be tried again.
     fn keeps_a_retry(&self, call: &Outgoing) -> bool {
         let below = self.admission.calls_below(&call.operation);
-        call.idempotent && !call.again && call.account.left() > below
+        call.idempotent && !call.again && call.account.remaining() > below
     }
 
     pub(crate) fn send_attempt(&mut self, now: Time, id: CallId, call: &Outgoing) {
@@ -149,9 +149,9 @@
     /// What is left for the callee: its answer has to travel back.
     fn remaining_ms(&self, now: Time, call: &Outgoing) -> u32 {
         let travel = match self.place(&call.target) {
-            Place::SameDomain => Duration::from_millis(1),
-            Place::SameRegion => Duration::from_millis(2),
-            Place::OtherRegion => Duration::from_millis(25),
+            Proximity::SameDomain => Duration::from_millis(1),
+            Proximity::SameRegion => Duration::from_millis(2),
+            Proximity::OtherRegion => Duration::from_millis(25),
         };
         let remaining = now.until(call.deadline).saturating_sub(travel);
         u32::try_from(remaining.as_millis()).unwrap_or(u32::MAX)
@@ -167,7 +167,7 @@
         let Some(mut call) = self.take_call(id) else {
             return;
         };
-        call.account.give_back(call.lent, answer.unspent);
+        call.account.reclaim(call.lent, answer.unspent);
         call.calls_below = call.calls_below.saturating_add(answer.below.calls);
         // A refusal says how many calls lie below only if the run has got there.
         match answer.outcome {
@@ -248,7 +248,7 @@
         call.maybe_ran = true;
         let below = self.admission.calls_below(&call.operation);
         let needed = 1 + below.max(call.calls_below);
-        let allowed = call.account.left() >= needed || call.hop_retries > 0;
+        let allowed = call.account.remaining() >= needed || call.hop_retries > 0;
         if call.idempotent && allowed && self.may_retry(now, &mut call) {
             self.count(Counter::Retry(reason));
             call.again = self.cfg.policy.hop_retries == 0;
@@ -268,18 +268,18 @@
             call.hop_retries -= 1;
             return true;
         }
-        if call.account.left() == 0 || call.own_retries == 0 {
+        if call.account.remaining() == 0 || call.own_retries == 0 {
             return false;
         }
         let limited = self.cfg.policy.retry_budget;
         let nodes = self.members.fleet_size();
         let service = &call.request.service;
-        if limited && !self.retries.spend(now, service, call.class, nodes) {
+        if limited && !self.retries.try_withdraw(now, service, call.class, nodes) {
             self.count(Counter::RetryBudgetSpent);
             return false;
         }
         call.own_retries -= 1;
-        call.account.spend()
+        call.account.try_withdraw()
     }
 
     pub(crate) fn on_deadline(&mut self, now: Time, id: CallId) {
@@ -319,7 +319,7 @@
             outcome => outcome,
         };
         self.note_answered(now, &call, met.level, &outcome);
-        self.close_request(now, call.token, call.account.left(), outcome);
+        self.close_request(now, call.token, call.account.remaining(), outcome);
     }
 
     /// A run's own first hop hears at once what the run meets. Heard of only at the end of the run,
--- a/crates/engine/src/config.rs
+++ b/crates/engine/src/config.rs
@@ -42,7 +42,7 @@
     /// How retries are allowed within one action.
     pub tree_retries: TreeRetries,
     /// What the whole fleet may try again at each service.
-    pub retries: policy::FleetRetries,
+    pub retries: policy::FleetRetryLimits,
     /// A key is refused by every node within this time after its revocation; unbounded without it.
     pub revocation: Option<Duration>,
     /// How strictly the quotas of organisations hold.
@@ -90,7 +90,7 @@
             shares_reads: false,
             linger: Duration::ZERO,
             tree_retries: TreeRetries::OfOperation,
-            retries: policy::FleetRetries::default(),
+            retries: policy::FleetRetryLimits::default(),
             revocation: None,
             quotas: organisation::QuotaBounds::default(),
         }
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -29,9 +29,9 @@
 use membership::Membership;
 use once::Home;
 use organisation::Freshness;
-use policy::Retries;
-use policy::Selector;
-use policy::Server;
+use policy::InstanceSelector;
+use policy::RetryBudget;
+use policy::ServerAdmission;
 use proto::Below;
 use proto::CallId;
 use proto::Frame;
@@ -76,12 +76,12 @@
     pub(crate) log: LogLink,
     pub(crate) fetch: FetchLink,
     pub(crate) members: Membership,
-    pub(crate) selector: Selector,
+    pub(crate) selector: InstanceSelector,
     pub(crate) peer_notes: PeerNotes,
     /// The views have changed since the members were told.
     pub(crate) roster_changed: bool,
     pub(crate) home: Home,
-    pub(crate) server: Server,
+    pub(crate) server: ServerAdmission,
     /// The own backend server, once it has announced itself.
     pub(crate) own_server: Option<OwnServer>,
     /// Requests of callers and of the own backend server, in flight.
@@ -108,7 +108,7 @@
     pub(crate) resends: Resends,
     pub(crate) suspects: Suspects,
     /// This node's part of the fleet's retries at each service.
-    pub(crate) retries: Retries,
+    pub(crate) retries: RetryBudget,
     /// Whether the rules here are the newest, as far as keys of organisations go.
     pub(crate) freshness: Freshness,
     /// This node asks the store on behalf of its failure domain.
@@ -162,11 +162,11 @@
             log: LogLink::default(),
             fetch: FetchLink::default(),
             members,
-            selector: Selector::with_switches(cfg.policy),
+            selector: InstanceSelector::with_switches(cfg.policy),
             peer_notes: PeerNotes::default(),
             roster_changed: false,
             home: Home::new(cfg.once.clone(), incarnation),
-            server: Server::new(
+            server: ServerAdmission::new(
                 cfg.policy,
                 defaults.min_concurrency,
                 defaults.max_concurrency,
@@ -186,7 +186,7 @@
             admission: Admission::default(),
             resends: Resends::new(),
             suspects: Suspects::new(),
-            retries: Retries::new(cfg.retries, incarnation.0),
+            retries: RetryBudget::new(cfg.retries, incarnation.0),
             freshness: Freshness::new(cfg.revocation),
             leads: false,
             trusts_keys: false,
@@ -236,7 +236,7 @@
             Input::PeerQuiet(peer) => {
                 self.count(Counter::PeerQuiet);
                 if self.cfg.policy.quiet_peers {
-                    self.selector.on_failed(now, peer, &mut self.rng);
+                    self.selector.on_connection_failed(now, peer, &mut self.rng);
                 }
             }
             Input::PeerBack(peer) => self.selector.on_answered(peer),
@@ -281,7 +281,7 @@
             self.members.next_timer(),
             self.home.next_timer(),
             self.server.next_timer(),
-            self.log.next_timer(self.journal.next),
+            self.log.next_timer(self.journal.next_offset),
             self.fetch.due,
             self.peer_notes.next_timer(),
             self.next_freshness_timer(),
@@ -299,7 +299,7 @@
 
     /// The offset from which the topic of views has to be read.
     pub fn next_offset(&self) -> u64 {
-        self.journal.next
+        self.journal.next_offset
     }
 
     /// What the topic of views says, as far as it was read.
--- a/crates/engine/src/entry.rs
+++ b/crates/engine/src/entry.rs
@@ -15,7 +15,7 @@
 use crate::Token;
 use crate::TreeRetries;
 use organisation::Credit;
-use policy::Account;
+use policy::RetryAllowance;
 use proto::ActionId;
 use proto::CallId;
 use proto::Fingerprint;
@@ -180,10 +180,10 @@
         if job.depth >= self.cfg.max_depth {
             return Err(Reason::BadRequest);
         }
-        if job.again && !job.account.spend() {
+        if job.again && !job.account.try_withdraw() {
             return Err(Reason::AllowanceSpent);
         }
-        let lent = job.account.lend();
+        let lent = job.account.delegate_half();
         let (class, priority) = job.standing_of_child(&operation);
         Ok(Draft {
             token,
@@ -194,7 +194,7 @@
             passed_level: job.passed_level,
             depth: job.depth + 1,
             deadline: job.deadline.min(now + operation.deadline),
-            account: Account::new(lent),
+            account: RetryAllowance::new(lent),
             parent: Some(run),
             lent,
             key: None,
@@ -229,7 +229,7 @@
             passed_level: 0,
             depth: 0,
             deadline: now + operation.deadline,
-            account: Account::new(self.tree_retries(&operation)),
+            account: RetryAllowance::new(self.tree_retries(&operation)),
             parent: None,
             lent: 0,
             key: None,
@@ -380,7 +380,7 @@
             return;
         };
         if let Some(job) = open.parent.and_then(|run| self.jobs.get_mut(&run)) {
-            job.account.give_back(open.lent, unspent);
+            job.account.reclaim(open.lent, unspent);
             job.child_ended(now, token);
         }
         if matches!(outcome, Outcome::NotRun(_)) {
--- a/crates/engine/src/fetch.rs
+++ b/crates/engine/src/fetch.rs
@@ -198,8 +198,8 @@
     /// A peer's state, as [`Engine::state_beyond`] gave it there.
     pub(crate) fn on_peer_state(&mut self, now: Time, state: &[u8]) {
         let change = match proto::decode(state) {
-            Ok(state) => self.journal.adopt_with(state, self.cfg.parse_rules),
-            Err(_) => Change::Broken,
+            Ok(state) => self.journal.adopt_with_parser(state, self.cfg.parse_rules),
+            Err(_) => Change::Invalid,
         };
         match change {
             Change::Restored => {
@@ -211,7 +211,7 @@
                     self.out.push(Output::ReadLog);
                 }
             }
-            Change::Broken => self.count(Counter::BrokenRecord),
+            Change::Invalid => self.count(Counter::BrokenRecord),
             _ => {}
         }
     }
--- a/crates/engine/src/freshness.rs
+++ b/crates/engine/src/freshness.rs
@@ -96,7 +96,7 @@
                     // What was confirmed there are not the rules that are held here.
                     let theirs = Progress {
                         version: rules,
-                        next: self.journal.next,
+                        next: self.journal.next_offset,
                     };
                     return self.on_peer_progress(now, from, theirs);
                 }
--- a/crates/engine/src/hedge.rs
+++ b/crates/engine/src/hedge.rs
@@ -10,7 +10,7 @@
 use crate::timers::Timer;
 use crate::Counter;
 use crate::Engine;
-use policy::Ended;
+use policy::RunOutcome;
 use proto::Answer;
 use proto::CallId;
 use proto::Frame;
@@ -54,13 +54,13 @@
     }
 
     /// Learns how long runs of an operation take here.
-    pub(crate) fn learn_run(&mut self, now: Time, run: RunId, ended: Ended) {
-        let Ended::Whole { took, .. } = ended else {
+    pub(crate) fn learn_run(&mut self, now: Time, run: RunId, ended: RunOutcome) {
+        let RunOutcome::Completed { elapsed, .. } = ended else {
             return;
         };
         let operation = self.jobs.get(&run).and_then(|job| job.operation.clone());
         if let Some(operation) = operation {
-            self.admission.learn_run(now, &operation, took);
+            self.admission.learn_run(now, &operation, elapsed);
         }
     }
 
--- a/crates/engine/src/homes.rs
+++ b/crates/engine/src/homes.rs
@@ -242,8 +242,8 @@
         }
         let view = view.clone();
         let missed = match self.home.newest() {
-            Some(known) => view.since(known),
-            None if self.journal.forgotten.is_some() => None,
+            Some(known) => view.views_since(known),
+            None if self.journal.last_forgotten.is_some() => None,
             None => view.history(),
         };
         let Some(missed) = missed else {
@@ -333,7 +333,7 @@
     /// A queued run is taken back, because its slot moves; its callers go to the new home.
     fn recall(&mut self, now: Time, key: KeyHash) {
         let run = self.keys.get(&key).and_then(|work| work.run);
-        let Some(run) = run.filter(|run| self.server.withdraw(run.number)) else {
+        let Some(run) = run.filter(|run| self.server.cancel(run.number)) else {
             return;
         };
         let refusal = self.refusal(Reason::Moving);
--- a/crates/engine/src/io.rs
+++ b/crates/engine/src/io.rs
@@ -3,7 +3,7 @@
 use crate::Counter;
 use crate::Note;
 use bytes::Bytes;
-use journal::Entry;
+use journal::TopicEntry;
 use proto::Datagram;
 use proto::Frame;
 use proto::Incarnation;
@@ -245,7 +245,7 @@
         /// The offset.
         at: u64,
         /// Keys and values.
-        entries: Vec<Entry>,
+        entries: Vec<TopicEntry>,
     },
     /// Ask a node for [`crate::Engine::state_beyond`]; ends with an [`Input::PeerState`] if it has
     /// any. No answer is no fault.
--- a/crates/engine/src/job.rs
+++ b/crates/engine/src/job.rs
@@ -4,8 +4,8 @@
 use crate::RunEnd;
 use crate::Token;
 use indexmap::IndexMap;
-use policy::Account;
-use policy::Ended;
+use policy::RetryAllowance;
+use policy::RunOutcome;
 use proto::ActionId;
 use proto::Below;
 use proto::CallId;
@@ -26,7 +26,7 @@
     pub(crate) dice: u16,
     pub(crate) depth: u8,
     pub(crate) deadline: Time,
-    pub(crate) account: Account,
+    pub(crate) account: RetryAllowance,
     /// Each child call counts as a retry.
     pub(crate) again: bool,
     pub(crate) operation: Option<OperationKey>,
@@ -106,22 +106,22 @@
 
     /// What the end of the run says about the backend server. The time of an answer that reports a
     /// failure is left out: it is often quick, and would make the limit rise.
-    pub(crate) fn ended(&self, now: Time, end: &RunEnd) -> Ended {
+    pub(crate) fn ended(&self, now: Time, end: &RunEnd) -> RunOutcome {
         let took = self.started.map_or(Duration::ZERO, |at| now.since(at));
         match end {
-            RunEnd::Response(response) if response.status >= 500 => Ended::Failed,
-            RunEnd::Response(_) => Ended::Whole {
-                took,
-                own: took.saturating_sub(self.waited),
+            RunEnd::Response(response) if response.status >= 500 => RunOutcome::Failed,
+            RunEnd::Response(_) => RunOutcome::Completed {
+                elapsed: took,
+                own_time: took.saturating_sub(self.waited),
             },
-            RunEnd::Refused { .. } => Ended::Refused,
-            RunEnd::NeverSent => Ended::NeverSent,
-            RunEnd::TimedOut if self.waiting.is_empty() => Ended::GivenUp {
-                took,
-                own: took.saturating_sub(self.waited),
+            RunEnd::Refused { .. } => RunOutcome::Refused,
+            RunEnd::NeverSent => RunOutcome::Unreachable,
+            RunEnd::TimedOut if self.waiting.is_empty() => RunOutcome::Abandoned {
+                elapsed: took,
+                own_time: took.saturating_sub(self.waited),
             },
-            RunEnd::Misdirected | RunEnd::TimedOut => Ended::Failed,
-            RunEnd::Lost => Ended::Lost,
+            RunEnd::Misdirected | RunEnd::TimedOut => RunOutcome::Failed,
+            RunEnd::Lost => RunOutcome::Lost,
         }
     }
 }
--- a/crates/engine/src/log.rs
+++ b/crates/engine/src/log.rs
@@ -9,7 +9,7 @@
 use journal::Change;
 use journal::Record;
 use journal::State;
-use policy::Ranks;
+use policy::PriorityBands;
 use rand::RngExt;
 use std::time::Duration;
 use stdx::Time;
@@ -75,8 +75,8 @@
         let before = self.journal.version;
         for (offset, value) in records {
             match self.journal.apply(offset, &value) {
-                Change::Nothing | Change::Old | Change::Restored => {}
-                Change::Broken => self.count(Counter::BrokenRecord),
+                Change::Unchanged | Change::Stale | Change::Restored => {}
+                Change::Invalid => self.count(Counter::BrokenRecord),
                 Change::Rules => {
                     self.count(Counter::RulesInForce);
                     self.on_rules(now);
@@ -94,13 +94,13 @@
     /// Takes the newest record of each key, at a start or after records that this node lacks have
     /// expired.
     pub(crate) fn on_newest(&mut self, now: Time, values: Vec<(u64, Bytes)>, end: u64) {
-        let values = journal::in_order(values, end);
+        let values = journal::sorted_before(values, end);
         let newest = State::from_newest(&values, end);
-        if !newest.is_whole_since(self.journal.next) {
+        if !newest.is_complete_since(self.journal.next_offset) {
             return self.begin_anew(now, newest);
         }
         for (offset, value) in values {
-            if offset >= self.journal.next {
+            if offset >= self.journal.next_offset {
                 self.journal.skip_to(offset);
                 self.on_records(now, vec![(offset, value)]);
             }
@@ -111,7 +111,7 @@
     /// Views were missed, and the topic does not have them any more.
     fn begin_anew(&mut self, now: Time, newest: State) {
         let rules_back = newest.version < self.journal.version;
-        let views_back = newest.next < self.journal.next;
+        let views_back = newest.next_offset < self.journal.next_offset;
         if rules_back || views_back {
             return self.count(Counter::BrokenRecord);
         }
@@ -134,10 +134,10 @@
         let operations = || self.journal.rules.all_operations();
         let longest = operations().map(|operation| operation.deadline).max();
         let ranks = match self.cfg.policy.ranks {
-            true => Ranks::new(self.journal.rules.standings()),
-            false => Ranks::default(),
+            true => PriorityBands::new(self.journal.rules.standings()),
+            false => PriorityBands::default(),
         };
-        self.server.set_ranks(ranks.clone());
+        self.server.set_priority_bands(ranks.clone());
         self.admission.set_ranks(ranks);
         self.set_quotas();
         let longest = longest.unwrap_or(limit.key_retention);
@@ -152,7 +152,7 @@
         self.log.down = false;
         match self
             .journal
-            .take_version(version, file, self.cfg.parse_rules)
+            .apply_external_rules(version, file, self.cfg.parse_rules)
         {
             Change::Rules => {
                 self.count(Counter::RulesInForce);
@@ -160,7 +160,7 @@
                 self.on_rules(now);
                 self.spread_progress(true);
             }
-            Change::Broken => self.count(Counter::RejectedPublication),
+            Change::Invalid => self.count(Counter::RejectedPublication),
             _ => {}
         }
     }
@@ -185,10 +185,10 @@
         // An incarnation that the views have dropped never comes back: it ends, and its next start
         // is another one.
         let dropped = self.journal.departed.contains_key(&self.me.incarnation);
-        if !self.stopping && !dropped && !self.is_listed() && self.journal.admits(&self.me) {
+        if !self.stopping && !dropped && !self.is_listed() && self.journal.can_join(&self.me) {
             self.append(AppendKey::Join);
         }
-        if self.is_oldest_member() && self.journal.to_forget().is_some() {
+        if self.is_oldest_member() && self.journal.next_forget_record().is_some() {
             self.append(AppendKey::Forget);
         }
     }
@@ -220,7 +220,7 @@
                 incarnation,
                 by: mine,
             },
-            AppendKey::Forget => self.journal.to_forget()?,
+            AppendKey::Forget => self.journal.next_forget_record()?,
         })
     }
 
@@ -233,7 +233,7 @@
             AppendKey::Join => !journal.is_listed(mine),
             AppendKey::Leave => !journal.departed.contains_key(&mine),
             AppendKey::Evict(other) => journal.is_listed(other) && journal.is_listed(mine),
-            AppendKey::Forget => journal.to_forget().is_some(),
+            AppendKey::Forget => journal.next_forget_record().is_some(),
         });
         if self.log.give_up.is_some_and(|give_up| give_up <= now) {
             self.log.give_up = None;
@@ -243,7 +243,7 @@
             }
         }
         let due = self.log.appends.next_due();
-        if due.is_none_or(|due| due > now) || !self.log.may_append(self.journal.next) {
+        if due.is_none_or(|due| due > now) || !self.log.may_append(self.journal.next_offset) {
             return;
         }
         let number = self.number();
@@ -254,11 +254,11 @@
             return;
         };
         self.log.join_sent |= key == AppendKey::Join;
-        self.log.append_at = self.journal.next;
+        self.log.append_at = self.journal.next_offset;
         self.log.overtaken = false;
         self.out.push(Output::Append {
             number,
-            at: self.journal.next,
+            at: self.journal.next_offset,
             entries: record.entries(),
         });
     }
--- a/crates/engine/src/outgoing.rs
+++ b/crates/engine/src/outgoing.rs
@@ -2,7 +2,7 @@
 
 use crate::operation_key::OperationKey;
 use crate::Token;
-use policy::Account;
+use policy::RetryAllowance;
 use proto::ActionId;
 use proto::CallId;
 use proto::Class;
@@ -30,7 +30,7 @@
     pub(crate) key: Option<(KeyHash, Fingerprint)>,
     pub(crate) fresh: bool,
     pub(crate) operation: OperationKey,
-    pub(crate) account: Account,
+    pub(crate) account: RetryAllowance,
     /// Lent to the present attempt.
     pub(crate) lent: u16,
     /// Each attempt below counts as a retry.
--- a/crates/engine/src/own_server.rs
+++ b/crates/engine/src/own_server.rs
@@ -85,7 +85,7 @@
                     check,
                 });
                 let slots = known.heartbeat.slots;
-                self.server.restarted(now, slots);
+                self.server.on_server_restart(now, slots);
                 self.count(Counter::ServerStarted);
                 self.check_server(now);
                 self.on_server_changed(now, true);
--- a/crates/engine/src/quarantine.rs
+++ b/crates/engine/src/quarantine.rs
@@ -113,14 +113,14 @@
 
     /// A run of the request was answered whole.
     pub(crate) fn clear_suspect(&mut self, now: Time, request: Fingerprint) {
-        self.suspects.known.answered(now, request);
+        self.suspects.known.record_completed(now, request);
     }
 
     /// The connection broke while the request ran. The nodes of the service hear of it before the
     /// entry does, so that they know when its retry comes.
     pub(crate) fn suspect(&mut self, now: Time, request: Fingerprint) {
         let me = self.me.incarnation;
-        let crashes = self.suspects.known.crashed(now, request, me);
+        let crashes = self.suspects.known.record_crash(now, request, me);
         let Some(crashes) = crashes.filter(|_| self.suspects.may_report(now)) else {
             return;
         };
@@ -170,7 +170,9 @@
         crashes: u32,
     ) {
         if *service == self.me.service && from != self.me.incarnation {
-            self.suspects.known.heard(now, request, from, crashes);
+            self.suspects
+                .known
+                .record_remote_crashes(now, request, from, crashes);
         }
     }
 
@@ -179,14 +181,16 @@
     pub(crate) fn call_lost(&mut self, now: Time, request: &Request, target: Incarnation) {
         if self.cfg.policy.quarantine {
             let called = &mut self.suspects.called;
-            called.crashed(now, called_hash(request), target);
+            called.record_crash(now, called_hash(request), target);
         }
     }
 
     /// A call of this node was answered whole.
     pub(crate) fn call_whole(&mut self, now: Time, request: &Request) {
         if !self.suspects.called.is_empty() {
-            self.suspects.called.answered(now, called_hash(request));
+            self.suspects
+                .called
+                .record_completed(now, called_hash(request));
         }
     }
 
--- a/crates/engine/src/reattach.rs
+++ b/crates/engine/src/reattach.rs
@@ -43,7 +43,7 @@
 
     /// Frames could not be sent. A call's first sending certainly did not run.
     pub(crate) fn on_unsent(&mut self, now: Time, peer: Incarnation, unsent: Vec<Frame>) {
-        self.selector.on_failed(now, peer, &mut self.rng);
+        self.selector.on_connection_failed(now, peer, &mut self.rng);
         for frame in unsent {
             let Frame::Call(frame) = frame else {
                 continue;
@@ -54,7 +54,7 @@
             if call.reattaches > 0 {
                 self.reattach_later(now, frame.id, call);
             } else {
-                call.account.give_back(call.lent, call.lent);
+                call.account.reclaim(call.lent, call.lent);
                 let refusal = self.refusal(Reason::PeerLost);
                 self.after_not_run(now, call, refusal);
             }
@@ -70,7 +70,7 @@
             .members
             .get(target)
             .is_none_or(|peer| peer.state == PeerState::Dead);
-        let elsewhere = call.idempotent && call.account.left() > 0;
+        let elsewhere = call.idempotent && call.account.remaining() > 0;
         if gone || elsewhere || call.reattaches >= MAX_REATTACHES {
             return self.after_lost(now, call, Reason::PeerLost);
         }
--- a/crates/engine/src/request.rs
+++ b/crates/engine/src/request.rs
@@ -2,7 +2,7 @@
 
 use crate::Token;
 use organisation::Credit;
-use policy::Account;
+use policy::RetryAllowance;
 use proto::ActionId;
 use proto::CallId;
 use proto::Class;
@@ -100,7 +100,7 @@
     pub(crate) passed_level: u16,
     pub(crate) depth: u8,
     pub(crate) deadline: Time,
-    pub(crate) account: Account,
+    pub(crate) account: RetryAllowance,
     pub(crate) parent: Option<RunId>,
     pub(crate) lent: u16,
     pub(crate) key: Option<(KeyHash, Fingerprint)>,
--- a/crates/engine/src/resends.rs
+++ b/crates/engine/src/resends.rs
@@ -13,15 +13,15 @@
 use crate::Output;
 use crate::Token;
 use indexmap::IndexMap;
-use policy::Bounds;
-use policy::Budgets;
+use policy::BudgetConfig;
+use policy::ResendBudgets;
 use proto::hash64;
 use proto::Outcome;
 use proto::Reason;
 use proto::Refusal;
 use proto::Request;
 use std::sync::Arc;
-use stdx::Bounded;
+use stdx::BoundedMap;
 use stdx::Time;
 
 /// Refused requests that are remembered.
@@ -35,16 +35,16 @@
 pub(crate) struct Resends {
     in_flight: IndexMap<Sent, Token>,
     /// When a refused caller may come back.
-    refused: Bounded<Sent, Time>,
-    budgets: Budgets,
+    refused: BoundedMap<Sent, Time>,
+    budgets: ResendBudgets,
 }
 
 impl Resends {
     pub(crate) fn new() -> Self {
         Self {
             in_flight: IndexMap::new(),
-            refused: Bounded::new(REFUSALS_KEPT),
-            budgets: Budgets::new(Bounds::default()),
+            refused: BoundedMap::new(REFUSALS_KEPT),
+            budgets: ResendBudgets::new(BudgetConfig::default()),
         }
     }
 
@@ -65,9 +65,9 @@
     fn draw(&mut self, now: Time, sent: Sent, service: &Arc<str>, ratio: f64) -> Option<Time> {
         let not_before = self.refused.get(&sent).copied();
         match not_before.filter(|at| now < *at) {
-            Some(at) => Some(at).filter(|_| !self.budgets.spend(now, service)),
+            Some(at) => Some(at).filter(|_| !self.budgets.try_withdraw(now, service)),
             None => {
-                self.budgets.earn_at(service, ratio);
+                self.budgets.deposit_with_ratio(service, ratio);
                 None
             }
         }
--- a/crates/engine/src/routing.rs
+++ b/crates/engine/src/routing.rs
@@ -2,8 +2,8 @@
 
 use crate::outgoing::Outgoing;
 use crate::Engine;
-use policy::Place;
-use policy::Standing;
+use policy::Eligibility;
+use policy::Proximity;
 use proto::Incarnation;
 use proto::Instance;
 use proto::KeyHash;
@@ -34,13 +34,13 @@
     /// This node's own backend server is one to choose among, and its load is known exactly.
     fn enter_self(&mut self, now: Time) {
         let standing = if self.stopping {
-            Standing::Closed
+            Eligibility::Excluded
         } else {
-            Standing::Ready
+            Eligibility::Ready
         };
         let (mine, service) = (self.me.incarnation, &self.me.service);
         self.selector
-            .set(now, mine, service, Place::SameDomain, standing);
+            .set_instance(now, mine, service, Proximity::SameDomain, standing);
         self.selector.on_report(now, mine, self.server.report());
     }
 
@@ -50,14 +50,14 @@
             return;
         };
         let standing = match state {
-            _ if !peer.open => Standing::Closed,
-            PeerState::Alive if !peer.load.draining => Standing::Ready,
-            PeerState::Suspect if !peer.load.draining => Standing::Doubtful,
-            _ => Standing::Closed,
+            _ if !peer.open => Eligibility::Excluded,
+            PeerState::Alive if !peer.load.draining => Eligibility::Ready,
+            PeerState::Suspect if !peer.load.draining => Eligibility::LastResort,
+            _ => Eligibility::Excluded,
         };
         let instance = &peer.instance;
         let place = self.place(instance);
-        self.selector.set(
+        self.selector.set_instance(
             now,
             instance.incarnation,
             &instance.service,
@@ -66,13 +66,13 @@
         );
     }
 
-    pub(crate) fn place(&self, peer: &Instance) -> Place {
+    pub(crate) fn place(&self, peer: &Instance) -> Proximity {
         if peer.failure_domain == self.me.failure_domain {
-            Place::SameDomain
+            Proximity::SameDomain
         } else if peer.region == self.me.region {
-            Place::SameRegion
+            Proximity::SameRegion
         } else {
-            Place::OtherRegion
+            Proximity::OtherRegion
         }
     }
 }
--- a/crates/engine/src/serve.rs
+++ b/crates/engine/src/serve.rs
@@ -15,9 +15,9 @@
 use crate::ServerState;
 use indexmap::IndexMap;
 use policy::admission_value;
-use policy::Account;
-use policy::Offer;
-use policy::Ticket;
+use policy::AdmissionDecision;
+use policy::RetryAllowance;
+use policy::WorkItem;
 use proto::ActionId;
 use proto::Answer;
 use proto::Below;
@@ -113,7 +113,7 @@
             dice: call.dice,
             depth: call.depth,
             deadline: now + Duration::from_millis(u64::from(call.remaining_ms)),
-            account: Account::new(call.allowance),
+            account: RetryAllowance::new(call.allowance),
             again: call.again,
             operation: operation.map(operation_key),
             fingerprint: Fingerprint::of(&request),
@@ -156,12 +156,12 @@
             return self.end_job(now, run, self.not_run(Reason::Draining));
         }
         let fingerprint = job.fingerprint;
-        let mut ticket = Ticket {
+        let mut ticket = WorkItem {
             id: run.number,
             class: job.class,
             priority: job.priority,
             passed_level: job.passed_level,
-            dice: job.dice,
+            random_value: job.dice,
             deadline: job.deadline,
             arrived: now,
             admitted: job.depth > 0,
@@ -171,14 +171,14 @@
         }
         if !ticket.admitted {
             let level = self.path_level(now, run);
-            if admission_value(ticket.class, ticket.dice) < level {
-                self.server.refused_before(now, ticket.class);
-                let refusal = shed(level, ticket.class, ticket.dice);
+            if admission_value(ticket.class, ticket.random_value) < level {
+                self.server.on_refused_before_offer(now, ticket.class);
+                let refusal = shed(level, ticket.class, ticket.random_value);
                 if let Some(job) = self.jobs.get_mut(&run) {
                     job.met
                         .extend(job.operation.clone().map(|own| (own, level)));
                 }
-                return self.after_offer(now, run, Offer::Refused(refusal));
+                return self.after_offer(now, run, AdmissionDecision::Refused(refusal));
             }
             ticket.passed_level = ticket.passed_level.max(level);
         }
@@ -201,7 +201,7 @@
 
     /// Lets the queue move.
     pub(crate) fn pump_server(&mut self, now: Time) {
-        while let Some((ticket, offer)) = self.server.next(now) {
+        while let Some((ticket, offer)) = self.server.next_decision(now) {
             let run = RunId {
                 at: self.me.incarnation,
                 number: ticket.id,
@@ -210,11 +210,11 @@
         }
     }
 
-    fn after_offer(&mut self, now: Time, run: RunId, offer: Offer) {
+    fn after_offer(&mut self, now: Time, run: RunId, offer: AdmissionDecision) {
         match offer {
-            Offer::Start => self.start(now, run),
-            Offer::Queued => {}
-            Offer::Refused(refusal) => self.end_job(now, run, Outcome::NotRun(refusal)),
+            AdmissionDecision::Start => self.start(now, run),
+            AdmissionDecision::Queued => {}
+            AdmissionDecision::Refused(refusal) => self.end_job(now, run, Outcome::NotRun(refusal)),
         }
     }
 
@@ -225,7 +225,8 @@
         let start_within = match self.right_to_start(now, owner) {
             Ok(start_within) => start_within,
             Err(reason) => {
-                self.server.finished(now, class, policy::Ended::Failed);
+                self.server
+                    .on_finished(now, class, policy::RunOutcome::Failed);
                 return self.end_job(now, run, self.not_run(reason));
             }
         };
@@ -258,7 +259,7 @@
         let made_calls = matches!(job.owner, JobOwner::Key(_)) && !job.children.is_empty();
         let ended = job.ended(now, &end);
         self.learn_run(now, run, ended);
-        self.server.finished(now, class, ended);
+        self.server.on_finished(now, class, ended);
         let outcome = match end {
             RunEnd::Response(response) => {
                 self.clear_suspect(now, fingerprint);
@@ -308,7 +309,7 @@
         if self.jobs_by_id.get(&job.request.id) == Some(&run) {
             self.jobs_by_id.swap_remove(&job.request.id);
         }
-        let unspent = job.account.left();
+        let unspent = job.account.remaining();
         let below = job.below();
         if let Some(operation) = job.operation.as_ref().filter(|_| job.started.is_some()) {
             self.admission.hear_path(now, operation, below);
@@ -358,7 +359,7 @@
 
     /// Takes work back that has not started; `false` if it has.
     pub(crate) fn withdraw(&mut self, run: RunId) -> bool {
-        self.server.withdraw(run.number) || self.suspects.withdraw(run)
+        self.server.cancel(run.number) || self.suspects.withdraw(run)
     }
 
     /// Ends a job that was taken out of the queue.
--- a/crates/journal/src/fold.rs
+++ b/crates/journal/src/fold.rs
@@ -11,10 +11,10 @@
 use std::sync::Arc;
 
 /// The largest record that is read, in bytes. Larger ones are passed over by every reader.
-pub const MAX_RECORD: usize = 2 << 20;
+pub const MAX_RECORD_LEN: usize = 2 << 20;
 
 /// The longest name of a service, failure domain, region or operator, in bytes.
-pub const MAX_NAME: usize = 64;
+pub const MAX_NAME_LEN: usize = 64;
 
 /// The most instances in all views together.
 pub const MAX_INSTANCES: usize = 4096;
@@ -36,36 +36,36 @@
     /// use bilberry_journal::State;
     ///
     /// let mut state = State::default();
-    /// assert_eq!(state.apply(0, b"\xff no record"), Change::Broken);
-    /// assert_eq!(state.apply(0, b"again"), Change::Old);
+    /// assert_eq!(state.apply(0, b"\xff no record"), Change::Invalid);
+    /// assert_eq!(state.apply(0, b"again"), Change::Stale);
     /// assert_eq!(state.apply(2, b"too early"), Change::Gap);
-    /// assert_eq!(state.next, 1);
+    /// assert_eq!(state.next_offset, 1);
     /// ```
     pub fn apply(&mut self, offset: u64, value: &[u8]) -> Change {
-        if offset < self.next {
-            return Change::Old;
+        if offset < self.next_offset {
+            return Change::Stale;
         }
-        if offset > self.next {
+        if offset > self.next_offset {
             return Change::Gap;
         }
-        self.next = offset + 1;
+        self.next_offset = offset + 1;
         // The value of a key that is dropped. `Record::Forget` beside it says what that means.
         if value.is_empty() {
-            return Change::Nothing;
+            return Change::Unchanged;
         }
         let record = match value.len() {
-            0..=MAX_RECORD => proto::decode::<Record>(value).ok(),
+            0..=MAX_RECORD_LEN => proto::decode::<Record>(value).ok(),
             _ => None,
         };
         match record {
             Some(record) => self.fold(offset, record),
-            None => Change::Broken,
+            None => Change::Invalid,
         }
     }
 
     /// Goes on at a later offset. What stood in between was replaced or dropped.
     pub fn skip_to(&mut self, next: u64) {
-        self.next = self.next.max(next);
+        self.next_offset = self.next_offset.max(next);
     }
 
     fn fold(&mut self, offset: u64, record: Record) -> Change {
@@ -84,8 +84,8 @@
                 departed,
             } => {
                 self.departed.shift_remove(&incarnation);
-                self.forgotten = self.forgotten.max(Some(departed));
-                Change::Nothing
+                self.last_forgotten = self.last_forgotten.max(Some(departed));
+                Change::Unchanged
             }
         }
     }
@@ -97,14 +97,14 @@
         operator: Arc<str>,
         file: Arc<str>,
     ) -> Change {
-        if operator.len() > MAX_NAME {
-            return Change::Broken;
+        if operator.len() > MAX_NAME_LEN {
+            return Change::Invalid;
         }
         if version <= self.version {
-            return Change::Old;
+            return Change::Stale;
         }
         let Ok(rules) = Rules::parse(&file) else {
-            return Change::Broken;
+            return Change::Invalid;
         };
         self.version = version;
         self.publication = publication;
@@ -117,10 +117,10 @@
     fn join(&mut self, offset: u64, instance: Instance) -> Change {
         let incarnation = instance.incarnation;
         if self.is_listed(incarnation) || self.departed.contains_key(&incarnation) {
-            return Change::Nothing;
+            return Change::Unchanged;
         }
-        if !self.admits(&instance) {
-            return Change::Broken;
+        if !self.can_join(&instance) {
+            return Change::Invalid;
         }
         let service = instance.service.clone();
         self.replace_at_address(offset, &instance);
@@ -148,7 +148,7 @@
     /// stream stays, and not neither.
     fn evict(&mut self, offset: u64, incarnation: Incarnation, by: Incarnation) -> Change {
         if by == incarnation || !self.is_listed(by) {
-            return Change::Nothing;
+            return Change::Unchanged;
         }
         self.depart(offset, incarnation, Departure::Evicted)
     }
@@ -161,7 +161,7 @@
                 return Change::View(service);
             }
         }
-        Change::Nothing
+        Change::Unchanged
     }
 
     fn remember_departed(&mut self, offset: u64, incarnation: Incarnation) {
@@ -175,9 +175,9 @@
     /// # Examples
     ///
     /// ```
-    /// assert_eq!(bilberry_journal::State::default().to_forget(), None);
+    /// assert_eq!(bilberry_journal::State::default().next_forget_record(), None);
     /// ```
-    pub fn to_forget(&self) -> Option<Record> {
+    pub fn next_forget_record(&self) -> Option<Record> {
         let (incarnation, departed) = self.departed.first()?;
         let many = self.departed.len() > MAX_DEPARTED;
         many.then_some(Record::Forget {
@@ -188,7 +188,7 @@
 
     /// Whether a `Join` of this instance would be taken. One that is not must not be appended: a
     /// reader that begins later, after others were forgotten, could find room for it.
-    pub fn admits(&self, instance: &Instance) -> bool {
+    pub fn can_join(&self, instance: &Instance) -> bool {
         let known = self.views.contains_key(&instance.service);
         is_bounded(instance)
             && self.instances().count() < MAX_INSTANCES
@@ -204,5 +204,5 @@
     ];
     names
         .iter()
-        .all(|name| !name.is_empty() && name.len() <= MAX_NAME)
+        .all(|name| !name.is_empty() && name.len() <= MAX_NAME_LEN)
 }
--- a/crates/journal/src/record.rs
+++ b/crates/journal/src/record.rs
@@ -51,7 +51,7 @@
 }
 
 /// A key of the topic and its new value; an empty value drops the key.
-pub type Entry = (Arc<str>, Bytes);
+pub type TopicEntry = (Arc<str>, Bytes);
 
 impl Record {
     /// What has to be appended, all or nothing.
@@ -77,7 +77,7 @@
     ///     ["join/0000000000000007", "gone/0000000000000007", "forgotten"]
     /// );
     /// ```
-    pub fn entries(&self) -> Vec<Entry> {
+    pub fn entries(&self) -> Vec<TopicEntry> {
         let value = Bytes::from(proto::encode(self));
         match self {
             Record::Publish { .. } => vec![(RULES_KEY.into(), value)],
--- a/crates/journal/src/restore.rs
+++ b/crates/journal/src/restore.rs
@@ -23,17 +23,17 @@
 ///
 /// ```
 /// let values = vec![(7, "b".into()), (9, "c".into()), (2, "a".into())];
-/// let ordered = bilberry_journal::in_order(values, 9);
+/// let ordered = bilberry_journal::sorted_before(values, 9);
 /// assert_eq!(ordered, [(2, "a".into()), (7, "b".into())]);
 /// ```
-pub fn in_order(mut values: Vec<(u64, Bytes)>, end: u64) -> Vec<(u64, Bytes)> {
+pub fn sorted_before(mut values: Vec<(u64, Bytes)>, end: u64) -> Vec<(u64, Bytes)> {
     values.retain(|(offset, _)| *offset < end);
     values.sort_by_key(|(offset, _)| *offset);
     values
 }
 
 impl State {
-    /// The state by the newest value of each key, [`in_order`]. `end` is where to read on.
+    /// The state by the newest value of each key, [`sorted_before`]. `end` is where to read on.
     ///
     /// # Examples
     ///
@@ -43,7 +43,7 @@
     /// let left = Record::Leave(proto::Incarnation(7));
     /// let values = [(5, proto::encode(&left).into())];
     /// let state = State::from_newest(&values, 9);
-    /// assert_eq!((state.next, state.departed.len()), (9, 1));
+    /// assert_eq!((state.next_offset, state.departed.len()), (9, 1));
     /// ```
     pub fn from_newest(values: &[(u64, Bytes)], end: u64) -> Self {
         let mut state = Self::default();
@@ -56,8 +56,8 @@
     }
 
     /// Whether going on from `next` with this state's newest records leaves no view out.
-    pub fn is_whole_since(&self, next: u64) -> bool {
-        self.forgotten.is_none_or(|departed| departed < next)
+    pub fn is_complete_since(&self, next: u64) -> bool {
+        self.last_forgotten.is_none_or(|departed| departed < next)
     }
 
     /// Takes over another reader's state as far as it is newer, if it takes nothing back.
@@ -76,24 +76,27 @@
     ///
     /// let mut state = State::default();
     /// assert_eq!(state.adopt(newer.clone()), Change::Restored);
-    /// assert_eq!(state.adopt(newer), Change::Old);
+    /// assert_eq!(state.adopt(newer), Change::Stale);
     /// ```
     pub fn adopt(&mut self, other: State) -> Change {
-        self.adopt_with(other, |file| Rules::parse(file).ok())
+        self.adopt_with_parser(other, |file| Rules::parse(file).ok())
     }
 
     /// The same where rules files are in another format.
-    pub fn adopt_with(&mut self, other: State, parse: ParseRules) -> Change {
-        let (rules_newer, views_newer) = (other.version > self.version, other.next > self.next);
+    pub fn adopt_with_parser(&mut self, other: State, parse: ParseRules) -> Change {
+        let (rules_newer, views_newer) = (
+            other.version > self.version,
+            other.next_offset > self.next_offset,
+        );
         if !rules_newer && !views_newer {
-            return Change::Old;
+            return Change::Stale;
         }
         if !other.is_bounded() || (views_newer && other.takes_back(self)) {
-            return Change::Broken;
+            return Change::Invalid;
         }
         if rules_newer {
             let Some(rules) = parse(&other.file) else {
-                return Change::Broken;
+                return Change::Invalid;
             };
             self.version = other.version;
             self.publication = other.publication;
@@ -102,10 +105,10 @@
             self.rules = Arc::new(rules);
         }
         if views_newer {
-            self.next = other.next;
+            self.next_offset = other.next_offset;
             self.views = other.views;
             self.departed = other.departed;
-            self.forgotten = other.forgotten;
+            self.last_forgotten = other.last_forgotten;
         }
         Change::Restored
     }
@@ -119,16 +122,16 @@
     ///
     /// let mut state = State::default();
     /// let parse = |_: &str| Some(rules::Rules::default());
-    /// assert_eq!(state.take_version(7, "a file", parse), Change::Rules);
-    /// assert_eq!(state.take_version(6, "an older file", parse), Change::Old);
-    /// assert_eq!((state.version, state.next), (7, 0));
+    /// assert_eq!(state.apply_external_rules(7, "a file", parse), Change::Rules);
+    /// assert_eq!(state.apply_external_rules(6, "an older file", parse), Change::Stale);
+    /// assert_eq!((state.version, state.next_offset), (7, 0));
     /// ```
-    pub fn take_version(&mut self, version: u64, file: &str, parse: ParseRules) -> Change {
+    pub fn apply_external_rules(&mut self, version: u64, file: &str, parse: ParseRules) -> Change {
         if version <= self.version {
-            return Change::Old;
+            return Change::Stale;
         }
         let Some(rules) = parse(file) else {
-            return Change::Broken;
+            return Change::Invalid;
         };
         self.version = version;
         self.file = file.into();
@@ -141,7 +144,10 @@
         self.instances().count() <= MAX_INSTANCES
             && self.views.len() <= MAX_SERVICES
             && self.departed.len() <= MAX_PEER_DEPARTED
-            && self.views.values().all(|view| view.number < self.next)
+            && self
+                .views
+                .values()
+                .all(|view| view.number < self.next_offset)
     }
 
     /// Whether a version or a view would go back from what `earlier` has. Versions and views of one
@@ -150,7 +156,10 @@
         let rules_back = self.version < earlier.version
             || (self.version == earlier.version && self.file != earlier.file);
         // A reader that began late does not know views that were made by forgotten departures.
-        let known = |view: &View| self.forgotten.is_none_or(|departed| departed < view.number);
+        let known = |view: &View| {
+            self.last_forgotten
+                .is_none_or(|departed| departed < view.number)
+        };
         let mut views = earlier.views.iter().filter(|(_, view)| known(view));
         let views_back = views.any(|(service, view)| {
             self.view(service)
--- a/crates/journal/src/state.rs
+++ b/crates/journal/src/state.rs
@@ -13,9 +13,9 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Change {
     /// Nothing.
-    Nothing,
+    Unchanged,
     /// The record could not be read, or breaks a bound, and was passed over.
-    Broken,
+    Invalid,
     /// A rules file is in force.
     Rules,
     /// This service has a new view; perhaps others too.
@@ -23,17 +23,17 @@
     /// Rules, views or both were taken from a peer.
     Restored,
     /// The offset or version was applied before.
-    Old,
-    /// Records between [`State::next`] and this offset are missing; nothing was applied.
+    Stale,
+    /// Records between [`State::next_offset`] and this offset are missing; nothing was applied.
     Gap,
 }
 
 data! {
-    /// What the topic says up to `next`.
+    /// What the topic says up to `next_offset`.
     #[derive(Default)]
     pub struct State {
         /// The offset of the next record to fold.
-        pub next: u64,
+        pub next_offset: u64,
         /// The version of the rules in force; 0 if there are none.
         pub version: u64,
         /// The id of their publication.
@@ -51,7 +51,7 @@
         /// back.
         pub departed: IndexMap<Incarnation, u64>,
         /// The newest departure of which the topic has no record any more.
-        pub forgotten: Option<u64>,
+        pub last_forgotten: Option<u64>,
     }
 }
 
@@ -60,7 +60,7 @@
     pub fn progress(&self) -> Progress {
         Progress {
             version: self.version,
-            next: self.next,
+            next: self.next_offset,
         }
     }
 
--- a/crates/journal/src/view.rs
+++ b/crates/journal/src/view.rs
@@ -19,13 +19,13 @@
         /// Who went with this view, and how.
         pub departed: Vec<(Incarnation, Departure)>,
         /// The last steps that led here, oldest first.
-        pub steps: Vec<Step>,
+        pub recent_changes: Vec<ViewChange>,
     }
 }
 
 data! {
     /// One step from view to view.
-    pub struct Step {
+    pub struct ViewChange {
         /// The number of the view before; `None` for a service's first.
         pub previous: Option<u64>,
         /// The number of the view that it made.
@@ -73,17 +73,17 @@
     ///
     /// ```
     /// let view = bilberry_journal::View::default();
-    /// assert_eq!(view.since(&view), Some(Vec::new()));
+    /// assert_eq!(view.views_since(&view), Some(Vec::new()));
     /// ```
-    pub fn since(&self, known: &View) -> Option<Vec<View>> {
+    pub fn views_since(&self, known: &View) -> Option<Vec<View>> {
         if known.number == self.number {
             return Some(Vec::new());
         }
         let start = self
-            .steps
+            .recent_changes
             .iter()
             .position(|step| step.previous == Some(known.number))?;
-        Some(replay(known.clone(), &self.steps[start..]))
+        Some(replay(known.clone(), &self.recent_changes[start..]))
     }
 
     /// All views from the service's first up to this one; `None` if the steps do not reach back so
@@ -95,19 +95,23 @@
     /// assert_eq!(bilberry_journal::View::default().history(), None);
     /// ```
     pub fn history(&self) -> Option<Vec<View>> {
-        let first = self.steps.first()?;
+        let first = self.recent_changes.first()?;
         let whole = first.previous.is_none();
-        whole.then(|| replay(View::default(), &self.steps))
+        whole.then(|| replay(View::default(), &self.recent_changes))
     }
 
     /// The step of the record at `offset`, which may take one member out and another in.
-    fn step(&mut self, offset: u64) -> &mut Step {
-        if self.steps.last().is_none_or(|step| step.number != offset) {
-            let previous = self.steps.last().map(|step| step.number);
-            if self.steps.len() == MAX_STEPS {
-                self.steps.remove(0);
+    fn step(&mut self, offset: u64) -> &mut ViewChange {
+        if self
+            .recent_changes
+            .last()
+            .is_none_or(|step| step.number != offset)
+        {
+            let previous = self.recent_changes.last().map(|step| step.number);
+            if self.recent_changes.len() == MAX_STEPS {
+                self.recent_changes.remove(0);
             }
-            self.steps.push(Step {
+            self.recent_changes.push(ViewChange {
                 previous,
                 number: offset,
                 departed: Vec::new(),
@@ -116,13 +120,13 @@
             self.number = offset;
             self.departed.clear();
         }
-        let last = self.steps.len() - 1;
-        &mut self.steps[last]
+        let last = self.recent_changes.len() - 1;
+        &mut self.recent_changes[last]
     }
 }
 
 /// The views that the steps make, one after the other.
-fn replay(mut view: View, steps: &[Step]) -> Vec<View> {
+fn replay(mut view: View, steps: &[ViewChange]) -> Vec<View> {
     let views = steps.iter().map(|step| {
         let gone = |who| step.departed.iter().any(|(gone, _)| *gone == who);
         view.members.retain(|member| !gone(member.incarnation));
--- a/crates/journal/tests/fold.rs
+++ b/crates/journal/tests/fold.rs
@@ -3,8 +3,8 @@
 use bilberry_journal::Change;
 use bilberry_journal::Record;
 use bilberry_journal::State;
-use bilberry_journal::MAX_NAME;
-use bilberry_journal::MAX_RECORD;
+use bilberry_journal::MAX_NAME_LEN;
+use bilberry_journal::MAX_RECORD_LEN;
 use proto::Incarnation;
 use proto::Instance;
 
@@ -86,20 +86,20 @@
     let whole = proto::encode(&publish(1, 1));
     let trailing = [&whole[..], b"x"].concat();
     let mut long_name = instance(1, "press", 7001);
-    long_name.region = "x".repeat(MAX_NAME + 1).into();
+    long_name.region = "x".repeat(MAX_NAME_LEN + 1).into();
     let broken = [
         whole[..whole.len() - 1].to_vec(),
         trailing,
         vec![0xff; 64],
-        vec![0; MAX_RECORD + 1],
+        vec![0; MAX_RECORD_LEN + 1],
         proto::encode(&Record::Join(long_name)),
     ];
     let mut state = State::default();
     for (record, offset) in broken.iter().zip(0..) {
-        assert_eq!(state.apply(offset, record), Change::Broken, "{offset}");
-        assert_eq!(state.next, offset + 1);
+        assert_eq!(state.apply(offset, record), Change::Invalid, "{offset}");
+        assert_eq!(state.next_offset, offset + 1);
     }
-    assert_eq!(state.apply(state.next, &whole), Change::Rules);
+    assert_eq!(state.apply(state.next_offset, &whole), Change::Rules);
 }
 
 /// A node is stopped while its `Join` is on its way, and the `Leave` overtakes it. Taking the late
--- a/crates/journal/tests/newest.rs
+++ b/crates/journal/tests/newest.rs
@@ -2,9 +2,9 @@
 //! same state as one that saw them all.
 
 use bilberry_journal::Change;
-use bilberry_journal::Entry;
 use bilberry_journal::Record;
 use bilberry_journal::State;
+use bilberry_journal::TopicEntry;
 use bilberry_journal::MAX_DEPARTED;
 use bytes::Bytes;
 use proptest::prelude::*;
@@ -99,7 +99,7 @@
         }
     }
 
-    fn push(&mut self, (key, value): Entry) {
+    fn push(&mut self, (key, value): TopicEntry) {
         let offset = self.values.len() as u64;
         self.states.push(self.state.clone());
         self.state.apply(offset, &value);
@@ -137,7 +137,7 @@
     ) {
         let topic = Topic::of(&steps);
         prop_assert_eq!(&topic.late_reader(), &topic.state);
-        prop_assert!(topic.late_reader().is_whole_since(0));
+        prop_assert!(topic.late_reader().is_complete_since(0));
     }
 
     /// Old departures are dropped from the topic. A reader that begins later does not know them, and
@@ -155,14 +155,14 @@
             topic.append(&Record::Forget { incarnation: *incarnation, departed: *departed });
         }
         let late = topic.late_reader();
-        prop_assert_eq!(late.forgotten, topic.state.forgotten);
+        prop_assert_eq!(late.last_forgotten, topic.state.last_forgotten);
         prop_assert_eq!(&late.departed, &topic.state.departed);
         prop_assert_eq!(late.version, topic.state.version);
         for (service, view) in &topic.state.views {
             let members = late.view(service).map(|view| view.members.clone());
             prop_assert_eq!(members.unwrap_or_default(), view.members.clone());
         }
-        prop_assert_eq!(late.is_whole_since(0), late.forgotten.is_none());
+        prop_assert_eq!(late.is_complete_since(0), late.last_forgotten.is_none());
     }
 
     /// A stale copy reaches a node from a peer. Taking it would bring back rules that were replaced.
@@ -175,7 +175,7 @@
         let mut state = Topic::of(&steps).state;
         let before = state.clone();
         let mut copy = Topic::of(&forged).state;
-        copy.next = copy.next.max(next);
+        copy.next_offset = copy.next_offset.max(next);
         let change = state.adopt(copy);
         if change != Change::Restored {
             prop_assert_eq!(&state, &before);
@@ -195,15 +195,15 @@
     for incarnation in 1..=MAX_DEPARTED as u64 {
         topic.append(&Record::Leave(Incarnation(incarnation)));
     }
-    assert_eq!(topic.state.to_forget(), None);
+    assert_eq!(topic.state.next_forget_record(), None);
     topic.append(&Record::Leave(Incarnation(9999)));
     let forget = Record::Forget {
         incarnation: Incarnation(1),
         departed: 0,
     };
-    assert_eq!(topic.state.to_forget(), Some(forget.clone()));
+    assert_eq!(topic.state.next_forget_record(), Some(forget.clone()));
     topic.append(&forget);
-    assert_eq!(topic.state.to_forget(), None);
+    assert_eq!(topic.state.next_forget_record(), None);
     assert_eq!(topic.late_reader(), topic.state);
 }
 
@@ -213,7 +213,7 @@
 fn a_reader_notices_that_it_missed_departures() {
     let mut topic = Topic::default();
     topic.append(&Record::Join(instance(2, 1)));
-    let away_since = topic.state.next;
+    let away_since = topic.state.next_offset;
     topic.append(&Record::Leave(Incarnation(2)));
     let forget = Record::Forget {
         incarnation: Incarnation(2),
@@ -221,6 +221,6 @@
     };
     topic.append(&forget);
     let late = topic.late_reader();
-    assert!(!late.is_whole_since(away_since));
-    assert!(late.is_whole_since(away_since + 1));
+    assert!(!late.is_complete_since(away_since));
+    assert!(late.is_complete_since(away_since + 1));
 }
--- a/crates/membership/src/members.rs
+++ b/crates/membership/src/members.rs
@@ -20,7 +20,7 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::time::Duration;
-use stdx::Bounded;
+use stdx::BoundedMap;
 use stdx::Time;
 
 /// Incarnations that never come back, remembered beyond their entries, because old rumours about
@@ -96,7 +96,7 @@
     /// When suspects count as dead.
     pub(crate) suspects: BTreeSet<(Time, Incarnation)>,
     /// `true` while it holds; the log may list one again.
-    pub(crate) buried: Bounded<Incarnation, bool>,
+    pub(crate) buried: BoundedMap<Incarnation, bool>,
 }
 
 impl Membership {
@@ -123,7 +123,7 @@
             rumours: RumourQueue::default(),
             gossip_at: Time::ZERO,
             suspects: BTreeSet::new(),
-            buried: Bounded::new(MAX_BURIED),
+            buried: BoundedMap::new(MAX_BURIED),
         }
     }
 
--- a/crates/membership/src/probe.rs
+++ b/crates/membership/src/probe.rs
@@ -11,7 +11,7 @@
 use rand::RngExt;
 use std::collections::VecDeque;
 use std::net::SocketAddr;
-use stdx::Bounded;
+use stdx::BoundedMap;
 use stdx::Time;
 
 /// Pings of which the ack is still of interest.
@@ -47,9 +47,9 @@
     near: Vec<Incarnation>,
     far: Vec<Incarnation>,
     /// Where each ping went that may tell who is at an address now.
-    asked: Bounded<u64, SocketAddr>,
+    asked: BoundedMap<u64, SocketAddr>,
     /// Who asked for a ping, and under which number.
-    relayed: Bounded<u64, (SocketAddr, u64)>,
+    relayed: BoundedMap<u64, (SocketAddr, u64)>,
     /// Addresses at which a rumour tells of another incarnation than the table does.
     doubts: VecDeque<SocketAddr>,
 }
@@ -63,8 +63,8 @@
             current: None,
             near: Vec::new(),
             far: Vec::new(),
-            asked: Bounded::new(MAX_ASKED),
-            relayed: Bounded::new(MAX_RELAYED),
+            asked: BoundedMap::new(MAX_ASKED),
+            relayed: BoundedMap::new(MAX_RELAYED),
             doubts: VecDeque::new(),
         }
     }
--- a/crates/node/src/events.rs
+++ b/crates/node/src/events.rs
@@ -86,7 +86,7 @@
         Counter::Restored => log::info!(
             "event=state_restored version={} next_offset={}",
             journal.version,
-            journal.next
+            journal.next_offset
         ),
         Counter::ViewTaken => {
             let view = journal.view(&shell.me.service);
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -8,7 +8,7 @@
 use engine::Switches;
 use ini::Ini;
 use organisation::QuotaBounds;
-use policy::FleetRetries;
+use policy::FleetRetryLimits;
 use std::net::SocketAddr;
 use std::path::Path;
 use std::time::Duration;
@@ -69,7 +69,7 @@
     /// How long a caller may take for its body.
     pub body_timeout: Duration,
     /// What the whole fleet may try again at each service.
-    pub retries: FleetRetries,
+    pub retries: FleetRetryLimits,
     /// A revoked key is refused by every node within this time; unbounded without it.
     pub revocation: Option<Duration>,
     /// How strictly the quotas of organisations hold.
@@ -222,11 +222,11 @@
     }))
 }
 
-fn fleet_retries(ini: &Ini) -> Result<FleetRetries, SettingsError> {
-    let default = FleetRetries::default();
+fn fleet_retries(ini: &Ini) -> Result<FleetRetryLimits, SettingsError> {
+    let default = FleetRetryLimits::default();
     let window = default.window.as_secs_f64();
     let window = RETRY_WINDOW.or(ini, window, number(1.0, 300.0))?;
-    Ok(FleetRetries {
+    Ok(FleetRetryLimits {
         ratio: RETRY_RATIO.or(ini, default.ratio, number(0.0, 1.0))?,
         spare: RETRY_SPARE.or(ini, default.spare, number(0.0, 1e6))?,
         window: Duration::from_secs_f64(window),
--- a/crates/node/src/settings/value.rs
+++ b/crates/node/src/settings/value.rs
@@ -68,7 +68,7 @@
 /// The name of a failure domain, region or stream.
 pub(super) fn word(value: &str) -> Value<String> {
     let fits = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
-    if value.is_empty() || value.len() > journal::MAX_NAME || !value.chars().all(fits) {
+    if value.is_empty() || value.len() > journal::MAX_NAME_LEN || !value.chars().all(fits) {
         return Err("1 to 64 letters, digits, `-`, `_` or `.`");
     }
     Ok(value.to_owned())
--- a/crates/node/src/shell.rs
+++ b/crates/node/src/shell.rs
@@ -26,10 +26,10 @@
 use engine::Output;
 use engine::Token;
 use indexmap::IndexMap;
-use journal::Entry;
+use journal::TopicEntry;
 use platform::Store;
 use platform::StoreError;
-use policy::FleetRetries;
+use policy::FleetRetryLimits;
 use proto::Incarnation;
 use proto::Instance;
 use std::cell::Cell;
@@ -235,8 +235,8 @@
 
 /// The part of the fleet's retries that nodes plan with: others may count the same sends in another
 /// window, and nodes do not know exactly how many they are.
-fn within(fleet: FleetRetries) -> FleetRetries {
-    FleetRetries {
+fn within(fleet: FleetRetryLimits) -> FleetRetryLimits {
+    FleetRetryLimits {
         ratio: fleet.ratio * RATIO_USED,
         spare: fleet.spare * SPARE_USED,
         ..fleet
@@ -392,7 +392,7 @@
         }
     }
 
-    fn append(self: &Rc<Self>, number: u64, at: u64, entries: Vec<Entry>) {
+    fn append(self: &Rc<Self>, number: u64, at: u64, entries: Vec<TopicEntry>) {
         let shell = self.clone();
         for (_, value) in &entries {
             add(&self.metrics.bytes.store_out, value.len());
--- a/crates/once/src/home.rs
+++ b/crates/once/src/home.rs
@@ -23,7 +23,7 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 use std::time::Duration;
-use stdx::Bounded;
+use stdx::BoundedMap;
 use stdx::Time;
 
 /// The most past members whose addresses are kept, to answer their late messages.
@@ -61,7 +61,7 @@
     pub(crate) records: Records,
     /// Runs of this node whose slot has moved on meanwhile.
     pub(crate) moved: IndexMap<KeyHash, Moved>,
-    pub(crate) known: Bounded<Incarnation, Instance>,
+    pub(crate) known: BoundedMap<Incarnation, Instance>,
     pub(crate) service: Arc<str>,
     pub(crate) out: Vec<Effect>,
 }
@@ -96,7 +96,7 @@
             moving: BTreeSet::new(),
             records: Records::new(cfg.reserve_bytes),
             moved: IndexMap::new(),
-            known: Bounded::new(MAX_KNOWN),
+            known: BoundedMap::new(MAX_KNOWN),
             service: "".into(),
             out: Vec::new(),
             cfg,
--- a/crates/once/tests/common/mod.rs
+++ b/crates/once/tests/common/mod.rs
@@ -168,7 +168,7 @@
             number,
             members,
             departed,
-            steps: Vec::new(),
+            recent_changes: Vec::new(),
         });
         self.read_log();
     }
--- a/crates/once/tests/homes.rs
+++ b/crates/once/tests/homes.rs
@@ -388,7 +388,7 @@
         number,
         members: members.to_vec(),
         departed: vec![(proto::Incarnation(departed), Departure::Evicted)],
-        steps: Vec::new(),
+        recent_changes: Vec::new(),
     };
     let mut home = bilberry_once::Home::new(cluster.cfg.clone(), newcomer.incarnation);
     let mut now = cluster.now;
--- a/crates/organisation/src/borrower.rs
+++ b/crates/organisation/src/borrower.rs
@@ -13,7 +13,7 @@
 use proto::OrganisationId;
 use rules::Quota;
 use std::time::Duration;
-use stdx::Bounded;
+use stdx::BoundedMap;
 use stdx::Time;
 
 /// How often a vote is lent anew. A message may be lost before it lapses.
@@ -82,7 +82,7 @@
     in_flight: IndexMap<u64, Question>,
     timeouts: u32,
     /// Lenders that were lost, and until when they are not asked.
-    avoided: Bounded<Incarnation, Time>,
+    avoided: BoundedMap<Incarnation, Time>,
     /// A pool of the group may want tokens at once.
     urgent: bool,
     /// When a pool of the group whose lender had too few tokens may want some again.
@@ -98,7 +98,7 @@
             vote_due: Time::ZERO,
             in_flight: IndexMap::new(),
             timeouts: 0,
-            avoided: Bounded::new(MAX_AVOIDED),
+            avoided: BoundedMap::new(MAX_AVOIDED),
             urgent: false,
             again_at: None,
         }
--- a/crates/organisation/src/freshness.rs
+++ b/crates/organisation/src/freshness.rs
@@ -9,7 +9,7 @@
 use rand::rngs::StdRng;
 use rand::RngExt;
 use std::time::Duration;
-use stdx::Bounded;
+use stdx::BoundedMap;
 use stdx::Time;
 
 /// How often the node that leads its failure domain asks the store.
@@ -76,7 +76,7 @@
     due: Time,
     attempt: u32,
     number: u64,
-    asked: Bounded<u64, Time>,
+    asked: BoundedMap<u64, Time>,
     store_asked: Option<Time>,
     store_due: Time,
 }
@@ -90,7 +90,7 @@
             due: Time::ZERO,
             attempt: 0,
             number: 0,
-            asked: Bounded::new(MAX_ASKED),
+            asked: BoundedMap::new(MAX_ASKED),
             store_asked: None,
             store_due: Time::ZERO,
         }
--- a/crates/policy/src/account.rs
+++ b/crates/policy/src/account.rs
@@ -12,26 +12,26 @@
     /// # Examples
     ///
     /// ```
-    /// let mut account = bilberry_policy::Account::new(2);
-    /// assert!(account.spend());
-    /// let lent = account.lend();
-    /// account.give_back(lent, lent);
-    /// assert!(account.spend());
-    /// assert!(!account.spend());
+    /// let mut account = bilberry_policy::RetryAllowance::new(2);
+    /// assert!(account.try_withdraw());
+    /// let lent = account.delegate_half();
+    /// account.reclaim(lent, lent);
+    /// assert!(account.try_withdraw());
+    /// assert!(!account.try_withdraw());
     /// ```
-    pub struct Account {
+    pub struct RetryAllowance {
         left: u16,
     }
 }
 
-impl Account {
+impl RetryAllowance {
     /// An account with `allowance` retries.
     pub fn new(allowance: u16) -> Self {
         Self { left: allowance }
     }
 
     /// Takes one retry; `false` if there is none.
-    pub fn spend(&mut self) -> bool {
+    pub fn try_withdraw(&mut self) -> bool {
         let may = self.left > 0;
         self.left = self.left.saturating_sub(1);
         may
@@ -39,7 +39,7 @@
 
     /// Takes out a part for a child call: half, rounded up, so that a parallel sibling has some
     /// too.
-    pub fn lend(&mut self) -> u16 {
+    pub fn delegate_half(&mut self) -> u16 {
         let lent = self.left.div_ceil(2);
         self.left -= lent;
         lent
@@ -47,24 +47,24 @@
 
     /// Takes out all but one, for a call that may be tried again here even if its answer is lost,
     /// and with it what was lent.
-    pub fn lend_all_but_one(&mut self) -> u16 {
+    pub fn delegate_all_but_one(&mut self) -> u16 {
         let lent = self.left.saturating_sub(1);
         self.left -= lent;
         lent
     }
 
     /// Takes out everything, for the only call that can spend it.
-    pub fn lend_all(&mut self) -> u16 {
+    pub fn delegate_all(&mut self) -> u16 {
         std::mem::take(&mut self.left)
     }
 
     /// Puts back what a child did not spend. Never more than it was lent, whatever it says.
-    pub fn give_back(&mut self, lent: u16, unspent: u16) {
+    pub fn reclaim(&mut self, lent: u16, unspent: u16) {
         self.left = self.left.saturating_add(unspent.min(lent));
     }
 
     /// The retries that are left here.
-    pub fn left(&self) -> u16 {
+    pub fn remaining(&self) -> u16 {
         self.left
     }
 }
--- a/crates/policy/src/budget.rs
+++ b/crates/policy/src/budget.rs
@@ -1,7 +1,7 @@
 //! A ratio of extra sends to first sends.
 
 use std::sync::Arc;
-use stdx::Bounded;
+use stdx::BoundedMap;
 use stdx::Time;
 
 /// Services that have a budget of their own.
@@ -18,27 +18,27 @@
 
 /// Re-sends of callers, allowed as a ratio of their first sends ("Handling Overload" in Site Reliability
 /// Engineering, 2016). Without it each send that fails makes another one, and the load grows with the
-/// failures. What nodes themselves send again is bounded by [`crate::Retries`].
+/// failures. What nodes themselves send again is bounded by [`crate::RetryBudget`].
 ///
 /// # Examples
 ///
 /// ```
 /// use stdx::Time;
 ///
-/// let mut budget = bilberry_policy::Budget::new();
-/// let spent = (0..100).filter(|_| budget.spend(Time::ZERO)).count();
+/// let mut budget = bilberry_policy::ResendBudget::new();
+/// let spent = (0..100).filter(|_| budget.try_withdraw(Time::ZERO)).count();
 /// assert_eq!(spent, 10);
 /// ```
 #[derive(Debug)]
-pub struct Budget {
+pub struct ResendBudget {
     tokens: f64,
-    bounds: Bounds,
+    bounds: BudgetConfig,
     at: Time,
 }
 
 /// What a budget has without any first send.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Bounds {
+pub struct BudgetConfig {
     /// What it holds at most, and at its start. Many nodes that each save up a full bucket would
     /// spend them all in the same few seconds, when something fails for all of them.
     pub burst: f64,
@@ -48,7 +48,7 @@
     pub ratio: f64,
 }
 
-impl Default for Bounds {
+impl Default for BudgetConfig {
     fn default() -> Self {
         Self {
             burst: BURST,
@@ -58,14 +58,14 @@
     }
 }
 
-impl Budget {
+impl ResendBudget {
     /// A full budget.
     pub fn new() -> Self {
-        Self::with_bounds(Bounds::default())
+        Self::with_config(BudgetConfig::default())
     }
 
     /// A full budget with other bounds.
-    pub fn with_bounds(bounds: Bounds) -> Self {
+    pub fn with_config(bounds: BudgetConfig) -> Self {
         Self {
             tokens: bounds.burst,
             bounds,
@@ -74,12 +74,12 @@
     }
 
     /// Counts a first send that allows `ratio` of an extra one.
-    pub fn earn(&mut self, ratio: f64) {
+    pub fn deposit(&mut self, ratio: f64) {
         self.tokens = (self.tokens + ratio).min(self.bounds.burst);
     }
 
     /// Takes one extra send; `false` if there is none.
-    pub fn spend(&mut self, now: Time) -> bool {
+    pub fn try_withdraw(&mut self, now: Time) -> bool {
         let elapsed = now.since(self.at).as_secs_f64();
         self.at = now;
         let earned = elapsed * self.bounds.per_second;
@@ -92,7 +92,7 @@
     }
 }
 
-impl Default for Budget {
+impl Default for ResendBudget {
     fn default() -> Self {
         Self::new()
     }
@@ -106,49 +106,49 @@
 /// ```
 /// use stdx::Time;
 ///
-/// let mut budgets = bilberry_policy::Budgets::new(bilberry_policy::Bounds {
+/// let mut budgets = bilberry_policy::ResendBudgets::new(bilberry_policy::BudgetConfig {
 ///     burst: 1.0,
 ///     per_second: 0.0,
 ///     ratio: 0.1,
 /// });
 /// let press = "press".into();
-/// assert!(budgets.spend(Time::ZERO, &press));
-/// assert!(!budgets.spend(Time::ZERO, &press));
-/// assert!(budgets.spend(Time::ZERO, &"order".into()));
+/// assert!(budgets.try_withdraw(Time::ZERO, &press));
+/// assert!(!budgets.try_withdraw(Time::ZERO, &press));
+/// assert!(budgets.try_withdraw(Time::ZERO, &"order".into()));
 /// ```
 #[derive(Debug)]
-pub struct Budgets {
-    bounds: Bounds,
-    services: Bounded<Arc<str>, Budget>,
+pub struct ResendBudgets {
+    bounds: BudgetConfig,
+    services: BoundedMap<Arc<str>, ResendBudget>,
 }
 
-impl Budgets {
+impl ResendBudgets {
     /// Full budgets.
-    pub fn new(bounds: Bounds) -> Self {
+    pub fn new(bounds: BudgetConfig) -> Self {
         Self {
             bounds,
-            services: Bounded::new(MAX_SERVICES),
+            services: BoundedMap::new(MAX_SERVICES),
         }
     }
 
-    /// Counts a first send to a service, which allows [`Bounds::ratio`] of an extra one.
-    pub fn earn(&mut self, service: &Arc<str>) {
-        self.earn_at(service, self.bounds.ratio);
+    /// Counts a first send to a service, which allows [`BudgetConfig::ratio`] of an extra one.
+    pub fn deposit(&mut self, service: &Arc<str>) {
+        self.deposit_with_ratio(service, self.bounds.ratio);
     }
 
     /// Counts a first send to a service that has a ratio of its own.
-    pub fn earn_at(&mut self, service: &Arc<str>, ratio: f64) {
-        self.of(service).earn(ratio);
+    pub fn deposit_with_ratio(&mut self, service: &Arc<str>, ratio: f64) {
+        self.of(service).deposit(ratio);
     }
 
     /// Takes one extra send to a service; `false` if there is none.
-    pub fn spend(&mut self, now: Time, service: &Arc<str>) -> bool {
-        self.of(service).spend(now)
+    pub fn try_withdraw(&mut self, now: Time, service: &Arc<str>) -> bool {
+        self.of(service).try_withdraw(now)
     }
 
-    fn of(&mut self, service: &Arc<str>) -> &mut Budget {
+    fn of(&mut self, service: &Arc<str>) -> &mut ResendBudget {
         if self.services.get(service).is_none() {
-            let budget = Budget::with_bounds(self.bounds);
+            let budget = ResendBudget::with_config(self.bounds);
             self.services.insert(service.clone(), budget);
         }
         self.services
--- a/crates/policy/src/choose.rs
+++ b/crates/policy/src/choose.rs
@@ -17,7 +17,7 @@
 use stdx::plain;
 use stdx::Time;
 
-/// What distance adds to the load, in thousandths of the concurrency limit, by [`Place`].
+/// What distance adds to the load, in thousandths of the concurrency limit, by [`Proximity`].
 const DISTANCE: [u32; 3] = [20, 100, 600];
 
 /// Up to this load, in thousandths of its limit, an instance starts work at once, and one that is
@@ -58,7 +58,7 @@
 plain! {
     /// How far an instance is from this one. Crossing regions is billed.
     #[derive(Hash, PartialOrd, Ord)]
-    pub enum Place {
+    pub enum Proximity {
         /// The same failure domain.
         SameDomain,
         /// The same region.
@@ -70,13 +70,13 @@
 
 plain! {
     /// Whether an instance may be given new calls.
-    pub enum Standing {
+    pub enum Eligibility {
         /// It may.
         Ready,
         /// Only if no other one may.
-        Doubtful,
+        LastResort,
         /// It may not.
-        Closed,
+        Excluded,
     }
 }
 
@@ -84,7 +84,7 @@
 #[derive(Debug)]
 struct Track {
     service: Arc<str>,
-    place: Place,
+    place: Proximity,
     /// When it was first heard of; `None` if that may be long ago.
     new_since: Option<Time>,
     report: LoadReport,
@@ -100,7 +100,7 @@
 /// The instances of one service.
 #[derive(Debug, Default)]
 struct Group {
-    /// By [`Place`].
+    /// By [`Proximity`].
     ready: [IndexSet<Incarnation>; 3],
     doubtful: IndexSet<Incarnation>,
 }
@@ -110,21 +110,21 @@
 /// # Examples
 ///
 /// ```
-/// use bilberry_policy::{Place, Selector, Standing};
+/// use bilberry_policy::{Proximity, InstanceSelector, Eligibility};
 /// use proto::Incarnation;
 /// use rand::SeedableRng;
 /// use stdx::Time;
 ///
 /// let mut rng = rand::rngs::StdRng::seed_from_u64(1);
-/// let mut selector = Selector::new();
+/// let mut selector = InstanceSelector::new();
 /// let press = "press".into();
-/// selector.set(Time::ZERO, Incarnation(7), &press, Place::SameDomain, Standing::Ready);
+/// selector.set_instance(Time::ZERO, Incarnation(7), &press, Proximity::SameDomain, Eligibility::Ready);
 /// let chosen = selector.choose(Time::ZERO, "press", &[], &mut rng);
 /// assert_eq!(chosen, Some(Incarnation(7)));
 /// assert_eq!(selector.choose(Time::ZERO, "press", &[Incarnation(7)], &mut rng), None);
 /// ```
 #[derive(Debug, Default)]
-pub struct Selector {
+pub struct InstanceSelector {
     tracks: IndexMap<Incarnation, Track>,
     services: IndexMap<Arc<str>, Group>,
     started: Option<Time>,
@@ -132,7 +132,7 @@
     ignores_room: bool,
 }
 
-impl Selector {
+impl InstanceSelector {
     /// A selector that knows no instance.
     pub fn new() -> Self {
         Self::default()
@@ -147,22 +147,22 @@
     }
 
     /// Enters an instance or changes its standing.
-    pub fn set(
+    pub fn set_instance(
         &mut self,
         now: Time,
         peer: Incarnation,
         service: &Arc<str>,
-        place: Place,
-        standing: Standing,
+        place: Proximity,
+        standing: Eligibility,
     ) {
         let started = *self.started.get_or_insert(now);
         let group = self.services.entry(service.clone()).or_default();
         group.ready[place as usize].swap_remove(&peer);
         group.doubtful.swap_remove(&peer);
         match standing {
-            Standing::Ready => group.ready[place as usize].insert(peer),
-            Standing::Doubtful => group.doubtful.insert(peer),
-            Standing::Closed => {
+            Eligibility::Ready => group.ready[place as usize].insert(peer),
+            Eligibility::LastResort => group.doubtful.insert(peer),
+            Eligibility::Excluded => {
                 self.tracks.swap_remove(&peer);
                 return;
             }
@@ -192,7 +192,7 @@
         track.sent = 0;
         if report.draining {
             let (service, place) = (track.service.clone(), track.place);
-            self.set(now, peer, &service, place, Standing::Closed);
+            self.set_instance(now, peer, &service, place, Eligibility::Excluded);
         }
     }
 
@@ -222,7 +222,7 @@
     /// A connection failed. The instance is left out for a while, longer each time; then single
     /// calls find out whether it is back. Without this every call would try a dead instance until
     /// the probes have found out, and all at once when it is back.
-    pub fn on_failed(&mut self, now: Time, peer: Incarnation, rng: &mut impl Rng) {
+    pub fn on_connection_failed(&mut self, now: Time, peer: Incarnation, rng: &mut impl Rng) {
         if let Some(track) = self.tracks.get_mut(&peer) {
             // The frames of one lost connection fail together and count once.
             if now >= track.left_out_until {
--- a/crates/policy/src/failing.rs
+++ b/crates/policy/src/failing.rs
@@ -1,6 +1,6 @@
 //! How much of its work a server fails by itself.
 
-use crate::Ended;
+use crate::RunOutcome;
 use std::time::Duration;
 use stdx::Time;
 
@@ -13,7 +13,7 @@
 const HALF_LIFE: Duration = Duration::from_secs(1);
 
 /// What a server that fails everything counts as, in thousandths of its limit. Enough to send calls
-/// past the distance to another region ([`crate::Place`]) where two in five fail, and not for one in
+/// past the distance to another region ([`crate::Proximity`]) where two in five fail, and not for one in
 /// ten.
 const WEIGHT: f32 = 1500.0;
 
@@ -31,12 +31,12 @@
 
 impl Failing {
     /// Takes the end of a run.
-    pub(crate) fn hear(&mut self, now: Time, ended: Ended) {
+    pub(crate) fn hear(&mut self, now: Time, ended: RunOutcome) {
         let failed = match ended {
-            Ended::Refused | Ended::Lost | Ended::NeverSent => 1.0,
-            Ended::Whole { .. } => 0.0,
+            RunOutcome::Refused | RunOutcome::Lost | RunOutcome::Unreachable => 1.0,
+            RunOutcome::Completed { .. } => 0.0,
             // Mostly because a call that it made failed, or nobody waited any more.
-            Ended::Failed | Ended::GivenUp { .. } => return,
+            RunOutcome::Failed | RunOutcome::Abandoned { .. } => return,
         };
         self.fade(now);
         self.share += (failed - self.share) / WINDOW;
--- a/crates/policy/src/heard.rs
+++ b/crates/policy/src/heard.rs
@@ -26,19 +26,19 @@
 /// use std::time::Duration;
 /// use stdx::Time;
 ///
-/// let mut heard = bilberry_policy::Heard::new(Time::ZERO);
+/// let mut heard = bilberry_policy::ReportedLevel::new(Time::ZERO);
 /// let later = Time::ZERO + Duration::from_secs(1);
-/// heard.hear(later, 20_000);
+/// heard.observe(later, 20_000);
 /// assert!(heard.get(later) > 19_000);
 /// assert_eq!(heard.get(later + Duration::from_secs(3)), 0);
 /// ```
 #[derive(Debug)]
-pub struct Heard {
+pub struct ReportedLevel {
     level: f64,
     at: Time,
 }
 
-impl Heard {
+impl ReportedLevel {
     /// Nothing was heard yet.
     pub fn new(now: Time) -> Self {
         Self {
@@ -48,7 +48,7 @@
     }
 
     /// Takes a report.
-    pub fn hear(&mut self, now: Time, level: u16) {
+    pub fn observe(&mut self, now: Time, level: u16) {
         let reported = f64::from(level);
         // Reports in the same instant count as well, though little.
         let elapsed = now.since(self.at).max(Duration::from_millis(1));
--- a/crates/policy/src/late.rs
+++ b/crates/policy/src/late.rs
@@ -24,11 +24,11 @@
 /// use std::time::Duration;
 ///
 /// let mut times = bilberry_policy::RunTimes::default();
-/// assert_eq!(times.late_after(), None);
+/// assert_eq!(times.late_threshold(), None);
 /// for _ in 0..100 {
-///     times.learn(Duration::from_millis(50));
+///     times.record(Duration::from_millis(50));
 /// }
-/// assert!(times.late_after().unwrap() >= Duration::from_millis(150));
+/// assert!(times.late_threshold().unwrap() >= Duration::from_millis(150));
 /// ```
 #[derive(Debug, Default, Clone, Copy)]
 pub struct RunTimes {
@@ -38,13 +38,13 @@
 
 impl RunTimes {
     /// A run took this long.
-    pub fn learn(&mut self, took: Duration) {
-        self.took.learn(took);
+    pub fn record(&mut self, took: Duration) {
+        self.took.record(took);
         self.known = self.known.saturating_add(1);
     }
 
     /// After how long a run is late; `None` while too few are known.
-    pub fn late_after(&self) -> Option<Duration> {
+    pub fn late_threshold(&self) -> Option<Duration> {
         let (mean, deviation) = self.took.0.filter(|_| self.known >= LEAST_KNOWN)?;
         let late = mean + deviation * f64::from(DEVIATIONS);
         let least = mean * f64::from(LEAST_MULTIPLE);
--- a/crates/policy/src/level.rs
+++ b/crates/policy/src/level.rs
@@ -13,8 +13,8 @@
 use crate::ranks::Group;
 use crate::ranks::PROBES;
 use crate::ranks::PROTECTED;
-use crate::Ranks;
-use crate::Ticket;
+use crate::PriorityBands;
+use crate::WorkItem;
 use indexmap::IndexMap;
 use proto::Class;
 use std::time::Duration;
@@ -61,9 +61,9 @@
 /// # Examples
 ///
 /// ```
-/// assert!((0.5..=1.5).contains(&bilberry_policy::spread(7)));
+/// assert!((0.5..=1.5).contains(&bilberry_policy::retry_jitter(7)));
 /// ```
-pub fn spread(dice: u16) -> f64 {
+pub fn retry_jitter(dice: u16) -> f64 {
     let mixed = dice.wrapping_mul(40_503) ^ (dice >> 7);
     0.5 + f64::from(mixed) / f64::from(u16::MAX)
 }
@@ -80,19 +80,19 @@
 /// # Examples
 ///
 /// ```
-/// use bilberry_policy::come_back;
+/// use bilberry_policy::retry_delay;
 /// use proto::Class;
 ///
-/// assert!(come_back(0x4000, Class::Lookup, 9) > come_back(0, Class::Lookup, 9));
+/// assert!(retry_delay(0x4000, Class::Lookup, 9) > retry_delay(0, Class::Lookup, 9));
 /// ```
-pub fn come_back(level: u16, class: Class, dice: u16) -> Duration {
+pub fn retry_delay(level: u16, class: Class, dice: u16) -> Duration {
     let shed = if class.is_protected() {
         level.saturating_sub(PROTECTED)
     } else {
         level.min(PROTECTED)
     };
     let admitted = 1.0 - f64::from(shed) / f64::from(PROTECTED);
-    RETURN.mul_f64(spread(dice) / admitted.max(0.1))
+    RETURN.mul_f64(retry_jitter(dice) / admitted.max(0.1))
 }
 
 /// Load that would come if nothing were shed, in slots, averaged over [`MEMORY`].
@@ -122,7 +122,7 @@
 /// and what is let in depends on it alone and not on how much was let in before.
 #[derive(Debug)]
 pub(crate) struct Level {
-    ranks: Ranks,
+    ranks: PriorityBands,
     offered: IndexMap<Group, Offered>,
     decided: Time,
     level: u16,
@@ -133,7 +133,7 @@
 impl Level {
     pub(crate) fn new() -> Self {
         Self {
-            ranks: Ranks::default(),
+            ranks: PriorityBands::default(),
             offered: IndexMap::new(),
             decided: Time::ZERO,
             level: 0,
@@ -141,7 +141,7 @@
         }
     }
 
-    pub(crate) fn set_ranks(&mut self, ranks: Ranks) {
+    pub(crate) fn set_ranks(&mut self, ranks: PriorityBands) {
         self.ranks = ranks;
     }
 
@@ -156,7 +156,7 @@
     }
 
     /// Work is offered that takes up a slot for so long.
-    pub(crate) fn offered(&mut self, now: Time, ticket: &Ticket, takes: Duration) {
+    pub(crate) fn offered(&mut self, now: Time, ticket: &WorkItem, takes: Duration) {
         let group = Group::new(ticket.class, ticket.priority);
         // A group that was shed whole still has the work that it had begun.
         let share = self.ranks.share(group, ticket.passed_level).max(PROBES);
--- a/crates/policy/src/quarantine.rs
+++ b/crates/policy/src/quarantine.rs
@@ -9,7 +9,7 @@
 use std::hash::Hash;
 use std::time::Duration;
 use stdx::plain;
-use stdx::Bounded;
+use stdx::BoundedMap;
 use stdx::Time;
 
 /// Crashes after which a request is refused.
@@ -47,15 +47,15 @@
 ///
 /// let mut quarantine = Quarantine::new();
 /// let now = Time::from_micros(60_000_000);
-/// quarantine.crashed(now, 7, Incarnation(1));
+/// quarantine.record_crash(now, 7, Incarnation(1));
 /// assert_eq!(quarantine.verdict(now, &7), Verdict::Suspect);
-/// quarantine.crashed(now, 7, Incarnation(2));
+/// quarantine.record_crash(now, 7, Incarnation(2));
 /// assert!(matches!(quarantine.verdict(now, &7), Verdict::Refused(_)));
 /// ```
 #[derive(Debug)]
 pub struct Quarantine<K> {
-    suspects: Bounded<K, Suspect>,
-    whole: Bounded<K, Time>,
+    suspects: BoundedMap<K, Suspect>,
+    whole: BoundedMap<K, Time>,
 }
 
 #[derive(Debug)]
@@ -81,14 +81,14 @@
     /// Nothing is known.
     pub fn new() -> Self {
         Self {
-            suspects: Bounded::new(KEPT),
-            whole: Bounded::new(KEPT),
+            suspects: BoundedMap::new(KEPT),
+            whole: BoundedMap::new(KEPT),
         }
     }
 
     /// The server of `node` crashed with the request in flight. Gives the crashes at that node, for
     /// the others; `None` if the request is above suspicion.
-    pub fn crashed(&mut self, now: Time, request: K, node: Incarnation) -> Option<u32> {
+    pub fn record_crash(&mut self, now: Time, request: K, node: Incarnation) -> Option<u32> {
         let whole = self.whole.get(&request);
         if whole.is_some_and(|at| now.since(*at) < INNOCENT) {
             return None;
@@ -97,12 +97,12 @@
             let own = suspect.crashes.iter().find(|(at, _)| *at == node);
             own.map_or(0, |(_, count)| *count)
         });
-        self.heard(now, request, node, before + 1);
+        self.record_remote_crashes(now, request, node, before + 1);
         Some(before + 1)
     }
 
     /// Another node tells how often its server crashed with the request in flight.
-    pub fn heard(&mut self, now: Time, request: K, node: Incarnation, count: u32) {
+    pub fn record_remote_crashes(&mut self, now: Time, request: K, node: Incarnation, count: u32) {
         if self.suspect(now, &request).is_none() {
             let fresh = Suspect {
                 crashes: Vec::new(),
@@ -124,7 +124,7 @@
     }
 
     /// The request was answered whole here.
-    pub fn answered(&mut self, now: Time, request: K) {
+    pub fn record_completed(&mut self, now: Time, request: K) {
         if let Some(suspect) = self.suspects.get_mut(&request) {
             if suspect.total() < CRASHES {
                 suspect.crashes.clear();
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -1,6 +1,6 @@
 //! The queue in front of one backend server.
 
-use crate::Ticket;
+use crate::WorkItem;
 use indexmap::IndexMap;
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -16,7 +16,7 @@
 }
 
 impl Rank {
-    fn of(ticket: &Ticket) -> Self {
+    fn of(ticket: &WorkItem) -> Self {
         Self {
             is_lookup: !ticket.class.is_protected(),
             priority: ticket.priority,
@@ -29,7 +29,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct Queue {
     /// What goes first stands first.
-    ranks: IndexMap<Rank, VecDeque<Ticket>>,
+    ranks: IndexMap<Rank, VecDeque<WorkItem>>,
 }
 
 impl Queue {
@@ -51,7 +51,7 @@
     }
 
     /// How many go before a new ticket.
-    pub(crate) fn ahead_of(&self, ticket: &Ticket, by_class: bool) -> usize {
+    pub(crate) fn ahead_of(&self, ticket: &WorkItem, by_class: bool) -> usize {
         if !by_class {
             return self.len();
         }
@@ -60,7 +60,7 @@
         self.len_of(|rank| *rank < own) + alike.map_or(0, |alike| place(alike, ticket))
     }
 
-    pub(crate) fn push(&mut self, ticket: Ticket) {
+    pub(crate) fn push(&mut self, ticket: WorkItem) {
         let rank = Rank::of(&ticket);
         let index = match self.ranks.get_index_of(&rank) {
             Some(index) => index,
@@ -72,7 +72,7 @@
 
     /// Takes out a ticket before which more go than can be done in time: the oldest of the least urgent
     /// rank. Calls of admitted actions stay: the work that was done for them would be lost.
-    pub(crate) fn displace(&mut self, capacity: usize) -> Option<Ticket> {
+    pub(crate) fn displace(&mut self, capacity: usize) -> Option<WorkItem> {
         let ranks = self.ranks.iter().rev();
         let waiting = ranks.filter(|(rank, tickets)| rank.begins_here && !tickets.is_empty());
         let mut ranks = waiting.map(|(rank, _)| *rank);
@@ -81,13 +81,13 @@
     }
 
     /// Takes out the lookup that has waited longest, of those that begin here if there are any.
-    pub(crate) fn displace_lookup(&mut self) -> Option<Ticket> {
+    pub(crate) fn displace_lookup(&mut self) -> Option<WorkItem> {
         self.pop_last(|rank| rank.is_lookup && rank.begins_here)
             .or_else(|| self.pop_last(|rank| rank.is_lookup))
     }
 
     /// Takes the oldest ticket out of the least urgent rank that has one, of those that fit.
-    fn pop_last(&mut self, fits: impl Fn(&Rank) -> bool) -> Option<Ticket> {
+    fn pop_last(&mut self, fits: impl Fn(&Rank) -> bool) -> Option<WorkItem> {
         let mut ranks = self.ranks.iter_mut().rev().filter(|(rank, _)| fits(rank));
         ranks.find_map(|(_, tickets)| tickets.pop_front())
     }
@@ -102,7 +102,10 @@
 
     /// Takes out a ticket that has waited too long: the oldest of a rank, for which `hopeless`
     /// holds.
-    pub(crate) fn pop_hopeless(&mut self, hopeless: impl Fn(&Ticket) -> bool) -> Option<Ticket> {
+    pub(crate) fn pop_hopeless(
+        &mut self,
+        hopeless: impl Fn(&WorkItem) -> bool,
+    ) -> Option<WorkItem> {
         let mut ranks = self.ranks.values_mut().rev();
         ranks.find_map(|tickets| {
             let front = tickets.front().is_some_and(&hopeless);
@@ -111,7 +114,7 @@
     }
 
     /// Takes out the next ticket to start.
-    pub(crate) fn pop(&mut self, by_class: bool) -> Option<Ticket> {
+    pub(crate) fn pop(&mut self, by_class: bool) -> Option<WorkItem> {
         let mut waiting = self
             .ranks
             .values_mut()
@@ -125,14 +128,14 @@
     }
 
     /// When the ticket at the front of a rank has waited for its time or is due.
-    pub(crate) fn next_timer(&self, max_wait: impl Fn(&Ticket) -> Duration) -> Option<Time> {
+    pub(crate) fn next_timer(&self, max_wait: impl Fn(&WorkItem) -> Duration) -> Option<Time> {
         let due = self
             .fronts()
             .map(|ticket| (ticket.arrived + max_wait(ticket)).min(ticket.deadline));
         due.min()
     }
 
-    fn fronts(&self) -> impl Iterator<Item = &Ticket> {
+    fn fronts(&self) -> impl Iterator<Item = &WorkItem> {
         self.ranks.values().filter_map(VecDeque::front)
     }
 }
@@ -142,7 +145,7 @@
 /// Calls of admitted actions stand in the order in which they are due. An action with one call left and
 /// little time goes before one that has just begun: both may end in time, where in the order of arrival
 /// all end late together. What begins here stands in the order of arrival.
-fn place(tickets: &VecDeque<Ticket>, ticket: &Ticket) -> usize {
+fn place(tickets: &VecDeque<WorkItem>, ticket: &WorkItem) -> usize {
     match ticket.admitted {
         true => tickets.partition_point(|other| other.deadline <= ticket.deadline),
         false => tickets.len(),
--- a/crates/policy/src/ranks.rs
+++ b/crates/policy/src/ranks.rs
@@ -63,20 +63,20 @@
 /// # Examples
 ///
 /// ```
-/// use bilberry_policy::Ranks;
+/// use bilberry_policy::PriorityBands;
 /// use proto::Class::Lookup;
 ///
-/// let ranks = Ranks::new([(Lookup, 2), (Lookup, 1)]);
-/// assert!(ranks.dice(Lookup, 2, 60_000) < ranks.dice(Lookup, 1, 0));
-/// assert_eq!(Ranks::new([(Lookup, 2)]).dice(Lookup, 2, 700), 700);
+/// let ranks = PriorityBands::new([(Lookup, 2), (Lookup, 1)]);
+/// assert!(ranks.scale_to_band(Lookup, 2, 60_000) < ranks.scale_to_band(Lookup, 1, 0));
+/// assert_eq!(PriorityBands::new([(Lookup, 2)]).scale_to_band(Lookup, 2, 700), 700);
 /// ```
 #[derive(Debug, Default, Clone)]
-pub struct Ranks {
+pub struct PriorityBands {
     /// The most urgent first.
     groups: IndexSet<Group>,
 }
 
-impl Ranks {
+impl PriorityBands {
     /// The ranks of operations with these classes and priorities.
     pub fn new(operations: impl IntoIterator<Item = (Class, u8)>) -> Self {
         let groups = operations.into_iter();
@@ -88,7 +88,7 @@
 
     /// The random value of an action, moved into the part of the range that its priority has. A
     /// priority that no rule names has the whole range.
-    pub fn dice(&self, class: Class, priority: u8, dice: u16) -> u16 {
+    pub fn scale_to_band(&self, class: Class, priority: u8, dice: u16) -> u16 {
         let band = self.band(Group::new(class, priority));
         let all = f64::from(u16::MAX) + 1.0;
         let place = f64::from(dice) / all;
--- a/crates/policy/src/retries.rs
+++ b/crates/policy/src/retries.rs
@@ -5,7 +5,7 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 use std::time::Duration;
-use stdx::Bounded;
+use stdx::BoundedMap;
 use stdx::Time;
 
 /// Services that are counted for themselves.
@@ -31,16 +31,16 @@
 /// What a whole fleet may try again at a service ("Handling Overload" in Site Reliability Engineering,
 /// 2016). Without it each send that fails makes another one, and the load grows with the failures.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct FleetRetries {
-    /// Retries for each first send, in any window.
+pub struct FleetRetryLimits {
+    /// RetryBudget for each first send, in any window.
     pub ratio: f64,
-    /// Retries in any window beyond that, so that a quiet service may be asked again at all.
+    /// RetryBudget in any window beyond that, so that a quiet service may be asked again at all.
     pub spare: f64,
     /// The span over which they are counted.
     pub window: Duration,
 }
 
-impl Default for FleetRetries {
+impl Default for FleetRetryLimits {
     fn default() -> Self {
         Self {
             ratio: 0.1,
@@ -61,29 +61,29 @@
 /// # Examples
 ///
 /// ```
-/// use bilberry_policy::{FleetRetries, Retries};
+/// use bilberry_policy::{FleetRetryLimits, RetryBudget};
 /// use stdx::Time;
 ///
-/// let mut retries = Retries::new(FleetRetries::default(), 7);
+/// let mut retries = RetryBudget::new(FleetRetryLimits::default(), 7);
 /// let press = "press".into();
 /// let mut spent = 0;
 /// for _ in 0..120 {
-///     retries.sent(Time::ZERO, &press);
-///     spent += u32::from(retries.spend(Time::ZERO, &press, proto::Class::Order, 3));
+///     retries.record_first_send(Time::ZERO, &press);
+///     spent += u32::from(retries.try_withdraw(Time::ZERO, &press, proto::Class::Order, 3));
 /// }
 /// assert!((9..=11).contains(&spent));
 /// ```
 #[derive(Debug)]
-pub struct Retries {
-    fleet: FleetRetries,
+pub struct RetryBudget {
+    fleet: FleetRetryLimits,
     /// Decides where this node rounds.
     seed: u64,
-    services: Bounded<Arc<str>, Budget>,
+    services: BoundedMap<Arc<str>, ServiceBudget>,
 }
 
 /// What a node may try again at one service.
 #[derive(Debug)]
-struct Budget {
+struct ServiceBudget {
     /// First sends of late, by part of the window; the newest stands last.
     sent: VecDeque<Slice>,
     /// Earned by first sends.
@@ -104,34 +104,40 @@
     sent: u32,
 }
 
-impl Retries {
+impl RetryBudget {
     /// Nothing earned yet.
-    pub fn new(fleet: FleetRetries, seed: u64) -> Self {
+    pub fn new(fleet: FleetRetryLimits, seed: u64) -> Self {
         Self {
             fleet,
             seed,
-            services: Bounded::new(MAX_SERVICES),
+            services: BoundedMap::new(MAX_SERVICES),
         }
     }
 
     /// Counts a first send to a service.
-    pub fn sent(&mut self, now: Time, service: &Arc<str>) {
+    pub fn record_first_send(&mut self, now: Time, service: &Arc<str>) {
         let fleet = self.fleet;
         self.budget(service).earn(now, &fleet);
     }
 
     /// Takes one retry of a call of this class at a service, of a fleet of so many nodes; `false` if there
     /// is none.
-    pub fn spend(&mut self, now: Time, service: &Arc<str>, class: Class, nodes: usize) -> bool {
+    pub fn try_withdraw(
+        &mut self,
+        now: Time,
+        service: &Arc<str>,
+        class: Class,
+        nodes: usize,
+    ) -> bool {
         let fleet = self.fleet;
         let budget = self.budget(service);
         budget.refill(now, &fleet, nodes);
         budget.spend(class)
     }
 
-    fn budget(&mut self, service: &Arc<str>) -> &mut Budget {
+    fn budget(&mut self, service: &Arc<str>) -> &mut ServiceBudget {
         if self.services.get(service).is_none() {
-            let budget = Budget {
+            let budget = ServiceBudget {
                 sent: VecDeque::new(),
                 earned: 0.0,
                 saved: 0.0,
@@ -147,8 +153,8 @@
     }
 }
 
-impl Budget {
-    fn earn(&mut self, now: Time, fleet: &FleetRetries) {
+impl ServiceBudget {
+    fn earn(&mut self, now: Time, fleet: &FleetRetryLimits) {
         let slice = fleet.window.as_micros() / u128::from(SLICES);
         let number = (now.since(Time::ZERO).as_micros() / slice.max(1)) as u64;
         if self.sent.back().is_none_or(|last| last.number < number) {
@@ -171,7 +177,7 @@
 
     /// Half of the spare may be in hand and half comes within a window, so that no window has more than
     /// the whole.
-    fn refill(&mut self, now: Time, fleet: &FleetRetries, nodes: usize) {
+    fn refill(&mut self, now: Time, fleet: &FleetRetryLimits, nodes: usize) {
         let half = fleet.spare / nodes.max(LEAST_FLEET) as f64 / 2.0;
         let windows = now.since(self.refilled).as_secs_f64() / fleet.window.as_secs_f64();
         self.refilled = now;
--- a/crates/policy/src/server.rs
+++ b/crates/policy/src/server.rs
@@ -3,17 +3,17 @@
 use crate::admission_value;
 use crate::failing::Failing;
 use crate::hold::Hold;
-use crate::level::spread;
+use crate::level::retry_jitter;
 use crate::level::Level;
 use crate::limit::Limit;
 use crate::pace::Pace;
 use crate::queue::Queue;
 use crate::work::Estimate;
-use crate::Ended;
-use crate::Offer;
-use crate::Ranks;
+use crate::AdmissionDecision;
+use crate::PriorityBands;
+use crate::RunOutcome;
 use crate::Switches;
-use crate::Ticket;
+use crate::WorkItem;
 use proto::Class;
 use proto::LoadReport;
 use proto::Reason;
@@ -46,7 +46,7 @@
 
 /// The limit, the queue and the admission level in front of one backend server.
 #[derive(Debug)]
-pub struct Server {
+pub struct ServerAdmission {
     switches: Switches,
     limit: Limit,
     level: Level,
@@ -71,28 +71,28 @@
     hold: Hold,
 }
 
-impl Server {
+impl ServerAdmission {
     /// A server with concurrency bounds and a queue no longer than `max_wait`.
     ///
     /// # Examples
     ///
     /// ```
-    /// use bilberry_policy::{Offer, Server, Switches, Ticket};
+    /// use bilberry_policy::{AdmissionDecision, ServerAdmission, Switches, WorkItem};
     /// use std::time::Duration;
     /// use stdx::Time;
     ///
-    /// let mut server = Server::new(Switches::ALL, 1, 100, Duration::from_millis(100));
-    /// let ticket = Ticket {
+    /// let mut server = ServerAdmission::new(Switches::ALL, 1, 100, Duration::from_millis(100));
+    /// let ticket = WorkItem {
     ///     id: 1,
     ///     class: proto::Class::Order,
     ///     priority: 0,
-    ///     dice: 7,
+    ///     random_value: 7,
     ///     passed_level: 0,
     ///     deadline: Time::from_micros(1_000_000),
     ///     arrived: Time::ZERO,
     ///     admitted: false,
     /// };
-    /// assert_eq!(server.offer(Time::ZERO, ticket), Offer::Start);
+    /// assert_eq!(server.offer(Time::ZERO, ticket), AdmissionDecision::Start);
     /// ```
     pub fn new(switches: Switches, min: u16, max: u16, max_wait: Duration) -> Self {
         let mut server = Self {
@@ -117,7 +117,7 @@
 
     /// Another incarnation of the server has started. What was learned of the limit of the one
     /// before it says nothing of this one; a server that tells its slots starts with those.
-    pub fn restarted(&mut self, now: Time, slots: u16) {
+    pub fn on_server_restart(&mut self, now: Time, slots: u16) {
         self.down_until = None;
         self.failing.reset();
         self.pace = Pace::default();
@@ -127,7 +127,7 @@
     }
 
     /// Takes the priorities of the rules in force.
-    pub fn set_ranks(&mut self, ranks: Ranks) {
+    pub fn set_priority_bands(&mut self, ranks: PriorityBands) {
         self.level.set_ranks(ranks);
     }
 
@@ -145,12 +145,12 @@
     }
 
     /// Offers work.
-    pub fn offer(&mut self, now: Time, ticket: Ticket) -> Offer {
+    pub fn offer(&mut self, now: Time, ticket: WorkItem) -> AdmissionDecision {
         if let Some(takes) = self.held_by_class[ticket.class as usize].mean() {
             self.level.offered(now, &ticket, takes);
         }
         self.tick(now);
-        let value = admission_value(ticket.class, ticket.dice);
+        let value = admission_value(ticket.class, ticket.random_value);
         if self.switches.levels && !ticket.admitted && value < self.level.get() {
             self.hold_lookups(now, ticket.class);
             return self.refuse(Reason::Shed, ticket);
@@ -166,12 +166,12 @@
         }
         if self.has_room(ticket.class) && self.queue.is_empty() {
             self.begin(&ticket);
-            return Offer::Start;
+            return AdmissionDecision::Start;
         }
         self.enqueue(now, ticket)
     }
 
-    fn enqueue(&mut self, now: Time, ticket: Ticket) -> Offer {
+    fn enqueue(&mut self, now: Time, ticket: WorkItem) -> AdmissionDecision {
         let ahead = self.queue.ahead_of(&ticket, self.switches.class_order);
         let wait = self.drain_time(ahead + 1);
         let hopeless = self.switches.deadline_queue && self.is_too_late(now, &ticket, wait);
@@ -180,44 +180,46 @@
             return self.refuse_for_load(now, ticket);
         }
         self.queue.push(ticket);
-        Offer::Queued
+        AdmissionDecision::Queued
     }
 
     /// Takes back work that started.
-    pub fn finished(&mut self, now: Time, class: Class, ended: Ended) {
+    pub fn on_finished(&mut self, now: Time, class: Class, ended: RunOutcome) {
         // While the level sheds, more would run if the limit let it, though it is seldom reached.
         let full = self.running >= self.limit.get() || self.level() > 0;
         self.tick(now);
         self.running = self.running.saturating_sub(1);
         self.failing.hear(now, self.silent_or(class, ended));
         match ended {
-            Ended::Whole { took, own } => {
+            RunOutcome::Completed { elapsed, own_time } => {
                 self.down_until = None;
-                self.took.learn(took);
-                self.took_by_class[class as usize].learn(took);
-                self.held_by_class[class as usize].learn(took);
-                self.pace.hear(now, class, own);
+                self.took.record(elapsed);
+                self.took_by_class[class as usize].record(elapsed);
+                self.held_by_class[class as usize].record(elapsed);
+                self.pace.hear(now, class, own_time);
                 if self.switches.adaptive_limit {
-                    self.limit.sample(now, class, own, full);
+                    self.limit.sample(now, class, own_time, full);
                 }
             }
-            Ended::Refused if self.switches.adaptive_limit => self.limit.refused(),
-            Ended::NeverSent => self.went_down(now),
-            Ended::GivenUp { took, .. } => self.held_by_class[class as usize].learn(took),
-            Ended::Refused | Ended::Lost | Ended::Failed => {}
+            RunOutcome::Refused if self.switches.adaptive_limit => self.limit.refused(),
+            RunOutcome::Unreachable => self.went_down(now),
+            RunOutcome::Abandoned { elapsed, .. } => {
+                self.held_by_class[class as usize].record(elapsed)
+            }
+            RunOutcome::Refused | RunOutcome::Lost | RunOutcome::Failed => {}
         }
     }
 
     /// A server that keeps work for much longer than is usual has lost it, as far as callers can tell. They
     /// have given it up and gone elsewhere; without this nobody would notice that it answers so little.
-    fn silent_or(&self, class: Class, ended: Ended) -> Ended {
-        let Ended::GivenUp { own, .. } = ended else {
+    fn silent_or(&self, class: Class, ended: RunOutcome) -> RunOutcome {
+        let RunOutcome::Abandoned { own_time, .. } = ended else {
             return ended;
         };
         let usual = self.took_by_class[class as usize].mean();
-        match usual.is_some_and(|usual| own >= usual * SILENT_AFTER) {
-            true => Ended::Lost,
-            false => Ended::Failed,
+        match usual.is_some_and(|usual| own_time >= usual * SILENT_AFTER) {
+            true => RunOutcome::Lost,
+            false => RunOutcome::Failed,
         }
     }
 
@@ -231,12 +233,12 @@
     }
 
     /// Takes a ticket out of the queue; `false` if it is not there.
-    pub fn withdraw(&mut self, id: u64) -> bool {
+    pub fn cancel(&mut self, id: u64) -> bool {
         self.queue.withdraw(id)
     }
 
     /// The next ticket that leaves the queue: to start, or refused. Call until `None`.
-    pub fn next(&mut self, now: Time) -> Option<(Ticket, Offer)> {
+    pub fn next_decision(&mut self, now: Time) -> Option<(WorkItem, AdmissionDecision)> {
         if let Some(ticket) = self.pop_hopeless(now) {
             return Some((ticket, self.refuse_for_load(now, ticket)));
         }
@@ -258,14 +260,14 @@
         }
         let ticket = self.queue.pop(self.switches.class_order)?;
         self.begin(&ticket);
-        Some((ticket, Offer::Start))
+        Some((ticket, AdmissionDecision::Start))
     }
 
-    fn pop_hopeless(&mut self, now: Time) -> Option<Ticket> {
+    fn pop_hopeless(&mut self, now: Time) -> Option<WorkItem> {
         let (max_wait, took) = (self.max_wait, self.took_by_class);
         let by_deadline = self.switches.deadline_queue;
         self.queue.pop_hopeless(|ticket| {
-            let probe = !by_deadline || ticket.dice % LATE_PROBES == 0;
+            let probe = !by_deadline || ticket.random_value % LATE_PROBES == 0;
             let least = if probe {
                 Duration::ZERO
             } else {
@@ -276,7 +278,7 @@
         })
     }
 
-    /// When [`Server::next`] has to be called again even if nothing finishes.
+    /// When [`ServerAdmission::next_decision`] has to be called again even if nothing finishes.
     pub fn next_timer(&self) -> Option<Time> {
         let max_wait = self.max_wait;
         self.queue
@@ -333,7 +335,7 @@
         self.level.decide(now, self.limit.get(), waiting);
     }
 
-    fn begin(&mut self, ticket: &Ticket) {
+    fn begin(&mut self, ticket: &WorkItem) {
         debug_assert!(
             ticket.class.is_protected() || ticket.arrived >= self.hold.refused(),
             "a lookup starts that waited while a protected call was refused for load"
@@ -352,13 +354,13 @@
 
     /// After a protected call was refused for load, a lookup that came later must not run before
     /// there is room for such calls again: it would have taken the place that the other lacked.
-    fn is_held(&mut self, now: Time, ticket: &Ticket) -> bool {
+    fn is_held(&mut self, now: Time, ticket: &WorkItem) -> bool {
         let room = self.has_room(Class::Lookup) && self.queue.protected_len() == 0;
         self.hold.check(now, room) && !ticket.class.is_protected()
     }
 
     /// Whether not even a quick run would end before the deadline, after waiting for `wait`.
-    fn is_too_late(&self, now: Time, ticket: &Ticket, wait: Duration) -> bool {
+    fn is_too_late(&self, now: Time, ticket: &WorkItem, wait: Duration) -> bool {
         if !self.switches.deadline_queue {
             return now >= ticket.deadline;
         }
@@ -366,10 +368,10 @@
             return true;
         }
         let least = self.took_by_class[ticket.class as usize].least();
-        now + wait + least >= ticket.deadline && ticket.dice % LATE_PROBES != 0
+        now + wait + least >= ticket.deadline && ticket.random_value % LATE_PROBES != 0
     }
 
-    fn refuse_for_load(&mut self, now: Time, ticket: Ticket) -> Offer {
+    fn refuse_for_load(&mut self, now: Time, ticket: WorkItem) -> AdmissionDecision {
         if ticket.admitted {
             // Its own time is over: it was slow on its way here. Room for others like it would not
             // have helped, and the lookups that wait are work half done as well.
@@ -380,7 +382,7 @@
     }
 
     /// Work was refused for load before it was offered.
-    pub fn refused_before(&mut self, now: Time, class: Class) {
+    pub fn on_refused_before_offer(&mut self, now: Time, class: Class) {
         self.hold_lookups(now, class);
     }
 
@@ -394,16 +396,16 @@
 
     /// Tells when the backlog will be gone, stretched by how much more is offered than can be
     /// done. All who are refused together would come back together, so the dice spread them.
-    fn refuse(&self, reason: Reason, ticket: Ticket) -> Offer {
+    fn refuse(&self, reason: Reason, ticket: WorkItem) -> AdmissionDecision {
         let backlog = self.drain_time(self.queue.len() + usize::from(self.running));
         let wait = (backlog + MIN_RETRY_AFTER).mul_f64(self.level.pressure().min(100.0));
         let spread = if self.switches.spread {
-            spread(ticket.dice)
+            retry_jitter(ticket.random_value)
         } else {
             1.0
         };
         let wait = wait.mul_f64(spread).clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER);
-        Offer::Refused(Refusal::new(reason, wait))
+        AdmissionDecision::Refused(Refusal::new(reason, wait))
     }
 
     /// The most tickets that the queue can hand on within its longest wait.
@@ -429,7 +431,7 @@
 /// How long a ticket may wait. A protected one goes before all lookups, so it waits long only where
 /// protected work alone is too much; refused after the time that is good for lookups, it would take
 /// all waiting lookups with it (see `hold_lookups`).
-fn longest_wait(max_wait: Duration, ticket: &Ticket) -> Duration {
+fn longest_wait(max_wait: Duration, ticket: &WorkItem) -> Duration {
     if ticket.admitted {
         Duration::MAX
     } else if ticket.class.is_protected() {
--- a/crates/policy/src/work.rs
+++ b/crates/policy/src/work.rs
@@ -8,7 +8,7 @@
 
 plain! {
     /// A piece of work that asks for the backend server. `id` is the asker's own.
-    pub struct Ticket {
+    pub struct WorkItem {
         /// The asker's number for the work.
         pub id: u64,
         /// What it is for.
@@ -16,7 +16,7 @@
         /// How urgent it is among the work that is shed alike; 0 is the most urgent.
         pub priority: u8,
         /// The action's random value.
-        pub dice: u16,
+        pub random_value: u16,
         /// The admission level that its action passed at its first hop; 0 if it met none.
         pub passed_level: u16,
         /// When its answer is due.
@@ -32,10 +32,10 @@
 
 /// What becomes of a ticket.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Offer {
+pub enum AdmissionDecision {
     /// Start it now.
     Start,
-    /// It waits; a later call of [`Server::next`] tells.
+    /// It waits; a later call of [`ServerAdmission::next_decision`] tells.
     Queued,
     /// It does not run.
     Refused(Refusal),
@@ -43,28 +43,28 @@
 
 plain! {
     /// How work on the backend server ended.
-    pub enum Ended {
+    pub enum RunOutcome {
         /// With a whole answer.
-        Whole {
+        Completed {
             /// From start to end: how long the work took up one unit of the limit.
-            took: Duration,
+            elapsed: Duration,
             /// The same without the waits for child calls.
-            own: Duration,
+            own_time: Duration,
         },
         /// The server refused it by its documented refusal.
         Refused,
         /// The server could not be reached.
-        NeverSent,
+        Unreachable,
         /// The connection broke. A crash is no sign of congestion.
         Lost,
         /// With an answer that says the work failed: its time says nothing.
         Failed,
         /// Nobody waited any more, and the server had not answered.
-        GivenUp {
+        Abandoned {
             /// From start to end.
-            took: Duration,
+            elapsed: Duration,
             /// How long the server had kept it, without the waits for child calls.
-            own: Duration,
+            own_time: Duration,
         },
     }
 }
@@ -74,7 +74,7 @@
 pub(crate) struct Estimate(pub(crate) Option<(f64, f64)>);
 
 impl Estimate {
-    pub(crate) fn learn(&mut self, took: Duration) {
+    pub(crate) fn record(&mut self, took: Duration) {
         let took = took.as_secs_f64();
         let (mean, deviation) = self.0.unwrap_or((took, took / 2.0));
         let error = took - mean;
--- a/crates/policy/tests/account.rs
+++ b/crates/policy/tests/account.rs
@@ -1,6 +1,6 @@
 //! Retry allowances are conserved.
 
-use bilberry_policy::Account;
+use bilberry_policy::RetryAllowance;
 use proptest::collection::vec;
 use proptest::prelude::*;
 
@@ -30,18 +30,18 @@
 /// Takes the steps, and checks after each that what was spent, what is lent out and what is left
 /// never exceed the allowance together.
 fn check(allowance: u16, steps: &[Step]) {
-    let mut account = Account::new(allowance);
+    let mut account = RetryAllowance::new(allowance);
     let mut spent = 0;
     let mut lent = Vec::new();
     for step in steps {
         match step {
-            Step::Spend => spent += u32::from(account.spend()),
-            Step::Lend => lent.push(account.lend()),
-            Step::LendAll => lent.push(account.lend_all()),
-            Step::LendAllButOne => lent.push(account.lend_all_but_one()),
+            Step::Spend => spent += u32::from(account.try_withdraw()),
+            Step::Lend => lent.push(account.delegate_half()),
+            Step::LendAll => lent.push(account.delegate_all()),
+            Step::LendAllButOne => lent.push(account.delegate_all_but_one()),
             Step::GiveBack(unspent) => {
                 if let Some(part) = lent.pop() {
-                    account.give_back(part, *unspent);
+                    account.reclaim(part, *unspent);
                     // What the child did not give back, it spent.
                     spent += u32::from(part.saturating_sub(*unspent));
                 }
@@ -49,7 +49,7 @@
             Step::Lose => spent += u32::from(lent.pop().unwrap_or(0)),
         }
         let out: u32 = lent.iter().map(|part| u32::from(*part)).sum();
-        let total = spent + out + u32::from(account.left());
+        let total = spent + out + u32::from(account.remaining());
         assert!(
             total <= u32::from(allowance),
             "{total} of {allowance} after {step:?}"
--- a/crates/policy/tests/budget.rs
+++ b/crates/policy/tests/budget.rs
@@ -1,7 +1,7 @@
 //! Retries of a whole fleet at a service that fails.
 
-use bilberry_policy::Bounds;
-use bilberry_policy::Budgets;
+use bilberry_policy::BudgetConfig;
+use bilberry_policy::ResendBudgets;
 use std::sync::Arc;
 use std::time::Duration;
 use stdx::Time;
@@ -18,23 +18,23 @@
 /// trouble enough would be asked for twice as much.
 #[test]
 fn calls_of_a_busy_service_do_not_pay_for_retries_at_a_small_one() {
-    let bounds = Bounds {
+    let bounds = BudgetConfig {
         burst: 1.5,
         per_second: 0.05,
         ratio: 0.18,
     };
-    let mut nodes: Vec<Budgets> = (0..NODES).map(|_| Budgets::new(bounds)).collect();
+    let mut nodes: Vec<ResendBudgets> = (0..NODES).map(|_| ResendBudgets::new(bounds)).collect();
     let (busy, small): (Arc<str>, Arc<str>) = ("catalogue".into(), "press".into());
     let mut retries = 0;
     for second in 0..10 {
         let now = Time::ZERO + Duration::from_secs(second);
         for node in &mut nodes {
             for _ in 0..BUSY {
-                node.earn(&busy);
+                node.deposit(&busy);
             }
             for _ in 0..SMALL {
-                node.earn(&small);
-                retries += u32::from(node.spend(now, &small));
+                node.deposit(&small);
+                retries += u32::from(node.try_withdraw(now, &small));
             }
         }
     }
--- a/crates/policy/tests/choose.rs
+++ b/crates/policy/tests/choose.rs
@@ -2,9 +2,9 @@
 
 mod many;
 
-use bilberry_policy::Place;
-use bilberry_policy::Selector;
-use bilberry_policy::Standing;
+use bilberry_policy::Eligibility;
+use bilberry_policy::InstanceSelector;
+use bilberry_policy::Proximity;
 use bilberry_policy::Switches;
 use many::Many;
 use proto::Incarnation;
@@ -15,11 +15,11 @@
 use stdx::Time;
 
 /// A selector with these instances: distance, standing, reported load if there is one.
-fn selector(peers: &[(Place, Standing, Option<u16>)]) -> Selector {
-    let mut selector = Selector::new();
+fn selector(peers: &[(Proximity, Eligibility, Option<u16>)]) -> InstanceSelector {
+    let mut selector = InstanceSelector::new();
     for (n, (place, standing, load)) in (0..).zip(peers) {
         let (peer, service) = (Incarnation(n), "press".into());
-        selector.set(Time::ZERO, peer, &service, *place, *standing);
+        selector.set_instance(Time::ZERO, peer, &service, *place, *standing);
         if let Some(utilisation) = *load {
             let report = LoadReport {
                 utilisation,
@@ -33,7 +33,7 @@
 }
 
 /// How many of 1,000 calls at `millis` go to each of four instances; none of them is noted as sent.
-fn spread(selector: &mut Selector, millis: u64, avoid: &[Incarnation]) -> [u32; 4] {
+fn spread(selector: &mut InstanceSelector, millis: u64, avoid: &[Incarnation]) -> [u32; 4] {
     let mut rng = StdRng::seed_from_u64(1);
     let mut counts = [0; 4];
     let now = Time::ZERO + Duration::from_millis(millis);
@@ -45,16 +45,20 @@
     counts
 }
 
-fn check(peers: &[(Place, Standing, Option<u16>)], avoid: &[Incarnation], expected: [u32; 4]) {
+fn check(
+    peers: &[(Proximity, Eligibility, Option<u16>)],
+    avoid: &[Incarnation],
+    expected: [u32; 4],
+) {
     assert_eq!(spread(&mut selector(peers), 0, avoid), expected);
 }
 
-use Place::OtherRegion;
-use Place::SameDomain;
-use Place::SameRegion;
-use Standing::Closed;
-use Standing::Doubtful;
-use Standing::Ready;
+use Eligibility::Excluded;
+use Eligibility::LastResort;
+use Eligibility::Ready;
+use Proximity::OtherRegion;
+use Proximity::SameDomain;
+use Proximity::SameRegion;
 
 #[test]
 fn near_instances_go_first_while_they_have_room() {
@@ -77,18 +81,21 @@
 fn a_suspect_gets_calls_only_if_nobody_else_may() {
     check(
         &[
-            (SameDomain, Doubtful, Some(0)),
+            (SameDomain, LastResort, Some(0)),
             (OtherRegion, Ready, Some(2000)),
         ],
         &[],
         [0, 1000, 0, 0],
     );
     check(
-        &[(SameDomain, Doubtful, Some(0)), (OtherRegion, Closed, None)],
+        &[
+            (SameDomain, LastResort, Some(0)),
+            (OtherRegion, Excluded, None),
+        ],
         &[],
         [1000, 0, 0, 0],
     );
-    check(&[(SameDomain, Closed, None)], &[], [0, 0, 0, 0]);
+    check(&[(SameDomain, Excluded, None)], &[], [0, 0, 0, 0]);
 }
 
 #[test]
@@ -132,7 +139,7 @@
     let mut rng = StdRng::seed_from_u64(1);
     let peers = [(SameDomain, Ready, Some(0)), (OtherRegion, Ready, Some(0))];
     let mut selector = selector(&peers);
-    selector.on_failed(Time::ZERO, Incarnation(0), &mut rng);
+    selector.on_connection_failed(Time::ZERO, Incarnation(0), &mut rng);
     assert_eq!(spread(&mut selector, 0, &[]), [0, 1000, 0, 0]);
     assert_eq!(spread(&mut selector, 1000, &[]), [1, 999, 0, 0]);
     selector.on_answered(Incarnation(0));
--- a/crates/policy/tests/fleet_retries.rs
+++ b/crates/policy/tests/fleet_retries.rs
@@ -1,7 +1,7 @@
 //! Retries of fleets of all sizes at a service that fails.
 
-use bilberry_policy::FleetRetries;
-use bilberry_policy::Retries;
+use bilberry_policy::FleetRetryLimits;
+use bilberry_policy::RetryBudget;
 use proto::Class;
 use rand::rngs::StdRng;
 use rand::RngExt;
@@ -105,14 +105,16 @@
 fn play(seed: u64, nodes: usize, per_second: f64, slack: f64, course: Course) -> Counts {
     let mut rng = StdRng::seed_from_u64(seed);
     let service: Arc<str> = "press".into();
-    let bounds = FleetRetries {
+    let bounds = FleetRetryLimits {
         ratio: 0.16,
         spare: 0.9 * slack,
         window: WINDOW,
     };
-    let start = |rng: &mut StdRng| -> Vec<Retries> {
+    let start = |rng: &mut StdRng| -> Vec<RetryBudget> {
         let nodes = 0..nodes;
-        nodes.map(|_| Retries::new(bounds, rng.random())).collect()
+        nodes
+            .map(|_| RetryBudget::new(bounds, rng.random()))
+            .collect()
     };
     let mut started = Time::ZERO;
     let mut fleet = start(&mut rng);
@@ -140,9 +142,9 @@
             let mut here = chance.floor();
             here += f64::from(u8::from(rng.random_bool(chance.fract())));
             for _ in 0..if up[node] { here as u32 } else { 0 } {
-                fleet[node].sent(now, &service);
+                fleet[node].record_first_send(now, &service);
                 requests += 1.0;
-                while fails && fleet[node].spend(now, &service, Class::Order, known) {
+                while fails && fleet[node].try_withdraw(now, &service, Class::Order, known) {
                     retries += 1.0;
                 }
             }
@@ -194,22 +196,22 @@
 /// asked for twice as much.
 #[test]
 fn calls_of_a_busy_service_do_not_pay_for_retries_at_a_small_one() {
-    let bounds = FleetRetries {
+    let bounds = FleetRetryLimits {
         ratio: 0.16,
         spare: 0.0,
         window: WINDOW,
     };
-    let mut node = Retries::new(bounds, 1);
+    let mut node = RetryBudget::new(bounds, 1);
     let (busy, small): (Arc<str>, Arc<str>) = ("catalogue".into(), "press".into());
     let mut retries = 0;
     for second in 0..10 {
         let now = Time::ZERO + Duration::from_secs(second);
         for _ in 0..80 {
-            node.sent(now, &busy);
+            node.record_first_send(now, &busy);
         }
         for _ in 0..2 {
-            node.sent(now, &small);
-            retries += u32::from(node.spend(now, &small, Class::Order, 24));
+            node.record_first_send(now, &small);
+            retries += u32::from(node.try_withdraw(now, &small, Class::Order, 24));
         }
     }
     assert!(retries <= 4, "{retries} retries of 20 calls");
@@ -220,13 +222,13 @@
 /// eight times.
 #[test]
 fn orders_have_retries_before_lookups() {
-    let bounds = FleetRetries {
+    let bounds = FleetRetryLimits {
         ratio: 0.16,
         spare: 0.0,
         window: WINDOW,
     };
     let mut rng = StdRng::seed_from_u64(3);
-    let mut node = Retries::new(bounds, 1);
+    let mut node = RetryBudget::new(bounds, 1);
     let service: Arc<str> = "royalty".into();
     let (mut lost, mut again) = ([0.0; 2], [0.0; 2]);
     for ms in 0..30_000 {
@@ -234,7 +236,7 @@
             continue;
         }
         let now = Time::ZERO + Duration::from_millis(ms);
-        node.sent(now, &service);
+        node.record_first_send(now, &service);
         let is_order = rng.random_bool(0.25);
         let class = match is_order {
             true => Class::Order,
@@ -243,7 +245,7 @@
         if ms > 10_000 && rng.random_bool(0.3) {
             let kind = usize::from(is_order);
             lost[kind] += 1.0;
-            again[kind] += f64::from(u8::from(node.spend(now, &service, class, 24)));
+            again[kind] += f64::from(u8::from(node.try_withdraw(now, &service, class, 24)));
         }
     }
     assert!(again[1] >= 0.95 * lost[1], "{again:?} of {lost:?}");
--- a/crates/policy/tests/late.rs
+++ b/crates/policy/tests/late.rs
@@ -1,11 +1,11 @@
 //! Runs that are late, and servers that keep them.
 
-use bilberry_policy::Ended;
-use bilberry_policy::Offer;
+use bilberry_policy::AdmissionDecision;
+use bilberry_policy::RunOutcome;
 use bilberry_policy::RunTimes;
-use bilberry_policy::Server;
+use bilberry_policy::ServerAdmission;
 use bilberry_policy::Switches;
-use bilberry_policy::Ticket;
+use bilberry_policy::WorkItem;
 use proto::Class;
 use rand::rngs::StdRng;
 use rand::RngExt;
@@ -26,11 +26,11 @@
     let mut late = 0;
     for _ in 0..2000 {
         let took = draw();
-        late += u32::from(times.late_after().is_some_and(|after| took > after));
-        times.learn(took);
+        late += u32::from(times.late_threshold().is_some_and(|after| took > after));
+        times.record(took);
     }
     assert!(late <= 4, "{late} of 2000");
-    assert!(times.late_after().unwrap() <= Duration::from_millis(350));
+    assert!(times.late_threshold().unwrap() <= Duration::from_millis(350));
 }
 
 /// A server runs what it gets and loses half of its answers. Callers give up and go elsewhere; the server
@@ -40,30 +40,33 @@
     let mut switches = Switches::ALL;
     switches.adaptive_limit = false;
     let penalty = |loses: bool| {
-        let mut server = Server::new(switches, 1, 10, Duration::from_millis(100));
+        let mut server = ServerAdmission::new(switches, 1, 10, Duration::from_millis(100));
         let took = Duration::from_millis(70);
         for n in 0..60 {
             let now = Time::from_micros(n * 100_000);
-            let ticket = Ticket {
+            let ticket = WorkItem {
                 id: n,
                 class: Class::Lookup,
                 priority: 0,
                 passed_level: 0,
-                dice: 100,
+                random_value: 100,
                 deadline: now + Duration::from_secs(1),
                 arrived: now,
                 admitted: true,
             };
-            assert_eq!(server.offer(now, ticket), Offer::Start);
+            assert_eq!(server.offer(now, ticket), AdmissionDecision::Start);
             let lost = loses && n > 30 && n % 2 == 0;
             let ended = match lost {
-                true => Ended::GivenUp {
-                    took: took * 4,
-                    own: took * 4,
+                true => RunOutcome::Abandoned {
+                    elapsed: took * 4,
+                    own_time: took * 4,
+                },
+                false => RunOutcome::Completed {
+                    elapsed: took,
+                    own_time: took,
                 },
-                false => Ended::Whole { took, own: took },
             };
-            server.finished(now + took, Class::Lookup, ended);
+            server.on_finished(now + took, Class::Lookup, ended);
         }
         server.report().penalty
     };
@@ -80,7 +83,7 @@
     let level = |hangs: bool| {
         let mut switches = Switches::ALL;
         switches.adaptive_limit = false;
-        let mut server = Server::new(switches, 1, 10, Duration::from_secs(1));
+        let mut server = ServerAdmission::new(switches, 1, 10, Duration::from_secs(1));
         let mut running: Vec<(u64, bool)> = Vec::new();
         let mut highest = 0;
         for ms in 0..10_000 {
@@ -91,30 +94,36 @@
                 let over = ms - since >= takes;
                 if over {
                     let ended = match hung {
-                        true => Ended::GivenUp { took: own, own },
-                        false => Ended::Whole { took: own, own },
+                        true => RunOutcome::Abandoned {
+                            elapsed: own,
+                            own_time: own,
+                        },
+                        false => RunOutcome::Completed {
+                            elapsed: own,
+                            own_time: own,
+                        },
                     };
-                    server.finished(now, Class::Lookup, ended);
+                    server.on_finished(now, Class::Lookup, ended);
                 }
                 !over
             });
             if ms % 12 == 0 {
-                let ticket = Ticket {
+                let ticket = WorkItem {
                     id: ms,
                     class: Class::Lookup,
                     priority: 0,
                     passed_level: 0,
-                    dice: (ms * 7919) as u16,
+                    random_value: (ms * 7919) as u16,
                     deadline: now + Duration::from_millis(700),
                     arrived: now,
                     admitted: false,
                 };
-                if server.offer(now, ticket) == Offer::Start {
+                if server.offer(now, ticket) == AdmissionDecision::Start {
                     running.push((ms, hangs && ms > 3000 && ms % 24 == 0));
                 }
             }
-            while let Some((ticket, offer)) = server.next(now) {
-                if offer == Offer::Start {
+            while let Some((ticket, offer)) = server.next_decision(now) {
+                if offer == AdmissionDecision::Start {
                     running.push((ms, hangs && ms > 3000 && ticket.id % 24 == 0));
                 }
             }
--- a/crates/policy/tests/many/mod.rs
+++ b/crates/policy/tests/many/mod.rs
@@ -3,10 +3,10 @@
 
 #![allow(dead_code, reason = "each user takes a part")]
 
-use bilberry_policy::Ended;
-use bilberry_policy::Place;
-use bilberry_policy::Selector;
-use bilberry_policy::Standing;
+use bilberry_policy::Eligibility;
+use bilberry_policy::InstanceSelector;
+use bilberry_policy::Proximity;
+use bilberry_policy::RunOutcome;
 use bilberry_policy::Switches;
 use proto::Class;
 use proto::Incarnation;
@@ -46,7 +46,7 @@
     /// The share of its work that it refuses, at once.
     pub refuses: f64,
     /// What the node beside it learns of how its work ends.
-    door: bilberry_policy::Server,
+    door: bilberry_policy::ServerAdmission,
     running: usize,
     queue: VecDeque<usize>,
     started: VecDeque<usize>,
@@ -64,7 +64,7 @@
     /// Calls that a server refused.
     pub refused: u64,
     switches: Switches,
-    nodes: Vec<Selector>,
+    nodes: Vec<InstanceSelector>,
     service: Arc<str>,
     events: BTreeMap<u64, Vec<Event>>,
     rng: StdRng,
@@ -74,13 +74,13 @@
     number % DOMAINS % REGIONS
 }
 
-fn place(a: usize, b: usize) -> Place {
+fn place(a: usize, b: usize) -> Proximity {
     if a % DOMAINS == b % DOMAINS {
-        Place::SameDomain
+        Proximity::SameDomain
     } else if region(a) == region(b) {
-        Place::SameRegion
+        Proximity::SameRegion
     } else {
-        Place::OtherRegion
+        Proximity::OtherRegion
     }
 }
 
@@ -98,7 +98,7 @@
             calls: 0,
             refused: 0,
             switches,
-            nodes: (0..nodes).map(|_| Selector::new()).collect(),
+            nodes: (0..nodes).map(|_| InstanceSelector::new()).collect(),
             service: "press".into(),
             events: BTreeMap::new(),
             rng: StdRng::seed_from_u64(1),
@@ -115,7 +115,12 @@
             served: 0,
             longest_queue: 0,
             refuses: 0.0,
-            door: bilberry_policy::Server::new(self.switches, 1, LIMIT as u16, Duration::ZERO),
+            door: bilberry_policy::ServerAdmission::new(
+                self.switches,
+                1,
+                LIMIT as u16,
+                Duration::ZERO,
+            ),
             running: 0,
             queue: VecDeque::new(),
             started: VecDeque::new(),
@@ -124,7 +129,7 @@
         for (number, node) in self.nodes.iter_mut().enumerate() {
             let place = place(number, server);
             let id = Incarnation(server as u64);
-            node.set(now, id, &self.service, place, Standing::Ready);
+            node.set_instance(now, id, &self.service, place, Eligibility::Ready);
         }
     }
 
@@ -172,9 +177,9 @@
         self.nodes[node].on_sent(Incarnation(server as u64));
         self.calls += 1;
         match place(node, server) {
-            Place::SameDomain => {}
-            Place::SameRegion => self.next += 1,
-            Place::OtherRegion => self.far += 1,
+            Proximity::SameDomain => {}
+            Proximity::SameRegion => self.next += 1,
+            Proximity::OtherRegion => self.far += 1,
         }
         self.after(latency(node, server), Event::Arrive { server, node });
     }
@@ -185,7 +190,7 @@
                 let refuses = self.servers[server].refuses;
                 if refuses > 0.0 && self.rng.random_bool(refuses) {
                     self.refused += 1;
-                    return self.answer(server, node, Ended::Refused);
+                    return self.answer(server, node, RunOutcome::Refused);
                 }
                 let at = &mut self.servers[server];
                 at.queue.push_back(node);
@@ -198,7 +203,14 @@
                 at.served += 1;
                 let node = at.started.pop_front().expect("it was started");
                 let took = Duration::from_millis(TAKES_MS);
-                self.answer(server, node, Ended::Whole { took, own: took });
+                self.answer(
+                    server,
+                    node,
+                    RunOutcome::Completed {
+                        elapsed: took,
+                        own_time: took,
+                    },
+                );
                 self.start(server);
             }
             Event::Answer { server, node, load } => {
@@ -209,10 +221,10 @@
         }
     }
 
-    fn answer(&mut self, server: usize, node: usize, ended: Ended) {
+    fn answer(&mut self, server: usize, node: usize, ended: RunOutcome) {
         let now = self.time();
         let at = &mut self.servers[server];
-        at.door.finished(now, Class::Lookup, ended);
+        at.door.on_finished(now, Class::Lookup, ended);
         let load = (at.running + at.queue.len()) * 1000 / LIMIT;
         let load = LoadReport {
             utilisation: load.min(usize::from(u16::MAX)) as u16,
@@ -270,7 +282,7 @@
 
 fn latency(node: usize, server: usize) -> u64 {
     match place(node, server) {
-        Place::SameDomain | Place::SameRegion => 1,
-        Place::OtherRegion => 20,
+        Proximity::SameDomain | Proximity::SameRegion => 1,
+        Proximity::OtherRegion => 20,
     }
 }
--- a/crates/policy/tests/quarantine.rs
+++ b/crates/policy/tests/quarantine.rs
@@ -25,10 +25,12 @@
     for event in events {
         match *event {
             Event::Crash(node) => {
-                quarantine.crashed(now, "request", Incarnation(node));
+                quarantine.record_crash(now, "request", Incarnation(node));
             }
-            Event::Heard(node, count) => quarantine.heard(now, "request", Incarnation(node), count),
-            Event::Whole => quarantine.answered(now, "request"),
+            Event::Heard(node, count) => {
+                quarantine.record_remote_crashes(now, "request", Incarnation(node), count)
+            }
+            Event::Whole => quarantine.record_completed(now, "request"),
             Event::Wait(secs) => now = now + Duration::from_secs(secs),
         }
     }
--- a/crates/policy/tests/ranks.rs
+++ b/crates/policy/tests/ranks.rs
@@ -1,11 +1,11 @@
 //! Lookups that operators rank differently, in front of one server that cannot do all of them.
 
-use bilberry_policy::Ended;
-use bilberry_policy::Offer;
-use bilberry_policy::Ranks;
-use bilberry_policy::Server;
+use bilberry_policy::AdmissionDecision;
+use bilberry_policy::PriorityBands;
+use bilberry_policy::RunOutcome;
+use bilberry_policy::ServerAdmission;
 use bilberry_policy::Switches;
-use bilberry_policy::Ticket;
+use bilberry_policy::WorkItem;
 use proto::Class;
 use rand::rngs::StdRng;
 use rand::RngExt;
@@ -44,14 +44,14 @@
 
 /// Offers lookups of two priorities, `demand` times what the server can do, for 20 s; gives what
 /// became of stock lookups and of the others after the first second.
-fn surge(ranks: &Ranks, demand: f64, seed: u64) -> (Count, Count) {
+fn surge(ranks: &PriorityBands, demand: f64, seed: u64) -> (Count, Count) {
     let mut rng = StdRng::seed_from_u64(seed);
     let switches = Switches {
         adaptive_limit: false,
         ..Switches::ALL
     };
-    let mut server = Server::new(switches, 1, SLOTS, MAX_WAIT);
-    server.set_ranks(ranks.clone());
+    let mut server = ServerAdmission::new(switches, 1, SLOTS, MAX_WAIT);
+    server.set_priority_bands(ranks.clone());
     let per_ms = demand * f64::from(SLOTS) / WORK_MS as f64;
     let mut ends: BTreeMap<u64, u32> = BTreeMap::new();
     let mut counts = (Count::default(), Count::default());
@@ -60,17 +60,24 @@
         let now = at(ms);
         let took = Duration::from_millis(WORK_MS);
         for _ in 0..ends.remove(&ms).unwrap_or(0) {
-            server.finished(now, Class::Lookup, Ended::Whole { took, own: took });
+            server.on_finished(
+                now,
+                Class::Lookup,
+                RunOutcome::Completed {
+                    elapsed: took,
+                    own_time: took,
+                },
+            );
         }
-        let mut settle = |ticket: &Ticket, offer| {
+        let mut settle = |ticket: &WorkItem, offer| {
             let count = match ticket.priority {
                 STOCK => &mut counts.0,
                 _ => &mut counts.1,
             };
             match offer {
-                Offer::Start => *ends.entry(ms + WORK_MS).or_insert(0) += 1,
-                Offer::Refused(_) if ms >= 1_000 => count.refused += 1.0,
-                Offer::Refused(_) | Offer::Queued => {}
+                AdmissionDecision::Start => *ends.entry(ms + WORK_MS).or_insert(0) += 1,
+                AdmissionDecision::Refused(_) if ms >= 1_000 => count.refused += 1.0,
+                AdmissionDecision::Refused(_) | AdmissionDecision::Queued => {}
             }
         };
         next += per_ms;
@@ -81,12 +88,12 @@
             } else {
                 STATUS
             };
-            let ticket = Ticket {
+            let ticket = WorkItem {
                 id: rng.random(),
                 class: Class::Lookup,
                 priority,
                 passed_level: 0,
-                dice: ranks.dice(Class::Lookup, priority, rng.random()),
+                random_value: ranks.scale_to_band(Class::Lookup, priority, rng.random()),
                 deadline: now + Duration::from_millis(800),
                 arrived: now,
                 admitted: false,
@@ -94,7 +101,7 @@
             let offer = server.offer(now, ticket);
             settle(&ticket, offer);
         }
-        while let Some((ticket, offer)) = server.next(now) {
+        while let Some((ticket, offer)) = server.next_decision(now) {
             settle(&ticket, offer);
         }
         if ms >= 1_000 {
@@ -111,7 +118,7 @@
 #[test]
 fn the_less_urgent_lookups_are_shed_first() {
     for seed in 1..4 {
-        let known = Ranks::new([(Class::Lookup, STOCK), (Class::Lookup, STATUS)]);
+        let known = PriorityBands::new([(Class::Lookup, STOCK), (Class::Lookup, STATUS)]);
         let demand = 1.6;
         let (stock, status) = surge(&known, demand, seed);
         assert!(stock.refused_share() < 0.02, "{stock:?}");
@@ -119,7 +126,7 @@
         let done = 0.8 - demand * STOCK_SHARE;
         let fits = done / (demand * (1.0 - STOCK_SHARE));
         assert!(1.0 - status.refused_share() > fits, "{status:?}");
-        let (stock, _) = surge(&Ranks::default(), 1.6, seed);
+        let (stock, _) = surge(&PriorityBands::default(), 1.6, seed);
         assert!(stock.refused_share() > 0.25, "{stock:?}");
     }
 }
@@ -127,7 +134,7 @@
 /// The load fits. Nobody is turned away, whatever the ranks.
 #[test]
 fn ranks_cost_nothing_where_all_fits() {
-    let known = Ranks::new([(Class::Lookup, STOCK), (Class::Lookup, STATUS)]);
+    let known = PriorityBands::new([(Class::Lookup, STOCK), (Class::Lookup, STATUS)]);
     let (stock, status) = surge(&known, 0.7, 1);
     assert_eq!((stock.refused, status.refused), (0.0, 0.0));
 }
@@ -136,37 +143,49 @@
 /// is worth most within 0.4 s and ranked higher, does not wait for them all.
 #[test]
 fn an_urgent_lookup_goes_before_waiting_reads_of_others() {
-    let mut server = Server::new(Switches::ALL, 1, 1, MAX_WAIT);
-    let ticket = |id, priority, admitted| Ticket {
+    let mut server = ServerAdmission::new(Switches::ALL, 1, 1, MAX_WAIT);
+    let ticket = |id, priority, admitted| WorkItem {
         id,
         class: Class::Lookup,
         priority,
         passed_level: 0,
-        dice: u16::MAX,
+        random_value: u16::MAX,
         deadline: at(2_000),
         arrived: at(0),
         admitted,
     };
-    assert_eq!(server.offer(at(0), ticket(0, STATUS, true)), Offer::Start);
+    assert_eq!(
+        server.offer(at(0), ticket(0, STATUS, true)),
+        AdmissionDecision::Start
+    );
     for id in 1..5 {
         let offer = server.offer(at(0), ticket(id, STATUS, true));
-        assert_eq!(offer, Offer::Queued);
+        assert_eq!(offer, AdmissionDecision::Queued);
     }
     let offer = server.offer(at(0), ticket(5, STOCK, false));
-    assert_eq!(offer, Offer::Queued);
+    assert_eq!(offer, AdmissionDecision::Queued);
     let took = Duration::from_millis(WORK_MS);
     let now = at(WORK_MS);
-    server.finished(now, Class::Lookup, Ended::Whole { took, own: took });
-    let next = server.next(now).map(|(ticket, offer)| (ticket.id, offer));
-    assert_eq!(next, Some((5, Offer::Start)));
+    server.on_finished(
+        now,
+        Class::Lookup,
+        RunOutcome::Completed {
+            elapsed: took,
+            own_time: took,
+        },
+    );
+    let next = server
+        .next_decision(now)
+        .map(|(ticket, offer)| (ticket.id, offer));
+    assert_eq!(next, Some((5, AdmissionDecision::Start)));
 }
 
 /// Every part of the range belongs to one priority, in their order, and a rules file that names one
 /// priority leaves the values as they are.
 #[test]
 fn priorities_share_the_range_in_their_order() {
-    let ranks = Ranks::new([0, 1, 2, 1].map(|priority| (Class::Lookup, priority)));
-    let dice = |priority, dice| ranks.dice(Class::Lookup, priority, dice);
+    let ranks = PriorityBands::new([0, 1, 2, 1].map(|priority| (Class::Lookup, priority)));
+    let dice = |priority, dice| ranks.scale_to_band(Class::Lookup, priority, dice);
     // The highest of each are tried whatever is shed.
     let last = u16::MAX - u16::MAX / 64 - 1;
     assert_eq!(dice(2, 0), 0);
@@ -174,8 +193,8 @@
     assert!(dice(1, last) < dice(0, 0));
     assert!(dice(0, last) < dice(2, u16::MAX));
     assert_eq!(dice(2, u16::MAX), dice(0, u16::MAX));
-    let one = Ranks::new([(Class::Lookup, 3), (Class::Payment, 1)]);
+    let one = PriorityBands::new([(Class::Lookup, 3), (Class::Payment, 1)]);
     for value in [0, 1, 700, u16::MAX] {
-        assert_eq!(one.dice(Class::Lookup, 3, value), value);
+        assert_eq!(one.scale_to_band(Class::Lookup, 3, value), value);
     }
 }
--- a/crates/policy/tests/server.rs
+++ b/crates/policy/tests/server.rs
@@ -1,10 +1,10 @@
 //! The limit and the queue in front of a backend server, driven on a clock of the test's own.
 
-use bilberry_policy::Ended;
-use bilberry_policy::Offer;
-use bilberry_policy::Server;
+use bilberry_policy::AdmissionDecision;
+use bilberry_policy::RunOutcome;
+use bilberry_policy::ServerAdmission;
 use bilberry_policy::Switches;
-use bilberry_policy::Ticket;
+use bilberry_policy::WorkItem;
 use proto::Class;
 use proto::Reason;
 use std::time::Duration;
@@ -16,42 +16,45 @@
     Time::from_micros(ms * 1000)
 }
 
-fn ticket(id: u64, class: Class, now: Time) -> Ticket {
-    Ticket {
+fn ticket(id: u64, class: Class, now: Time) -> WorkItem {
+    WorkItem {
         id,
         class,
         priority: 0,
         passed_level: 0,
-        dice: u16::MAX,
+        random_value: u16::MAX,
         deadline: now + Duration::from_secs(2),
         arrived: now,
         admitted: false,
     }
 }
 
-fn whole(ms: u64) -> Ended {
+fn whole(ms: u64) -> RunOutcome {
     let took = Duration::from_millis(ms);
-    Ended::Whole { took, own: took }
+    RunOutcome::Completed {
+        elapsed: took,
+        own_time: took,
+    }
 }
 
 /// A server with one place, taken, and a known service time of 10 ms.
-fn busy() -> Server {
-    let mut server = Server::new(Switches::ALL, 1, 1, MAX_WAIT);
+fn busy() -> ServerAdmission {
+    let mut server = ServerAdmission::new(Switches::ALL, 1, 1, MAX_WAIT);
     assert_eq!(
         server.offer(at(0), ticket(0, Class::Order, at(0))),
-        Offer::Start
+        AdmissionDecision::Start
     );
-    server.finished(at(10), Class::Order, whole(10));
+    server.on_finished(at(10), Class::Order, whole(10));
     assert_eq!(
         server.offer(at(10), ticket(0, Class::Order, at(10))),
-        Offer::Start
+        AdmissionDecision::Start
     );
     server
 }
 
-fn drain(server: &mut Server, now: Time) -> Vec<(u64, bool)> {
-    let next = std::iter::from_fn(|| server.next(now));
-    next.map(|(ticket, offer)| (ticket.id, offer == Offer::Start))
+fn drain(server: &mut ServerAdmission, now: Time) -> Vec<(u64, bool)> {
+    let next = std::iter::from_fn(|| server.next_decision(now));
+    next.map(|(ticket, offer)| (ticket.id, offer == AdmissionDecision::Start))
         .collect()
 }
 
@@ -60,12 +63,12 @@
     for (id, class) in (1..).zip(classes) {
         assert_eq!(
             server.offer(at(11), ticket(id, *class, at(11))),
-            Offer::Queued
+            AdmissionDecision::Queued
         );
     }
     let mut order = Vec::new();
     for now in 0..classes.len() as u64 {
-        server.finished(at(12 + now), Class::Order, whole(10));
+        server.on_finished(at(12 + now), Class::Order, whole(10));
         order.extend(drain(&mut server, at(12 + now)).iter().map(|(id, _)| *id));
     }
     assert_eq!(order, expected);
@@ -92,12 +95,14 @@
     let mut server = busy();
     for id in 1..=10 {
         let offer = server.offer(at(11), ticket(id, Class::Lookup, at(11)));
-        assert_eq!(offer, Offer::Queued);
+        assert_eq!(offer, AdmissionDecision::Queued);
     }
     let full = server.offer(at(11), ticket(11, Class::Lookup, at(11)));
-    assert!(matches!(full, Offer::Refused(refusal) if refusal.reason == Reason::QueueFull));
+    assert!(
+        matches!(full, AdmissionDecision::Refused(refusal) if refusal.reason == Reason::QueueFull)
+    );
     let order = server.offer(at(11), ticket(12, Class::Order, at(11)));
-    assert_eq!(order, Offer::Queued);
+    assert_eq!(order, AdmissionDecision::Queued);
     assert_eq!(drain(&mut server, at(11)), [(1, false)]);
 }
 
@@ -109,11 +114,11 @@
     let mut refused = false;
     for id in 1..=11 {
         let offer = server.offer(at(11), ticket(id, Class::Order, at(11)));
-        refused |= matches!(offer, Offer::Refused(_));
+        refused |= matches!(offer, AdmissionDecision::Refused(_));
     }
     assert!(refused);
     let lookup = server.offer(at(12), ticket(20, Class::Lookup, at(12)));
-    assert!(matches!(lookup, Offer::Refused(_)));
+    assert!(matches!(lookup, AdmissionDecision::Refused(_)));
 }
 
 /// The queue is so long that the work would start after its deadline. Without a refusal the caller
@@ -126,7 +131,7 @@
     }
     let mut hasty = ticket(4, Class::Order, at(11));
     hasty.deadline = at(11 + 25);
-    let Offer::Refused(refusal) = server.offer(at(11), hasty) else {
+    let AdmissionDecision::Refused(refusal) = server.offer(at(11), hasty) else {
         panic!("it cannot be done in time");
     };
     assert_eq!(refusal.reason, Reason::QueueFull);
@@ -138,19 +143,21 @@
 #[test]
 fn an_unreachable_server_is_no_bargain() {
     let mut server = busy();
-    server.finished(at(12), Class::Order, Ended::NeverSent);
+    server.on_finished(at(12), Class::Order, RunOutcome::Unreachable);
     assert_eq!(server.report().utilisation, u16::MAX);
     let offer = server.offer(at(13), ticket(1, Class::Order, at(13)));
-    assert!(matches!(offer, Offer::Refused(refusal) if refusal.reason == Reason::ServerLost));
+    assert!(
+        matches!(offer, AdmissionDecision::Refused(refusal) if refusal.reason == Reason::ServerLost)
+    );
     let probe = server.offer(at(300), ticket(2, Class::Order, at(300)));
-    assert_eq!(probe, Offer::Start);
+    assert_eq!(probe, AdmissionDecision::Start);
     let second = server.offer(at(300), ticket(3, Class::Order, at(300)));
-    assert_eq!(second, Offer::Queued);
+    assert_eq!(second, AdmissionDecision::Queued);
 }
 
 /// A backend server with `slots` that takes `service_ms` for each piece of work.
 struct Backend {
-    server: Server,
+    server: ServerAdmission,
     /// When each slot is free.
     slots: Vec<u64>,
     /// End and start of what runs.
@@ -160,7 +167,7 @@
 }
 
 impl Backend {
-    fn new(server: Server, slots: usize) -> Self {
+    fn new(server: ServerAdmission, slots: usize) -> Self {
         Self {
             server,
             slots: vec![0; slots],
@@ -189,7 +196,7 @@
             self.running = running;
             for (_, started) in ended {
                 let took = whole(self.now - started);
-                self.server.finished(now, Class::Lookup, took);
+                self.server.on_finished(now, Class::Lookup, took);
                 done += u64::from(self.now + 1000 >= end);
             }
             for _ in 0..2 {
@@ -197,7 +204,7 @@
                 let offer = self
                     .server
                     .offer(now, ticket(self.next, Class::Lookup, now));
-                if offer == Offer::Start {
+                if offer == AdmissionDecision::Start {
                     self.start(service_ms);
                 }
             }
@@ -216,7 +223,7 @@
 /// takes each longer time for a queue goes down to its minimum, and the slots stand empty.
 #[test]
 fn the_limit_finds_the_slots_and_keeps_them_when_the_server_slows() {
-    let server = Server::new(Switches::ALL, 2, 400, MAX_WAIT);
+    let server = ServerAdmission::new(Switches::ALL, 2, 400, MAX_WAIT);
     let mut backend = Backend::new(server, 20);
     let (limit, done) = backend.run(20, 20);
     assert!((18..=32).contains(&limit), "limit {limit}");
@@ -232,9 +239,9 @@
 /// has the slots for them; a ramp that refuses them would lose sales with an idle server.
 #[test]
 fn a_cold_server_takes_a_burst_of_orders() {
-    let mut server = Server::new(Switches::ALL, 2, 400, MAX_WAIT);
+    let mut server = ServerAdmission::new(Switches::ALL, 2, 400, MAX_WAIT);
     for id in 0..32 {
         let offer = server.offer(at(0), ticket(id, Class::Order, at(0)));
-        assert_eq!(offer, Offer::Start, "order {id}");
+        assert_eq!(offer, AdmissionDecision::Start, "order {id}");
     }
 }
--- a/crates/policy/tests/trees.rs
+++ b/crates/policy/tests/trees.rs
@@ -2,13 +2,13 @@
 //! do; their entries hear of its level only from the lookups that end.
 
 use bilberry_policy::admission_value;
-use bilberry_policy::Ended;
-use bilberry_policy::Heard;
-use bilberry_policy::Offer;
-use bilberry_policy::Ranks;
-use bilberry_policy::Server;
+use bilberry_policy::AdmissionDecision;
+use bilberry_policy::PriorityBands;
+use bilberry_policy::ReportedLevel;
+use bilberry_policy::RunOutcome;
+use bilberry_policy::ServerAdmission;
 use bilberry_policy::Switches;
-use bilberry_policy::Ticket;
+use bilberry_policy::WorkItem;
 use proto::Class;
 use rand::rngs::StdRng;
 use rand::RngExt;
@@ -53,8 +53,8 @@
 /// One server, its lookups and their entries.
 struct World {
     now: u64,
-    server: Server,
-    entries: Vec<Heard>,
+    server: ServerAdmission,
+    entries: Vec<ReportedLevel>,
     trees: Vec<Tree>,
     events: BTreeMap<u64, Vec<Event>>,
     /// Lookups that ended whole and in time.
@@ -69,12 +69,14 @@
             adaptive_limit: false,
             ..Switches::ALL
         };
-        let mut server = Server::new(switches, 1, SLOTS, Duration::from_millis(100));
-        server.set_ranks(Ranks::new([(Class::Lookup, 0)]));
+        let mut server = ServerAdmission::new(switches, 1, SLOTS, Duration::from_millis(100));
+        server.set_priority_bands(PriorityBands::new([(Class::Lookup, 0)]));
         Self {
             now: 0,
             server,
-            entries: (0..ENTRIES).map(|_| Heard::new(Time::ZERO)).collect(),
+            entries: (0..ENTRIES)
+                .map(|_| ReportedLevel::new(Time::ZERO))
+                .collect(),
             trees: Vec::new(),
             events: BTreeMap::new(),
             whole: 0,
@@ -106,30 +108,30 @@
         self.after(BEFORE_MS, Event::Read(self.trees.len() - 1));
     }
 
-    fn ticket(&self, tree: usize) -> Ticket {
+    fn ticket(&self, tree: usize) -> WorkItem {
         let Tree {
             began,
             dice,
             passed_level,
             ..
         } = self.trees[tree];
-        Ticket {
+        WorkItem {
             id: tree as u64,
             class: Class::Lookup,
             priority: 0,
             passed_level,
-            dice,
+            random_value: dice,
             deadline: at(began + TIMEOUT_MS),
             arrived: at(self.now),
             admitted: true,
         }
     }
 
-    fn settle(&mut self, tree: usize, offer: Offer) {
+    fn settle(&mut self, tree: usize, offer: AdmissionDecision) {
         match offer {
-            Offer::Start => self.after(READ_MS, Event::Done(tree)),
-            Offer::Queued => {}
-            Offer::Refused(_) => self.end(tree, false),
+            AdmissionDecision::Start => self.after(READ_MS, Event::Done(tree)),
+            AdmissionDecision::Queued => {}
+            AdmissionDecision::Refused(_) => self.end(tree, false),
         }
     }
 
@@ -142,8 +144,11 @@
             }
             Event::Done(tree) => {
                 let took = Duration::from_millis(READ_MS);
-                let ended = Ended::Whole { took, own: took };
-                self.server.finished(now, Class::Lookup, ended);
+                let ended = RunOutcome::Completed {
+                    elapsed: took,
+                    own_time: took,
+                };
+                self.server.on_finished(now, Class::Lookup, ended);
                 let level = self.server.level();
                 let at = &mut self.trees[tree];
                 at.met = at.met.max(level);
@@ -163,7 +168,7 @@
             entry, began, met, ..
         } = self.trees[tree];
         let met = met.max(self.server.level());
-        self.entries[entry].hear(at(self.now), met);
+        self.entries[entry].observe(at(self.now), met);
         self.whole += u32::from(whole && self.now <= began + TIMEOUT_MS);
     }
 
@@ -175,7 +180,7 @@
             for event in self.events.remove(&self.now).unwrap_or_default() {
                 self.on_event(event);
             }
-            while let Some((ticket, offer)) = self.server.next(at(self.now)) {
+            while let Some((ticket, offer)) = self.server.next_decision(at(self.now)) {
                 self.settle(ticket.id as usize, offer);
             }
             if rng.random_bool(per_ms) {
--- a/crates/stdx/src/bounded.rs
+++ b/crates/stdx/src/bounded.rs
@@ -9,7 +9,7 @@
 /// # Examples
 ///
 /// ```
-/// let mut seen = bilberry_stdx::Bounded::new(2);
+/// let mut seen = bilberry_stdx::BoundedMap::new(2);
 /// seen.insert("a", 1);
 /// seen.insert("b", 2);
 /// seen.insert("c", 3);
@@ -17,13 +17,13 @@
 /// assert_eq!(seen.get(&"c"), Some(&3));
 /// ```
 #[derive(Debug, Clone)]
-pub struct Bounded<K, V> {
+pub struct BoundedMap<K, V> {
     capacity: usize,
     entries: IndexMap<K, V>,
     order: std::collections::VecDeque<K>,
 }
 
-impl<K: Hash + Eq + Clone, V> Bounded<K, V> {
+impl<K: Hash + Eq + Clone, V> BoundedMap<K, V> {
     /// An empty map for at most `capacity` entries.
     pub fn new(capacity: usize) -> Self {
         Self {
--- a/crates/stdx/src/lib.rs
+++ b/crates/stdx/src/lib.rs
@@ -7,5 +7,5 @@
 mod derives;
 mod time;
 
-pub use bounded::Bounded;
+pub use bounded::BoundedMap;
 pub use time::Time;
--- a/crates/trial/src/judge.rs
+++ b/crates/trial/src/judge.rs
@@ -62,7 +62,7 @@
     pub crashes: IndexMap<Arc<str>, u32>,
     /// Checks that no lookup that waited when something else was refused for load is started. Calls
     /// and runs are matched by their bodies here, so it is only for callers that never re-send; the
-    /// same is asserted inside `policy::Server` for every run.
+    /// same is asserted inside `policy::ServerAdmission` for every run.
     pub lookups_go_first: bool,
     work: IndexMap<String, Known>,
     trees: IndexMap<String, Tree>,
--- a/crates/trial/src/log.rs
+++ b/crates/trial/src/log.rs
@@ -6,9 +6,9 @@
 use engine::Input;
 use indexmap::IndexMap;
 use indexmap::IndexSet;
-use journal::Entry;
 use journal::Record;
 use journal::State;
+use journal::TopicEntry;
 use proto::Incarnation;
 use std::sync::Arc;
 use std::time::Duration;
@@ -67,7 +67,7 @@
         self.newest.values().cloned().collect()
     }
 
-    fn push(&mut self, (key, value): Entry) {
+    fn push(&mut self, (key, value): TopicEntry) {
         let offset = self.end();
         self.said.apply(offset, &value);
         if value.is_empty() {
@@ -103,7 +103,7 @@
         self.append(record.entries());
     }
 
-    fn append(&mut self, entries: Vec<Entry>) {
+    fn append(&mut self, entries: Vec<TopicEntry>) {
         for entry in entries {
             self.log.push(entry);
         }
@@ -113,7 +113,13 @@
     }
 
     /// An append of a node is on its way to the store.
-    pub(crate) fn append_from(&mut self, node: usize, number: u64, at: u64, entries: Vec<Entry>) {
+    pub(crate) fn append_from(
+        &mut self,
+        node: usize,
+        number: u64,
+        at: u64,
+        entries: Vec<TopicEntry>,
+    ) {
         let from = self.nodes[node].incarnation;
         let keys: Vec<&str> = entries.iter().map(|(key, _)| &**key).collect();
         let what = keys.join(" ");
--- a/crates/trial/src/node.rs
+++ b/crates/trial/src/node.rs
@@ -115,7 +115,7 @@
         write!(
             f,
             " stopping {:?} version {} next {}",
-            self.stopping, journal.version, journal.next
+            self.stopping, journal.version, journal.next_offset
         )?;
         write!(
             f,
