--- a/crates/engine/src/hedge.rs
+++ b/crates/engine/src/hedge.rs
@@ -10,7 +10,7 @@
 use crate::timers::Timer;
 use crate::Counter;
 use crate::Engine;
-use policy::RunOutcome;
+use policy::WorkOutcome;
 use proto::Answer;
 use proto::CallId;
 use proto::Frame;
@@ -54,8 +54,8 @@
     }
 
     /// Learns how long runs of an operation take here.
-    pub(crate) fn learn_run(&mut self, now: Time, run: RunId, ended: RunOutcome) {
-        let RunOutcome::Completed { elapsed, .. } = ended else {
+    pub(crate) fn learn_run(&mut self, now: Time, run: RunId, ended: WorkOutcome) {
+        let WorkOutcome::Completed { elapsed, .. } = ended else {
             return;
         };
         let operation = self.jobs.get(&run).and_then(|job| job.operation.clone());
--- a/crates/engine/src/job.rs
+++ b/crates/engine/src/job.rs
@@ -5,7 +5,7 @@
 use crate::Token;
 use indexmap::IndexMap;
 use policy::RetryAllowance;
-use policy::RunOutcome;
+use policy::WorkOutcome;
 use proto::ActionId;
 use proto::Below;
 use proto::CallId;
@@ -106,22 +106,22 @@
 
     /// What the end of the run says about the backend server. The time of an answer that reports a
     /// failure is left out: it is often quick, and would make the limit rise.
-    pub(crate) fn ended(&self, now: Time, end: &RunEnd) -> RunOutcome {
+    pub(crate) fn ended(&self, now: Time, end: &RunEnd) -> WorkOutcome {
         let took = self.started.map_or(Duration::ZERO, |at| now.since(at));
         match end {
-            RunEnd::Response(response) if response.status >= 500 => RunOutcome::Failed,
-            RunEnd::Response(_) => RunOutcome::Completed {
+            RunEnd::Response(response) if response.status >= 500 => WorkOutcome::Failed,
+            RunEnd::Response(_) => WorkOutcome::Completed {
                 elapsed: took,
                 own_time: took.saturating_sub(self.waited),
             },
-            RunEnd::Refused { .. } => RunOutcome::Refused,
-            RunEnd::NeverSent => RunOutcome::Unreachable,
-            RunEnd::TimedOut if self.waiting.is_empty() => RunOutcome::Abandoned {
+            RunEnd::Refused { .. } => WorkOutcome::Refused,
+            RunEnd::NeverSent => WorkOutcome::Unreachable,
+            RunEnd::TimedOut if self.waiting.is_empty() => WorkOutcome::Abandoned {
                 elapsed: took,
                 own_time: took.saturating_sub(self.waited),
             },
-            RunEnd::Misdirected | RunEnd::TimedOut => RunOutcome::Failed,
-            RunEnd::Lost => RunOutcome::Lost,
+            RunEnd::Misdirected | RunEnd::TimedOut => WorkOutcome::Failed,
+            RunEnd::Lost => WorkOutcome::Lost,
         }
     }
 }
--- a/crates/engine/src/serve.rs
+++ b/crates/engine/src/serve.rs
@@ -226,7 +226,7 @@
             Ok(start_within) => start_within,
             Err(reason) => {
                 self.server
-                    .on_finished(now, class, policy::RunOutcome::Failed);
+                    .on_finished(now, class, policy::WorkOutcome::Failed);
                 return self.end_job(now, run, self.not_run(reason));
             }
         };
--- a/crates/policy/src/failing.rs
+++ b/crates/policy/src/failing.rs
@@ -1,6 +1,6 @@
 //! How much of its work a server fails by itself.
 
-use crate::RunOutcome;
+use crate::WorkOutcome;
 use std::time::Duration;
 use stdx::Time;
 
@@ -31,12 +31,12 @@
 
 impl Failing {
     /// Takes the end of a run.
-    pub(crate) fn hear(&mut self, now: Time, ended: RunOutcome) {
+    pub(crate) fn hear(&mut self, now: Time, ended: WorkOutcome) {
         let failed = match ended {
-            RunOutcome::Refused | RunOutcome::Lost | RunOutcome::Unreachable => 1.0,
-            RunOutcome::Completed { .. } => 0.0,
+            WorkOutcome::Refused | WorkOutcome::Lost | WorkOutcome::Unreachable => 1.0,
+            WorkOutcome::Completed { .. } => 0.0,
             // Mostly because a call that it made failed, or nobody waited any more.
-            RunOutcome::Failed | RunOutcome::Abandoned { .. } => return,
+            WorkOutcome::Failed | WorkOutcome::Abandoned { .. } => return,
         };
         self.fade(now);
         self.share += (failed - self.share) / WINDOW;
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -41,5 +41,5 @@
 pub use server::ServerAdmission;
 pub use switches::Switches;
 pub use work::AdmissionDecision;
-pub use work::RunOutcome;
 pub use work::WorkItem;
+pub use work::WorkOutcome;
--- a/crates/policy/src/server.rs
+++ b/crates/policy/src/server.rs
@@ -11,9 +11,9 @@
 use crate::work::Estimate;
 use crate::AdmissionDecision;
 use crate::PriorityBands;
-use crate::RunOutcome;
 use crate::Switches;
 use crate::WorkItem;
+use crate::WorkOutcome;
 use proto::Class;
 use proto::LoadReport;
 use proto::Reason;
@@ -184,14 +184,14 @@
     }
 
     /// Takes back work that started.
-    pub fn on_finished(&mut self, now: Time, class: Class, ended: RunOutcome) {
+    pub fn on_finished(&mut self, now: Time, class: Class, ended: WorkOutcome) {
         // While the level sheds, more would run if the limit let it, though it is seldom reached.
         let full = self.running >= self.limit.get() || self.level() > 0;
         self.tick(now);
         self.running = self.running.saturating_sub(1);
         self.failing.hear(now, self.silent_or(class, ended));
         match ended {
-            RunOutcome::Completed { elapsed, own_time } => {
+            WorkOutcome::Completed { elapsed, own_time } => {
                 self.down_until = None;
                 self.took.record(elapsed);
                 self.took_by_class[class as usize].record(elapsed);
@@ -201,25 +201,25 @@
                     self.limit.sample(now, class, own_time, full);
                 }
             }
-            RunOutcome::Refused if self.switches.adaptive_limit => self.limit.refused(),
-            RunOutcome::Unreachable => self.went_down(now),
-            RunOutcome::Abandoned { elapsed, .. } => {
+            WorkOutcome::Refused if self.switches.adaptive_limit => self.limit.refused(),
+            WorkOutcome::Unreachable => self.went_down(now),
+            WorkOutcome::Abandoned { elapsed, .. } => {
                 self.held_by_class[class as usize].record(elapsed)
             }
-            RunOutcome::Refused | RunOutcome::Lost | RunOutcome::Failed => {}
+            WorkOutcome::Refused | WorkOutcome::Lost | WorkOutcome::Failed => {}
         }
     }
 
     /// A server that keeps work for much longer than is usual has lost it, as far as callers can tell. They
     /// have given it up and gone elsewhere; without this nobody would notice that it answers so little.
-    fn silent_or(&self, class: Class, ended: RunOutcome) -> RunOutcome {
-        let RunOutcome::Abandoned { own_time, .. } = ended else {
+    fn silent_or(&self, class: Class, ended: WorkOutcome) -> WorkOutcome {
+        let WorkOutcome::Abandoned { own_time, .. } = ended else {
             return ended;
         };
         let usual = self.took_by_class[class as usize].mean();
         match usual.is_some_and(|usual| own_time >= usual * SILENT_AFTER) {
-            true => RunOutcome::Lost,
-            false => RunOutcome::Failed,
+            true => WorkOutcome::Lost,
+            false => WorkOutcome::Failed,
         }
     }
 
--- a/crates/policy/src/work.rs
+++ b/crates/policy/src/work.rs
@@ -43,7 +43,7 @@
 
 plain! {
     /// How work on the backend server ended.
-    pub enum RunOutcome {
+    pub enum WorkOutcome {
         /// With a whole answer.
         Completed {
             /// From start to end: how long the work took up one unit of the limit.
--- a/crates/policy/tests/admitted.rs
+++ b/crates/policy/tests/admitted.rs
@@ -1,10 +1,10 @@
 //! Calls of actions that were admitted at their first hop, in front of a server without room.
 
 use bilberry_policy::AdmissionDecision;
-use bilberry_policy::RunOutcome;
 use bilberry_policy::ServerAdmission;
 use bilberry_policy::Switches;
 use bilberry_policy::WorkItem;
+use bilberry_policy::WorkOutcome;
 use proto::Class;
 use proto::Reason;
 use std::time::Duration;
@@ -47,7 +47,7 @@
             server.on_finished(
                 now,
                 Class::Lookup,
-                RunOutcome::Completed {
+                WorkOutcome::Completed {
                     elapsed: took,
                     own_time: took,
                 },
@@ -94,7 +94,7 @@
     server.on_finished(
         at(WORK),
         Class::Lookup,
-        RunOutcome::Completed {
+        WorkOutcome::Completed {
             elapsed: took,
             own_time: took,
         },
@@ -132,7 +132,7 @@
     server.on_finished(
         at(WORK),
         Class::Lookup,
-        RunOutcome::Completed {
+        WorkOutcome::Completed {
             elapsed: took,
             own_time: took,
         },
@@ -157,7 +157,7 @@
     server.on_finished(
         now,
         Class::Lookup,
-        RunOutcome::Completed {
+        WorkOutcome::Completed {
             elapsed: took,
             own_time: took,
         },
@@ -190,7 +190,7 @@
     server.on_finished(
         at(WORK),
         Class::Lookup,
-        RunOutcome::Completed {
+        WorkOutcome::Completed {
             elapsed: took,
             own_time: took,
         },
@@ -217,7 +217,7 @@
         server.on_finished(
             now + took,
             Class::Lookup,
-            RunOutcome::Completed {
+            WorkOutcome::Completed {
                 elapsed: took,
                 own_time: took,
             },
@@ -246,7 +246,7 @@
     server.on_finished(
         now,
         Class::Lookup,
-        RunOutcome::Completed {
+        WorkOutcome::Completed {
             elapsed: took,
             own_time: took,
         },
@@ -279,7 +279,7 @@
         server.on_finished(
             now,
             Class::Lookup,
-            RunOutcome::Completed {
+            WorkOutcome::Completed {
                 elapsed: took,
                 own_time: took,
             },
--- a/crates/policy/tests/late.rs
+++ b/crates/policy/tests/late.rs
@@ -1,11 +1,11 @@
 //! Runs that are late, and servers that keep them.
 
 use bilberry_policy::AdmissionDecision;
-use bilberry_policy::RunOutcome;
 use bilberry_policy::RunTimes;
 use bilberry_policy::ServerAdmission;
 use bilberry_policy::Switches;
 use bilberry_policy::WorkItem;
+use bilberry_policy::WorkOutcome;
 use proto::Class;
 use rand::rngs::StdRng;
 use rand::RngExt;
@@ -57,11 +57,11 @@
             assert_eq!(server.offer(now, ticket), AdmissionDecision::Start);
             let lost = loses && n > 30 && n % 2 == 0;
             let ended = match lost {
-                true => RunOutcome::Abandoned {
+                true => WorkOutcome::Abandoned {
                     elapsed: took * 4,
                     own_time: took * 4,
                 },
-                false => RunOutcome::Completed {
+                false => WorkOutcome::Completed {
                     elapsed: took,
                     own_time: took,
                 },
@@ -94,11 +94,11 @@
                 let over = ms - since >= takes;
                 if over {
                     let ended = match hung {
-                        true => RunOutcome::Abandoned {
+                        true => WorkOutcome::Abandoned {
                             elapsed: own,
                             own_time: own,
                         },
-                        false => RunOutcome::Completed {
+                        false => WorkOutcome::Completed {
                             elapsed: own,
                             own_time: own,
                         },
--- a/crates/policy/tests/many/mod.rs
+++ b/crates/policy/tests/many/mod.rs
@@ -6,8 +6,8 @@
 use bilberry_policy::Eligibility;
 use bilberry_policy::InstanceSelector;
 use bilberry_policy::Proximity;
-use bilberry_policy::RunOutcome;
 use bilberry_policy::Switches;
+use bilberry_policy::WorkOutcome;
 use proto::Class;
 use proto::Incarnation;
 use proto::LoadReport;
@@ -190,7 +190,7 @@
                 let refuses = self.servers[server].refuses;
                 if refuses > 0.0 && self.rng.random_bool(refuses) {
                     self.refused += 1;
-                    return self.answer(server, node, RunOutcome::Refused);
+                    return self.answer(server, node, WorkOutcome::Refused);
                 }
                 let at = &mut self.servers[server];
                 at.queue.push_back(node);
@@ -206,7 +206,7 @@
                 self.answer(
                     server,
                     node,
-                    RunOutcome::Completed {
+                    WorkOutcome::Completed {
                         elapsed: took,
                         own_time: took,
                     },
@@ -221,7 +221,7 @@
         }
     }
 
-    fn answer(&mut self, server: usize, node: usize, ended: RunOutcome) {
+    fn answer(&mut self, server: usize, node: usize, ended: WorkOutcome) {
         let now = self.time();
         let at = &mut self.servers[server];
         at.door.on_finished(now, Class::Lookup, ended);
--- a/crates/policy/tests/ranks.rs
+++ b/crates/policy/tests/ranks.rs
@@ -2,10 +2,10 @@
 
 use bilberry_policy::AdmissionDecision;
 use bilberry_policy::PriorityBands;
-use bilberry_policy::RunOutcome;
 use bilberry_policy::ServerAdmission;
 use bilberry_policy::Switches;
 use bilberry_policy::WorkItem;
+use bilberry_policy::WorkOutcome;
 use proto::Class;
 use rand::rngs::StdRng;
 use rand::RngExt;
@@ -63,7 +63,7 @@
             server.on_finished(
                 now,
                 Class::Lookup,
-                RunOutcome::Completed {
+                WorkOutcome::Completed {
                     elapsed: took,
                     own_time: took,
                 },
@@ -169,7 +169,7 @@
     server.on_finished(
         now,
         Class::Lookup,
-        RunOutcome::Completed {
+        WorkOutcome::Completed {
             elapsed: took,
             own_time: took,
         },
--- a/crates/policy/tests/server.rs
+++ b/crates/policy/tests/server.rs
@@ -1,10 +1,10 @@
 //! The limit and the queue in front of a backend server, driven on a clock of the test's own.
 
 use bilberry_policy::AdmissionDecision;
-use bilberry_policy::RunOutcome;
 use bilberry_policy::ServerAdmission;
 use bilberry_policy::Switches;
 use bilberry_policy::WorkItem;
+use bilberry_policy::WorkOutcome;
 use proto::Class;
 use proto::Reason;
 use std::time::Duration;
@@ -29,9 +29,9 @@
     }
 }
 
-fn whole(ms: u64) -> RunOutcome {
+fn whole(ms: u64) -> WorkOutcome {
     let took = Duration::from_millis(ms);
-    RunOutcome::Completed {
+    WorkOutcome::Completed {
         elapsed: took,
         own_time: took,
     }
@@ -143,7 +143,7 @@
 #[test]
 fn an_unreachable_server_is_no_bargain() {
     let mut server = busy();
-    server.on_finished(at(12), Class::Order, RunOutcome::Unreachable);
+    server.on_finished(at(12), Class::Order, WorkOutcome::Unreachable);
     assert_eq!(server.report().utilisation, u16::MAX);
     let offer = server.offer(at(13), ticket(1, Class::Order, at(13)));
     assert!(
--- a/crates/policy/tests/trees.rs
+++ b/crates/policy/tests/trees.rs
@@ -5,10 +5,10 @@
 use bilberry_policy::AdmissionDecision;
 use bilberry_policy::PriorityBands;
 use bilberry_policy::ReportedLevel;
-use bilberry_policy::RunOutcome;
 use bilberry_policy::ServerAdmission;
 use bilberry_policy::Switches;
 use bilberry_policy::WorkItem;
+use bilberry_policy::WorkOutcome;
 use proto::Class;
 use rand::rngs::StdRng;
 use rand::RngExt;
@@ -144,7 +144,7 @@
             }
             Event::Done(tree) => {
                 let took = Duration::from_millis(READ_MS);
-                let ended = RunOutcome::Completed {
+                let ended = WorkOutcome::Completed {
                     elapsed: took,
                     own_time: took,
                 };
