--- a/crates/engine/src/admission.rs
+++ b/crates/engine/src/admission.rs
@@ -8,8 +8,8 @@
 use policy::Heard;
 use policy::Ranks;
 use policy::RunTimes;
-use proto::Below;
 use proto::Class;
+use proto::DownstreamSummary;
 use proto::Incarnation;
 use proto::Instance;
 use proto::Reason;
@@ -78,7 +78,12 @@
     }
 
     /// A run of an operation met something below it.
-    pub(crate) fn hear_path(&mut self, now: Time, operation: &OperationKey, below: Below) {
+    pub(crate) fn hear_path(
+        &mut self,
+        now: Time,
+        operation: &OperationKey,
+        below: DownstreamSummary,
+    ) {
         let path = self.path_of(now, operation);
         path.level.hear(now, below.level);
         path.calls = below.calls;
--- a/crates/engine/src/answered.rs
+++ b/crates/engine/src/answered.rs
@@ -93,7 +93,7 @@
 
 fn size(answer: &Answer) -> usize {
     match &answer.outcome {
-        Outcome::Whole(response) => response.size(),
+        Outcome::Completed(response) => response.size(),
         Outcome::NotRun(_) | Outcome::Unknown(_) => 0,
     }
 }
--- a/crates/engine/src/calls.rs
+++ b/crates/engine/src/calls.rs
@@ -15,13 +15,13 @@
 use policy::admission_value;
 use policy::Place;
 use proto::Answer;
-use proto::Below;
 use proto::Call;
 use proto::CallId;
+use proto::CallRole;
+use proto::DownstreamSummary;
 use proto::Frame;
 use proto::Incarnation;
 use proto::Instance;
-use proto::Leg;
 use proto::Outcome;
 use proto::Reason;
 use proto::Refusal;
@@ -121,25 +121,25 @@
     }
 
     pub(crate) fn send_attempt(&mut self, now: Time, id: CallId, call: &Outgoing) {
-        let leg = if call.key.is_some() {
-            Leg::Home
+        let role = if call.key.is_some() {
+            CallRole::Home
         } else {
-            Leg::Serve
+            CallRole::Serve
         };
         let frame = Frame::Call(Box::new(Call {
             id,
             action: call.action,
-            dice: call.dice,
+            admission_sample: call.dice,
             class: call.class,
             priority: call.priority,
             passed_level: call.passed_level,
-            leg,
+            role,
             remaining_ms: self.remaining_ms(now, call),
-            allowance: call.lent,
-            again: call.again,
+            retry_allowance: call.lent,
+            possible_repeat: call.again,
             idempotent: call.idempotent,
             key: call.key,
-            fresh: call.fresh,
+            first_attempt: call.fresh,
             depth: call.depth,
             request: call.request.clone(),
         }));
@@ -167,21 +167,23 @@
         let Some(mut call) = self.take_call(id) else {
             return;
         };
-        call.account.give_back(call.lent, answer.unspent);
-        call.calls_below = call.calls_below.saturating_add(answer.below.calls);
+        call.account.give_back(call.lent, answer.unspent_retries);
+        call.calls_below = call.calls_below.saturating_add(answer.downstream.calls);
         // A refusal says how many calls lie below only if the run has got there.
         match answer.outcome {
-            Outcome::NotRun(refusal) if answer.below.calls == 0 => {
-                if refusal.reason == Reason::Shed && answer.below.level > 0 {
-                    let (operation, level) = (&call.operation, answer.below.level);
+            Outcome::NotRun(refusal) if answer.downstream.calls == 0 => {
+                if refusal.reason == Reason::Shed && answer.downstream.level > 0 {
+                    let (operation, level) = (&call.operation, answer.downstream.level);
                     self.admission.hear_level(now, operation, level);
                 }
             }
-            _ => self.admission.hear_path(now, &call.operation, answer.below),
+            _ => self
+                .admission
+                .hear_path(now, &call.operation, answer.downstream),
         }
         match answer.outcome {
             Outcome::NotRun(refusal) => {
-                call.again |= answer.below.calls > 0 && self.cfg.policy.hop_retries == 0;
+                call.again |= answer.downstream.calls > 0 && self.cfg.policy.hop_retries == 0;
                 self.after_not_run(now, call, refusal);
             }
             Outcome::Unknown(reason @ (Reason::ServerLost | Reason::PeerLost)) => {
@@ -305,7 +307,7 @@
             }
             self.drop_earlier(earlier);
         }
-        let met = Below {
+        let met = DownstreamSummary {
             level: self.level_met(now, &call),
             // The first attempt was counted when the call began.
             calls: call
@@ -324,7 +326,7 @@
 
     /// A run's own first hop hears at once what the run meets. Heard of only at the end of the run,
     /// a level below would let in too much for the time of a whole call tree.
-    fn tell_parent(&mut self, now: Time, call: &Outgoing, met: Below) {
+    fn tell_parent(&mut self, now: Time, call: &Outgoing, met: DownstreamSummary) {
         let operation = call.operation.clone();
         let Some(job) = self.parent_of(call.token) else {
             return;
--- a/crates/engine/src/config.rs
+++ b/crates/engine/src/config.rs
@@ -46,7 +46,7 @@
     /// A key is refused by every node within this time after its revocation; unbounded without it.
     pub revocation: Option<Duration>,
     /// How strictly the quotas of organisations hold.
-    pub quotas: organisation::QuotaBounds,
+    pub quotas: organisation::QuotaTolerance,
 }
 
 /// What becomes of a non-idempotent call that comes without a key.
@@ -92,7 +92,7 @@
             tree_retries: TreeRetries::OfOperation,
             retries: policy::FleetRetries::default(),
             revocation: None,
-            quotas: organisation::QuotaBounds::default(),
+            quotas: organisation::QuotaTolerance::default(),
         }
     }
 }
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -32,8 +32,8 @@
 use policy::Retries;
 use policy::Selector;
 use policy::Server;
-use proto::Below;
 use proto::CallId;
+use proto::DownstreamSummary;
 use proto::Frame;
 use proto::Instance;
 use proto::KeyHash;
@@ -103,7 +103,7 @@
     /// Who waits for the run of a key.
     pub(crate) keys: IndexMap<KeyHash, KeyWork>,
     /// What the run met that is being answered just now.
-    pub(crate) run_below: Below,
+    pub(crate) run_below: DownstreamSummary,
     pub(crate) admission: Admission,
     pub(crate) resends: Resends,
     pub(crate) suspects: Suspects,
@@ -152,7 +152,7 @@
     /// assert_eq!(Engine::new(Config::default(), me).rules_version(), 0);
     /// ```
     pub fn new(cfg: Config, me: Instance) -> Self {
-        let defaults = rules::Limit::default();
+        let defaults = rules::ServiceLimits::default();
         let incarnation = me.incarnation;
         let mut members = Membership::new(cfg.membership.clone(), me.clone(), cfg.contacts.clone());
         members.set_open(!cfg.announced);
@@ -182,7 +182,7 @@
             jobs: IndexMap::new(),
             jobs_by_id: IndexMap::new(),
             keys: IndexMap::new(),
-            run_below: Below::default(),
+            run_below: DownstreamSummary::default(),
             admission: Admission::default(),
             resends: Resends::new(),
             suspects: Suspects::new(),
@@ -367,8 +367,8 @@
             Frame::Call(call) => self.on_call(now, from, *call),
             Frame::Answer(id, answer) => self.on_answer(now, from, id, *answer),
             Frame::Cancel(id) => self.on_cancel(now, from, id),
-            Frame::Late(id) => self.on_late(now, id),
-            Frame::Suspect {
+            Frame::SlowCall(id) => self.on_late(now, id),
+            Frame::CrashReport {
                 service,
                 request,
                 crashes,
--- a/crates/engine/src/entry.rs
+++ b/crates/engine/src/entry.rs
@@ -14,7 +14,7 @@
 use crate::Output;
 use crate::Token;
 use crate::TreeRetries;
-use organisation::Credit;
+use organisation::QuotaToken;
 use policy::Account;
 use proto::ActionId;
 use proto::CallId;
@@ -26,8 +26,8 @@
 use proto::Request;
 use proto::RunId;
 use rand::RngExt;
+use rules::MatchedRule;
 use rules::Operation;
-use rules::Rule;
 use std::sync::Arc;
 use std::time::Duration;
 use stdx::Time;
@@ -41,7 +41,7 @@
         match admitted {
             Ok((operation, None)) => self.enter(now, arrival, operation, dice, None),
             Ok((operation, Some((organisation, quota)))) => {
-                match self.quota.borrower.take(now, organisation, quota) {
+                match self.quota.borrower.try_spend(now, organisation, quota) {
                     Some(credit) => self.enter(now, arrival, operation, dice, Some(credit)),
                     None => self.wait_for_quota(now, arrival, organisation),
                 }
@@ -51,7 +51,7 @@
     }
 
     /// Admits a request that has waited for its organisation's quota. The rules may have changed meanwhile.
-    pub(crate) fn on_credit(&mut self, now: Time, mut arrival: Arrival, credit: Credit) {
+    pub(crate) fn on_credit(&mut self, now: Time, mut arrival: Arrival, credit: QuotaToken) {
         let dice = self.rng.random();
         let admitted = self
             .filter_state(&mut arrival.request, dice)
@@ -71,7 +71,7 @@
         arrival: Arrival,
         operation: Operation,
         dice: u16,
-        credit: Option<Credit>,
+        credit: Option<QuotaToken>,
     ) {
         let Arrival {
             token,
@@ -121,9 +121,9 @@
         } = refused;
         let reason = refusal.reason;
         // Nobody has looked whether an earlier attempt with this key ran.
-        let unjudged = keyed && !reason.is_callers_mistake();
+        let unjudged = keyed && !reason.is_client_error();
         let refusal = if unjudged {
-            refusal.of_this_attempt()
+            refusal.for_attempt_only()
         } else {
             refusal
         };
@@ -145,8 +145,8 @@
             return Err(Reason::TableFull);
         }
         let rules = &self.journal.rules;
-        let rule = rules.decide(request).ok_or(Reason::NoSuchOperation)?;
-        if let Rule::Route(route) = rule {
+        let rule = rules.match_rule(request).ok_or(Reason::NoSuchOperation)?;
+        if let MatchedRule::Route(route) = rule {
             request.service = route.target(dice).clone();
         }
         let mut operation = rule.operation().clone();
@@ -299,7 +299,7 @@
             }
         };
         if draft.parent.is_none() {
-            draft.action = key.action();
+            draft.action = key.action_id();
         }
         draft.key = Some((key.hash(), fingerprint));
         Ok(draft)
@@ -398,7 +398,7 @@
             });
         }
         self.count(match &outcome {
-            Outcome::Whole(_) => Counter::Whole(open.operation.class),
+            Outcome::Completed(_) => Counter::Whole(open.operation.class),
             Outcome::NotRun(refusal) => Counter::NotRun(refusal.reason),
             Outcome::Unknown(reason) => Counter::Unknown(*reason),
         });
--- a/crates/engine/src/fetch.rs
+++ b/crates/engine/src/fetch.rs
@@ -9,7 +9,7 @@
 use proto::Datagram;
 use proto::MemberMessage;
 use proto::PeerState;
-use proto::Progress;
+use proto::SyncProgress;
 use proto::PROTOCOL_VERSION;
 use rand::RngExt;
 use std::net::SocketAddr;
@@ -44,7 +44,7 @@
 pub(crate) struct FetchLink {
     pub(crate) due: Option<Time>,
     /// A peer that knows more than this node, and how far it is.
-    ahead: Option<(SocketAddr, Progress)>,
+    ahead: Option<(SocketAddr, SyncProgress)>,
     /// Fetches in a row that were asked for.
     asked: u32,
     /// Peers that tell at the same time are not all asked.
@@ -53,8 +53,8 @@
 
 impl Engine {
     /// This node's state for a peer that knows so much; nothing if this node knows no more itself.
-    pub fn state_beyond(&self, theirs: Progress) -> Option<Bytes> {
-        let has_more = self.log.ready && self.journal.progress().has_more_than(theirs);
+    pub fn state_beyond(&self, theirs: SyncProgress) -> Option<Bytes> {
+        let has_more = self.log.ready && self.journal.progress().is_ahead_of(theirs);
         has_more.then(|| Bytes::from(proto::encode(&self.journal)))
     }
 
@@ -64,14 +64,13 @@
     }
 
     /// A peer says how much it knows.
-    pub(crate) fn on_peer_progress(&mut self, now: Time, from: SocketAddr, theirs: Progress) {
-        if !theirs.has_more_than(self.journal.progress()) {
+    pub(crate) fn on_peer_progress(&mut self, now: Time, from: SocketAddr, theirs: SyncProgress) {
+        if !theirs.is_ahead_of(self.journal.progress()) {
             return;
         }
         let near = self.is_in_own_domain(from);
-        let better = |(other, known): (SocketAddr, Progress)| {
-            theirs.has_more_than(known)
-                || (near && theirs == known && !self.is_in_own_domain(other))
+        let better = |(other, known): (SocketAddr, SyncProgress)| {
+            theirs.is_ahead_of(known) || (near && theirs == known && !self.is_in_own_domain(other))
         };
         if self.fetch.ahead.is_none_or(better) {
             self.fetch.ahead = Some((from, theirs));
@@ -119,7 +118,7 @@
                 version: PROTOCOL_VERSION,
                 progress: self.journal.progress(),
                 message: MemberMessage::Gossip {
-                    rumours: Vec::new(),
+                    updates: Vec::new(),
                 },
             };
             self.out.push(Output::Datagram { to, datagram });
@@ -145,7 +144,7 @@
         self.fetch.due = None;
         let known = self.journal.progress();
         let ahead = self.fetch.ahead;
-        let ahead = ahead.filter(|(_, theirs)| theirs.has_more_than(known));
+        let ahead = ahead.filter(|(_, theirs)| theirs.is_ahead_of(known));
         if ahead.is_none() && self.log.ready {
             self.fetch = FetchLink::default();
             return;
--- a/crates/engine/src/freshness.rs
+++ b/crates/engine/src/freshness.rs
@@ -3,11 +3,11 @@
 use crate::Engine;
 use crate::Note;
 use crate::Output;
-use organisation::Step;
+use organisation::FreshnessAction;
 use proto::Datagram;
 use proto::FreshnessMessage;
 use proto::PeerState;
-use proto::Progress;
+use proto::SyncProgress;
 use proto::PROTOCOL_VERSION;
 use rand::RngExt;
 use std::net::SocketAddr;
@@ -42,10 +42,13 @@
         self.leads = self.members.leads_domain(now);
         for step in self.freshness.tick(now, self.leads, &mut self.rng) {
             match step {
-                Step::AskStore => self.out.push(Output::CheckRules),
-                Step::AskPeer { number, attempt } => {
+                FreshnessAction::QueryStore => self.out.push(Output::CheckRules),
+                FreshnessAction::QueryPeer {
+                    request_id,
+                    attempt,
+                } => {
                     if let Some(to) = self.freshness_source(attempt) {
-                        self.send_freshness(to, FreshnessMessage::Query { number });
+                        self.send_freshness(to, FreshnessMessage::Query { request_id });
                     }
                 }
             }
@@ -76,32 +79,32 @@
         message: FreshnessMessage,
     ) {
         match message {
-            FreshnessMessage::Query { number } => {
+            FreshnessMessage::Query { request_id } => {
                 // A node without evidence says so, so that another is asked at once.
                 let age = self.freshness.age(now).unwrap_or(Duration::MAX);
                 let age_ms = age.as_millis().saturating_add(1);
                 let report = FreshnessMessage::Report {
-                    number,
+                    request_id,
                     rules: self.journal.version,
                     age_ms: u32::try_from(age_ms).unwrap_or(u32::MAX),
                 };
                 self.send_freshness(from, report);
             }
             FreshnessMessage::Report {
-                number,
+                request_id,
                 rules,
                 age_ms,
             } => {
                 if rules > self.journal.version {
                     // What was confirmed there are not the rules that are held here.
-                    let theirs = Progress {
-                        version: rules,
-                        next: self.journal.next,
+                    let theirs = SyncProgress {
+                        rules_version: rules,
+                        next_offset: self.journal.next,
                     };
                     return self.on_peer_progress(now, from, theirs);
                 }
                 let age = Duration::from_millis(age_ms.into());
-                self.freshness.on_report(now, number, age);
+                self.freshness.on_report(now, request_id, age);
                 self.note_trust(now);
             }
         }
--- a/crates/engine/src/hedge.rs
+++ b/crates/engine/src/hedge.rs
@@ -48,7 +48,7 @@
         };
         if let JobOwner::Call(id) = job.owner {
             if !job.cancelled && job.waiting.is_empty() {
-                self.send_to(id.from, Frame::Late(id));
+                self.send_to(id.from, Frame::SlowCall(id));
             }
         }
     }
@@ -102,7 +102,7 @@
         let Some(earlier) = call.earlier.take() else {
             return true;
         };
-        if !matches!(answer.outcome, Outcome::Whole(_)) {
+        if !matches!(answer.outcome, Outcome::Completed(_)) {
             self.selector.on_ended(earlier.target.incarnation);
             return true;
         }
@@ -117,7 +117,7 @@
     /// Whether the earlier attempt may still bring what the later one did not.
     pub(crate) fn waits_for_earlier(&self, now: Time, call: &Outgoing, outcome: &Outcome) -> bool {
         let is_over = match outcome {
-            Outcome::Whole(_) => true,
+            Outcome::Completed(_) => true,
             Outcome::Unknown(reason) => matches!(reason, Reason::Deadline | Reason::CallerGone),
             Outcome::NotRun(_) => false,
         };
--- a/crates/engine/src/homes.rs
+++ b/crates/engine/src/homes.rs
@@ -53,16 +53,16 @@
 
 impl Engine {
     pub(crate) fn on_home_call(&mut self, now: Time, call: Call) {
-        let (id, allowance) = (call.id, call.allowance);
+        let (id, allowance) = (call.id, call.retry_allowance);
         let Some((key, fingerprint)) = call.key else {
             return self.answer_call(id, allowance, self.not_run(Reason::BadKey));
         };
-        match self.home.begin(now, key, fingerprint, call.fresh) {
+        match self.home.begin(now, key, fingerprint, call.first_attempt) {
             Begin::Start => self.start_key(now, key, call),
             Begin::Attach => self.attach(key, id),
             Begin::Done(response) => {
                 self.count(Counter::Replayed);
-                self.answer_call(id, allowance, Outcome::Whole(response));
+                self.answer_call(id, allowance, Outcome::Completed(response));
             }
             Begin::NotRun(reason) => self.answer_call(id, allowance, self.not_run(reason)),
             Begin::Unknown => {
@@ -106,7 +106,7 @@
     /// The slot is on its way. A refusal would send the call round the nodes while the records are
     /// under way for a few milliseconds; so it waits, for a bounded time, in a bounded table.
     fn hold(&mut self, now: Time, key: KeyHash, call: Call) {
-        let (id, allowance) = (call.id, call.allowance);
+        let (id, allowance) = (call.id, call.retry_allowance);
         if self.held.len() >= MAX_HELD {
             return self.answer_call(id, allowance, self.not_run(Reason::Moving));
         }
@@ -126,13 +126,17 @@
     /// A call has waited long enough.
     pub(crate) fn on_held_too_long(&mut self, id: CallId) {
         if let Some(held) = self.take_held(id) {
-            self.answer_call(id, held.call.allowance, self.not_run(Reason::Moving));
+            self.answer_call(id, held.call.retry_allowance, self.not_run(Reason::Moving));
         }
     }
 
     pub(crate) fn cancel_held(&mut self, id: CallId) {
         if let Some(held) = self.take_held(id) {
-            self.answer_call(id, held.call.allowance, self.not_run(Reason::CallerGone));
+            self.answer_call(
+                id,
+                held.call.retry_allowance,
+                self.not_run(Reason::CallerGone),
+            );
         }
     }
 
@@ -157,7 +161,7 @@
     /// The run of a key has ended: the record first, then everyone who waits.
     pub(crate) fn end_key(&mut self, now: Time, key: KeyHash, unspent: u16, outcome: Outcome) {
         let end = match &outcome {
-            Outcome::Whole(response) => End::Done(response.clone()),
+            Outcome::Completed(response) => End::Done(response.clone()),
             Outcome::NotRun(_) => End::NotRun,
             Outcome::Unknown(_) => End::Unknown,
         };
@@ -214,9 +218,9 @@
     pub(crate) fn on_home_frame(&mut self, now: Time, from: Incarnation, frame: Frame) -> bool {
         let effects = match frame {
             Frame::Transfer(transfer) => self.home.on_transfer(now, *transfer),
-            Frame::TransferDone { slot, view } => self.home.on_transfer_done(now, from, slot, view),
-            Frame::Finished(record) => self.home.on_finished(now, from, *record),
-            Frame::FinishedDone(key) => self.home.on_finished_done(now, key),
+            Frame::TransferAck { slot, view } => self.home.on_transfer_done(now, from, slot, view),
+            Frame::RunFinished(record) => self.home.on_finished(now, from, *record),
+            Frame::RunFinishedAck(key) => self.home.on_finished_done(now, key),
             _ => return false,
         };
         self.apply_home(now, effects);
@@ -295,10 +299,10 @@
             }
             Effect::TransferDone { to, slot, view } => {
                 self.count(Counter::SlotMoved);
-                self.send(&to, Frame::TransferDone { slot, view });
+                self.send(&to, Frame::TransferAck { slot, view });
             }
-            Effect::Finished { to, record } => self.send(&to, Frame::Finished(Box::new(record))),
-            Effect::FinishedDone { to, key } => self.send(&to, Frame::FinishedDone(key)),
+            Effect::Finished { to, record } => self.send(&to, Frame::RunFinished(Box::new(record))),
+            Effect::FinishedDone { to, key } => self.send(&to, Frame::RunFinishedAck(key)),
             Effect::Settled(slot) => self.release(now, |key| key.slot() == slot),
             Effect::Leased => self.release(now, |_| true),
             Effect::Ended(key) => self.on_ended_elsewhere(key),
@@ -321,7 +325,7 @@
             return;
         };
         let outcome = match self.home.known(key) {
-            Begin::Done(response) => Outcome::Whole(response),
+            Begin::Done(response) => Outcome::Completed(response),
             Begin::NotRun(reason) => self.not_run(reason),
             _ => Outcome::Unknown(Reason::RecordLost),
         };
--- a/crates/engine/src/identity.rs
+++ b/crates/engine/src/identity.rs
@@ -52,7 +52,7 @@
 fn check_key(now: Time, freshness: &Freshness, is_known: bool) -> Result<(), Reason> {
     match is_known {
         true if freshness.may_trust(now) => Ok(()),
-        false if freshness.is_complete(now) => Err(Reason::UnknownOrganisation),
+        false if freshness.may_reject_unknown_key(now) => Err(Reason::UnknownOrganisation),
         // It may have been revoked, or added.
         _ => Err(Reason::RulesUnconfirmed),
     }
--- a/crates/engine/src/io.rs
+++ b/crates/engine/src/io.rs
@@ -9,9 +9,9 @@
 use proto::Incarnation;
 use proto::Instance;
 use proto::Outcome;
-use proto::Progress;
 use proto::Request;
 use proto::RunId;
+use proto::SyncProgress;
 use rules::KeyDigest;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -253,7 +253,7 @@
         /// Its address.
         from: SocketAddr,
         /// What this node knows.
-        known: Progress,
+        known: SyncProgress,
     },
     /// Find out at once whether the store has newer rules; ends with an [`Input::RulesChecked`] or
     /// [`Input::RulesUnchecked`].
--- a/crates/engine/src/job.rs
+++ b/crates/engine/src/job.rs
@@ -7,9 +7,9 @@
 use policy::Account;
 use policy::Ended;
 use proto::ActionId;
-use proto::Below;
 use proto::CallId;
 use proto::Class;
+use proto::DownstreamSummary;
 use proto::Fingerprint;
 use proto::KeyHash;
 use proto::Request;
@@ -90,8 +90,8 @@
     }
 
     /// What the run has met so far in the calls that it made.
-    pub(crate) fn below(&self) -> Below {
-        Below {
+    pub(crate) fn below(&self) -> DownstreamSummary {
+        DownstreamSummary {
             level: self.met.values().copied().max().unwrap_or(0),
             calls: self.calls_below,
         }
--- a/crates/engine/src/log.rs
+++ b/crates/engine/src/log.rs
@@ -130,11 +130,11 @@
     }
 
     fn on_rules(&mut self, now: Time) {
-        let limit = self.journal.rules.limit(&self.me.service);
+        let limit = self.journal.rules.service_limits(&self.me.service);
         let operations = || self.journal.rules.all_operations();
         let longest = operations().map(|operation| operation.deadline).max();
         let ranks = match self.cfg.policy.ranks {
-            true => Ranks::new(self.journal.rules.standings()),
+            true => Ranks::new(self.journal.rules.class_priorities()),
             false => Ranks::default(),
         };
         self.server.set_ranks(ranks.clone());
--- a/crates/engine/src/note.rs
+++ b/crates/engine/src/note.rs
@@ -163,7 +163,7 @@
 impl Ending {
     pub(crate) fn of(outcome: &Outcome) -> Self {
         match outcome {
-            Outcome::Whole(response) => Ending::Whole(response.status),
+            Outcome::Completed(response) => Ending::Whole(response.status),
             Outcome::NotRun(refusal) => Ending::NotRun(refusal.reason),
             Outcome::Unknown(reason) => Ending::Unknown(*reason),
         }
--- a/crates/engine/src/operation_key.rs
+++ b/crates/engine/src/operation_key.rs
@@ -7,5 +7,5 @@
 pub(crate) type OperationKey = (Arc<str>, u32);
 
 pub(crate) fn operation_key(operation: &Operation) -> OperationKey {
-    (operation.service.clone(), operation.asked.line)
+    (operation.service.clone(), operation.origin.line)
 }
--- a/crates/engine/src/outgoing.rs
+++ b/crates/engine/src/outgoing.rs
@@ -68,7 +68,7 @@
     /// another key, and get two.
     pub(crate) fn unjudged(&self, refusal: Refusal) -> Refusal {
         if self.key.is_some() && !self.fresh {
-            refusal.of_this_attempt()
+            refusal.for_attempt_only()
         } else {
             refusal
         }
--- a/crates/engine/src/own_server.rs
+++ b/crates/engine/src/own_server.rs
@@ -196,7 +196,7 @@
     /// The bounds of the rules; a server that tells its slots is never given more than those,
     /// because what it has to queue, or can't, it may never answer.
     pub(crate) fn set_server_bounds(&mut self) {
-        let limit = self.journal.rules.limit(&self.me.service);
+        let limit = self.journal.rules.service_limits(&self.me.service);
         let slots = self.own_server.as_ref().map(|known| known.heartbeat.slots);
         let most = slots.map_or(limit.max_concurrency, |slots| {
             below_knee(slots).min(limit.max_concurrency)
--- a/crates/engine/src/quarantine.rs
+++ b/crates/engine/src/quarantine.rs
@@ -152,7 +152,7 @@
         let peers = self.members.usable(&service);
         let peers: Vec<Instance> = peers.map(|peer| peer.instance.clone()).collect();
         for peer in peers {
-            let frame = Frame::Suspect {
+            let frame = Frame::CrashReport {
                 service: service.clone(),
                 request,
                 crashes,
--- a/crates/engine/src/quota.rs
+++ b/crates/engine/src/quota.rs
@@ -8,11 +8,11 @@
 use indexmap::IndexMap;
 use organisation::group_of;
 use organisation::Borrower;
-use organisation::Credit;
 use organisation::Lender;
 use organisation::LoanRequest;
-use organisation::QuotaBounds;
-use organisation::GROUPS;
+use organisation::QuotaToken;
+use organisation::QuotaTolerance;
+use organisation::GROUP_COUNT;
 use proto::hash64;
 use proto::Datagram;
 use proto::Incarnation;
@@ -56,19 +56,19 @@
     /// Organisations that were given tokens back, which may admit requests that wait.
     returned: Vec<OrganisationId>,
     /// The lender of each group, and the number of nodes that vote.
-    elected: [Option<Incarnation>; GROUPS as usize],
+    elected: [Option<Incarnation>; GROUP_COUNT as usize],
     voters: usize,
     elected_at: Option<Time>,
 }
 
 impl QuotaLink {
-    pub(crate) fn new(bounds: QuotaBounds) -> Self {
+    pub(crate) fn new(bounds: QuotaTolerance) -> Self {
         Self {
             borrower: Borrower::new(bounds),
             lender: Lender::new(bounds),
             waiting: IndexMap::new(),
             returned: Vec::new(),
-            elected: [None; GROUPS as usize],
+            elected: [None; GROUP_COUNT as usize],
             voters: 1,
             elected_at: None,
         }
@@ -126,7 +126,7 @@
             return;
         }
         self.elect(now);
-        for group in 0..GROUPS {
+        for group in 0..GROUP_COUNT {
             let mut lender = self.quota.elected[usize::from(group)];
             if lender.is_some_and(|lender| self.quota.borrower.avoids(now, group, lender)) {
                 lender = self.elected(now, group);
@@ -144,7 +144,7 @@
         }
         self.quota.elected_at = Some(now);
         self.quota.voters = self.members.voters(now);
-        for group in 0..GROUPS {
+        for group in 0..GROUP_COUNT {
             self.quota.elected[usize::from(group)] = self.elected(now, group);
         }
     }
@@ -165,14 +165,14 @@
     fn ask_lender(&mut self, now: Time, group: u8, loans: LoanRequest) {
         let LoanRequest {
             lender,
-            number,
-            vote,
+            request_id,
+            vote_stamp,
             wanted,
         } = loans;
         let me = self.me.incarnation;
         if lender == me {
-            let (stamp, lent) = self.lend(now, group, me, vote, &wanted);
-            return self.on_lent(now, me, group, number, stamp, &lent);
+            let (stamp, loans) = self.lend(now, group, me, vote_stamp, &wanted);
+            return self.on_lent(now, me, group, request_id, stamp, &loans);
         }
         let Some(peer) = self.members.get(lender) else {
             return;
@@ -182,8 +182,8 @@
             from: me,
             to: lender,
             group,
-            number,
-            vote,
+            request_id,
+            vote_stamp,
             wanted,
         };
         self.send_quota(to, message);
@@ -196,19 +196,19 @@
                 from,
                 to,
                 group,
-                number,
-                vote,
+                request_id,
+                vote_stamp,
                 wanted,
-            } if to == me && group < GROUPS => {
+            } if to == me && group < GROUP_COUNT => {
                 self.elect(now);
-                let (stamp, lent) = self.lend(now, group, from, vote, &wanted);
+                let (stamp, loans) = self.lend(now, group, from, vote_stamp, &wanted);
                 let message = QuotaMessage::Lend {
                     from: me,
                     to: from,
                     group,
-                    number,
+                    request_id,
                     stamp,
-                    lent,
+                    loans,
                 };
                 self.send_quota(addr, message);
             }
@@ -216,27 +216,27 @@
                 from,
                 to,
                 group,
-                number,
+                request_id,
                 stamp,
-                lent,
-            } if to == me && group < GROUPS => {
-                self.on_lent(now, from, group, number, stamp, &lent);
+                loans,
+            } if to == me && group < GROUP_COUNT => {
+                self.on_lent(now, from, group, request_id, stamp, &loans);
             }
             // For an earlier incarnation at this address, which lends nothing any more and holds no vote.
             QuotaMessage::Borrow {
                 from,
                 to,
                 group,
-                number,
+                request_id,
                 ..
             } => {
                 let message = QuotaMessage::Lend {
                     from: to,
                     to: from,
                     group,
-                    number,
+                    request_id,
                     stamp: 0,
-                    lent: Vec::new(),
+                    loans: Vec::new(),
                 };
                 self.send_quota(addr, message);
             }
@@ -293,7 +293,7 @@
         let waiting = waiting.filter(|(_, (organisation, _))| *organisation == id);
         let tokens: Vec<Token> = waiting.map(|(token, _)| *token).collect();
         for token in tokens {
-            match self.quota.borrower.take_waiting(now, id) {
+            match self.quota.borrower.try_spend_waiting(now, id) {
                 Some(credit) => {
                     if let Some((_, arrival)) = self.quota.waiting.shift_remove(&token) {
                         self.on_credit(now, arrival, credit);
@@ -305,11 +305,11 @@
     }
 
     /// A request did not run, so its token may admit another one.
-    pub(crate) fn return_credit(&mut self, now: Time, credit: Option<Credit>) {
+    pub(crate) fn return_credit(&mut self, now: Time, credit: Option<QuotaToken>) {
         let Some(credit) = credit else {
             return;
         };
-        self.quota.borrower.put_back(now, credit);
+        self.quota.borrower.refund(now, credit);
         if self.quota.has_waiting() {
             self.quota.returned.push(credit.organisation);
         }
@@ -325,7 +325,7 @@
         if self.quota.waiting.len() >= MAX_WAITING {
             return self.refuse_for_quota(arrival, Reason::QuotaUnknown);
         }
-        self.quota.borrower.wait(now, organisation);
+        self.quota.borrower.start_waiting(now, organisation);
         let token = arrival.token;
         self.quota.waiting.insert(token, (organisation, arrival));
     }
@@ -351,7 +351,7 @@
 
     fn refuse_waiting(&mut self, token: Token) {
         if let Some((organisation, arrival)) = self.quota.waiting.shift_remove(&token) {
-            let reason = match self.quota.borrower.was_short(organisation) {
+            let reason = match self.quota.borrower.lender_was_short(organisation) {
                 true => Reason::QuotaExceeded,
                 false => Reason::QuotaUnknown,
             };
@@ -371,7 +371,7 @@
     /// A node that stops lends no more, and says so to whoever asks.
     pub(crate) fn resign_lender(&mut self, now: Time) {
         let voters = self.quota.voters;
-        self.quota.lender.resign(now, voters);
+        self.quota.lender.release_votes(now, voters);
         self.quota.forget_election();
     }
 
--- a/crates/engine/src/request.rs
+++ b/crates/engine/src/request.rs
@@ -1,7 +1,7 @@
 //! A request from a caller or from the own backend server, as its entry holds it.
 
 use crate::Token;
-use organisation::Credit;
+use organisation::QuotaToken;
 use policy::Account;
 use proto::ActionId;
 use proto::CallId;
@@ -32,7 +32,7 @@
     pub(crate) made_key: Option<Arc<str>>,
     pub(crate) operation: Operation,
     /// The token of its organisation's quota that it was admitted with.
-    pub(crate) credit: Option<Credit>,
+    pub(crate) credit: Option<QuotaToken>,
     /// What was sent, for a request whose re-sends may wait for it.
     pub(crate) sent: Option<Sent>,
     /// Requests that wait for this one's answer.
@@ -109,6 +109,6 @@
     pub(crate) made_key: Option<Arc<str>>,
     /// Each attempt below counts as a retry.
     pub(crate) again: bool,
-    pub(crate) credit: Option<Credit>,
+    pub(crate) credit: Option<QuotaToken>,
     pub(crate) sent: Option<Sent>,
 }
--- a/crates/engine/src/serve.rs
+++ b/crates/engine/src/serve.rs
@@ -20,19 +20,19 @@
 use policy::Ticket;
 use proto::ActionId;
 use proto::Answer;
-use proto::Below;
 use proto::Call;
 use proto::CallId;
+use proto::CallRole;
+use proto::DownstreamSummary;
 use proto::Fingerprint;
 use proto::Frame;
 use proto::Incarnation;
 use proto::KeyHash;
-use proto::Leg;
 use proto::Outcome;
 use proto::Reason;
 use proto::Refusal;
 use proto::RunId;
-use rules::Rule;
+use rules::MatchedRule;
 use std::sync::Arc;
 use std::time::Duration;
 use stdx::Time;
@@ -69,23 +69,23 @@
             Seen::Forgotten => return self.answer_forgotten(from, call.id),
             Seen::Never => {}
         }
-        match call.leg {
-            Leg::Serve => self.serve(now, call),
-            Leg::Home => self.on_home_call(now, call),
+        match call.role {
+            CallRole::Serve => self.serve(now, call),
+            CallRole::Home => self.on_home_call(now, call),
         }
     }
 
     fn serve(&mut self, now: Time, call: Call) {
         if self.stopping {
             let outcome = self.not_run(Reason::Draining);
-            return self.answer_call(call.id, call.allowance, outcome);
+            return self.answer_call(call.id, call.retry_allowance, outcome);
         }
         if !self.server_is_open() {
             let outcome = self.not_run(Reason::Draining);
-            return self.answer_call(call.id, call.allowance, outcome);
+            return self.answer_call(call.id, call.retry_allowance, outcome);
         }
         if !self.has_rules() {
-            return self.answer_call(call.id, call.allowance, self.not_run(Reason::NoRules));
+            return self.answer_call(call.id, call.retry_allowance, self.not_run(Reason::NoRules));
         }
         let id = call.id;
         let run = self.new_job(now, JobOwner::Call(id), call);
@@ -106,15 +106,15 @@
         };
         let request = call.request;
         let rules = &self.journal.rules;
-        let operation = rules.decide(&request).map(Rule::operation);
+        let operation = rules.match_rule(&request).map(MatchedRule::operation);
         let job = Job {
             owner,
             action: call.action,
-            dice: call.dice,
+            dice: call.admission_sample,
             depth: call.depth,
             deadline: now + Duration::from_millis(u64::from(call.remaining_ms)),
-            account: Account::new(call.allowance),
-            again: call.again,
+            account: Account::new(call.retry_allowance),
+            again: call.possible_repeat,
             operation: operation.map(operation_key),
             fingerprint: Fingerprint::of(&request),
             keyed: call.key.is_some(),
@@ -262,7 +262,7 @@
         let outcome = match end {
             RunEnd::Response(response) => {
                 self.clear_suspect(now, fingerprint);
-                Outcome::Whole(response)
+                Outcome::Completed(response)
             }
             // The next run would make the same child keys, which would not be new then. So a run
             // that made child calls is never taken for one that did not run.
@@ -318,7 +318,7 @@
             JobOwner::Call(call) => self.answer_call(call, unspent, outcome),
             JobOwner::Key(key) => self.end_key(now, key, unspent, outcome),
         }
-        self.run_below = Below::default();
+        self.run_below = DownstreamSummary::default();
         self.next_suspect(now, run);
     }
 
@@ -370,21 +370,21 @@
     fn answer_forgotten(&mut self, from: Incarnation, id: CallId) {
         let answer = Answer {
             outcome: Outcome::Unknown(Reason::PeerLost),
-            unspent: 0,
+            unspent_retries: 0,
             load: self.load_report(),
-            below: Below::default(),
+            downstream: DownstreamSummary::default(),
         };
         self.send_to(from, Frame::Answer(id, Box::new(answer)));
     }
 
     /// Answers an inbound call, once.
-    pub(crate) fn answer_call(&mut self, id: CallId, unspent: u16, outcome: Outcome) {
+    pub(crate) fn answer_call(&mut self, id: CallId, unspent_retries: u16, outcome: Outcome) {
         self.inbound.swap_remove(&id);
         let answer = Answer {
             outcome,
-            unspent,
+            unspent_retries,
             load: self.load_report(),
-            below: self.run_below,
+            downstream: self.run_below,
         };
         self.answered.insert(id, answer.clone());
         self.send_to(id.from, Frame::Answer(id, Box::new(answer)));
--- a/crates/engine/tests/announced.rs
+++ b/crates/engine/tests/announced.rs
@@ -16,10 +16,10 @@
 use proto::Reason;
 use proto::Request;
 use proto::RunId;
-use rules::Asked;
 use rules::Operation;
 use rules::Route;
 use rules::Routes;
+use rules::RuleOrigin;
 use rules::Rules;
 use std::sync::Arc;
 use std::time::Duration;
@@ -45,13 +45,13 @@
             priority: 0,
             retries: 1,
             public: false,
-            asked: Asked {
+            origin: RuleOrigin {
                 line: 1,
-                by: "Anna".into(),
+                requested_by: "Anna".into(),
             },
         },
         targets: vec![(service, 1)],
-        objective: Duration::from_secs(1),
+        latency_objective: Duration::from_secs(1),
     };
     let mut routes = Routes::default();
     routes.insert(&HOST.into(), file.into(), route);
--- a/crates/engine/tests/datagrams.rs
+++ b/crates/engine/tests/datagrams.rs
@@ -24,7 +24,7 @@
     };
     let datagram = Datagram::Member {
         version,
-        progress: proto::Progress::default(),
+        progress: proto::SyncProgress::default(),
         message: MemberMessage::Pull {
             digests: Vec::new(),
         },
--- a/crates/engine/tests/duplicates.rs
+++ b/crates/engine/tests/duplicates.rs
@@ -10,11 +10,11 @@
 use proto::ActionId;
 use proto::Call;
 use proto::CallId;
+use proto::CallRole;
 use proto::Class;
 use proto::Frame;
 use proto::Incarnation;
 use proto::Instance;
-use proto::Leg;
 use proto::Outcome;
 use proto::Request;
 use proto::Response;
@@ -61,17 +61,17 @@
             number,
         },
         action: ActionId(u128::from(number)),
-        dice: u16::MAX,
+        admission_sample: u16::MAX,
         class: Class::Lookup,
         priority: 0,
         passed_level: 0,
-        leg: Leg::Serve,
+        role: CallRole::Serve,
         remaining_ms: 5000,
-        allowance: 0,
-        again: false,
+        retry_allowance: 0,
+        possible_repeat: false,
         idempotent: true,
         key: None,
-        fresh: false,
+        first_attempt: false,
         depth: 0,
         request: Request::new("press", "GET", "/days", Bytes::new()),
     };
--- a/crates/engine/tests/levels.rs
+++ b/crates/engine/tests/levels.rs
@@ -10,14 +10,14 @@
 use journal::Record;
 use proto::ActionId;
 use proto::Answer;
-use proto::Below;
 use proto::Call;
 use proto::CallId;
+use proto::CallRole;
 use proto::Class;
+use proto::DownstreamSummary;
 use proto::Frame;
 use proto::Incarnation;
 use proto::Instance;
-use proto::Leg;
 use proto::LoadReport;
 use proto::Outcome;
 use proto::Reason;
@@ -92,7 +92,7 @@
     }
 
     /// A lookup of this value comes from its entry.
-    fn lookup(&mut self, dice: u16) -> Vec<Output> {
+    fn lookup(&mut self, admission_sample: u16) -> Vec<Output> {
         self.calls += 1;
         let call = Call {
             id: CallId {
@@ -100,17 +100,17 @@
                 number: self.calls,
             },
             action: ActionId(u128::from(self.calls)),
-            dice,
+            admission_sample,
             class: Class::Lookup,
             priority: 0,
             passed_level: 0,
-            leg: Leg::Serve,
+            role: CallRole::Serve,
             remaining_ms: 5000,
-            allowance: 0,
-            again: false,
+            retry_allowance: 0,
+            possible_repeat: false,
             idempotent: true,
             key: None,
-            fresh: false,
+            first_attempt: false,
             depth: 0,
             request: Request::new("status", "GET", "/orders", Bytes::new()),
         };
@@ -144,18 +144,18 @@
     /// The stock service answers a read and tells its level.
     fn answer(&mut self, read: &Call) {
         let answer = Answer {
-            outcome: Outcome::Whole(Response {
+            outcome: Outcome::Completed(Response {
                 status: 200,
                 headers: Vec::new(),
                 body: Bytes::new(),
             }),
-            unspent: 0,
+            unspent_retries: 0,
             load: LoadReport {
                 level: LEVEL,
                 limit: 16,
                 ..LoadReport::default()
             },
-            below: Below::default(),
+            downstream: DownstreamSummary::default(),
         };
         let frame = Frame::Answer(read.id, Box::new(answer));
         let from = Incarnation(u64::from(STOCK));
@@ -207,7 +207,11 @@
     });
     let answer = answer.expect("the lookup is answered at once");
     assert!(matches!(answer.outcome, Outcome::NotRun(refusal) if refusal.reason == Reason::Shed));
-    assert!(answer.below.level > LEVEL / 2, "{:?}", answer.below);
+    assert!(
+        answer.downstream.level > LEVEL / 2,
+        "{:?}",
+        answer.downstream
+    );
 }
 
 /// The calls of an action carry the level that it passed, so that the service below knows how many
@@ -238,7 +242,7 @@
     }
     node.lookup(HIGH_DICE);
     let late = |outputs: Vec<Output>| {
-        let late = |output: &Output| matches!(output, Output::Send { frame: Frame::Late(id), .. } if id.number == 21);
+        let late = |output: &Output| matches!(output, Output::Send { frame: Frame::SlowCall(id), .. } if id.number == 21);
         outputs.iter().any(late)
     };
     assert!(!late(node.wait(60)), "others take as long");
--- a/crates/engine/tests/load.rs
+++ b/crates/engine/tests/load.rs
@@ -9,8 +9,8 @@
 use bytes::Bytes;
 use journal::Record;
 use proto::Answer;
-use proto::Below;
 use proto::Call;
+use proto::DownstreamSummary;
 use proto::Frame;
 use proto::Incarnation;
 use proto::Instance;
@@ -116,13 +116,13 @@
     }
 
     /// Answers the oldest call.
-    fn reply(&mut self, outcome: Outcome, below: Below) {
+    fn reply(&mut self, outcome: Outcome, downstream: DownstreamSummary) {
         let (from, call) = self.calls.remove(0);
         let answer = Answer {
             outcome,
-            unspent: call.allowance,
+            unspent_retries: call.retry_allowance,
             load: LoadReport::default(),
-            below,
+            downstream,
         };
         let frame = Frame::Answer(call.id, Box::new(answer));
         self.input(Input::Frame { from, frame });
@@ -131,7 +131,7 @@
     /// The node of the oldest call says that its run takes longer than others.
     fn is_late(&mut self) {
         let (from, call) = &self.calls[0];
-        let (from, frame) = (*from, Frame::Late(call.id));
+        let (from, frame) = (*from, Frame::SlowCall(call.id));
         self.input(Input::Frame { from, frame });
     }
 
@@ -141,7 +141,7 @@
 }
 
 fn whole() -> Outcome {
-    Outcome::Whole(Response {
+    Outcome::Completed(Response {
         status: 200,
         headers: Vec::new(),
         body: Bytes::new(),
@@ -159,7 +159,7 @@
     entry.send(second.0, second.1);
     assert_eq!(entry.calls.len(), calls);
     for _ in 0..calls {
-        entry.reply(whole(), Below::default());
+        entry.reply(whole(), DownstreamSummary::default());
     }
     assert_eq!(entry.outcomes(), [whole(), whole()]);
 }
@@ -181,7 +181,7 @@
     let first = entry.send("a", "/p/1");
     let second = entry.send("a", "/p/1");
     entry.input(Input::CallerGone(first));
-    entry.reply(whole(), Below::default());
+    entry.reply(whole(), DownstreamSummary::default());
     assert!(entry.answers.contains(&(second, whole())));
 }
 
@@ -195,7 +195,7 @@
     entry.input(Input::CallerGone(second));
     let gone = Outcome::Unknown(Reason::CallerGone);
     assert_eq!(entry.answers, [(second, gone)]);
-    entry.reply(whole(), Below::default());
+    entry.reply(whole(), DownstreamSummary::default());
     assert_eq!(entry.answers.len(), 2);
 }
 
@@ -208,7 +208,7 @@
     for _ in 0..30 {
         entry.send("a", "/p/1");
         if !entry.calls.is_empty() {
-            entry.reply(not_run(Reason::Shed), Below::default());
+            entry.reply(not_run(Reason::Shed), DownstreamSummary::default());
         }
         let last = entry.outcomes().pop();
         limited += usize::from(
@@ -238,7 +238,7 @@
     for n in 0..20 {
         entry.wait(50);
         entry.send(&n.to_string(), "/p/1");
-        let below = Below {
+        let below = DownstreamSummary {
             level: 0x4000,
             calls: 3,
         };
@@ -259,9 +259,12 @@
 fn a_refused_retry_of_a_lost_attempt_is_unknown() {
     let mut entry = Entry::new();
     entry.send("a", "/p/1");
-    entry.reply(Outcome::Unknown(Reason::ServerLost), Below::default());
-    assert!(entry.calls[0].1.again);
-    entry.reply(not_run(Reason::Shed), Below::default());
+    entry.reply(
+        Outcome::Unknown(Reason::ServerLost),
+        DownstreamSummary::default(),
+    );
+    assert!(entry.calls[0].1.possible_repeat);
+    entry.reply(not_run(Reason::Shed), DownstreamSummary::default());
     assert_eq!(entry.outcomes(), [Outcome::Unknown(Reason::Shed)]);
 }
 
@@ -275,7 +278,7 @@
             entry.send(&n.to_string(), path);
             while !entry.calls.is_empty() {
                 attempts += 1;
-                entry.reply(not_run(Reason::ServerRefused), Below::default());
+                entry.reply(not_run(Reason::ServerRefused), DownstreamSummary::default());
             }
         }
         attempts
@@ -323,9 +326,9 @@
         entry.input(Input::Records(records));
     }
     entry.send("a", "/p/1");
-    let below = Below {
+    let below = DownstreamSummary {
         calls: 12,
-        ..Below::default()
+        ..DownstreamSummary::default()
     };
     entry.reply(whole(), below);
     entry
@@ -340,7 +343,7 @@
     let (_, call) = &entry.calls[0];
     let declared = 2;
     assert_eq!(
-        call.allowance,
+        call.retry_allowance,
         declared + 2,
         "none is kept, a second run would need twelve"
     );
@@ -353,7 +356,7 @@
     let mut entry = Entry::new();
     entry.send("a", "/p/1");
     let (_, call) = &entry.calls[0];
-    assert_eq!(call.allowance, 1);
+    assert_eq!(call.retry_allowance, 1);
 }
 
 /// The operator allows two retries of a call. What its action has left for others does not change that.
@@ -363,7 +366,7 @@
     entry.send("b", "/p/2");
     for _ in 0..3 {
         assert_eq!(entry.calls.len(), 1);
-        entry.reply(not_run(Reason::ServerRefused), Below::default());
+        entry.reply(not_run(Reason::ServerRefused), DownstreamSummary::default());
     }
     assert_eq!(entry.calls.len(), 0, "four instances, three attempts");
 }
@@ -379,7 +382,7 @@
     assert_ne!(entry.calls[0].0, entry.calls[1].0);
     assert_ne!(entry.calls[0].1.id, entry.calls[1].1.id);
     entry.calls.remove(0);
-    entry.reply(whole(), Below::default());
+    entry.reply(whole(), DownstreamSummary::default());
     assert_eq!(entry.outcomes(), [whole()]);
 }
 
@@ -391,9 +394,9 @@
     entry.send("b", "/p/x");
     entry.is_late();
     assert_eq!(entry.calls.len(), 2);
-    entry.reply(whole(), Below::default());
+    entry.reply(whole(), DownstreamSummary::default());
     assert_eq!(entry.outcomes(), [whole()]);
-    entry.reply(whole(), Below::default());
+    entry.reply(whole(), DownstreamSummary::default());
     assert_eq!(entry.outcomes(), []);
 }
 
@@ -405,10 +408,10 @@
     entry.is_late();
     assert_eq!(entry.calls.len(), 2);
     let first = entry.calls.remove(0);
-    entry.reply(not_run(Reason::Shed), Below::default());
+    entry.reply(not_run(Reason::Shed), DownstreamSummary::default());
     assert_eq!(entry.outcomes(), []);
     entry.calls.push(first);
-    entry.reply(whole(), Below::default());
+    entry.reply(whole(), DownstreamSummary::default());
     assert_eq!(entry.outcomes(), [whole()]);
 }
 
--- a/crates/engine/tests/log/driver.rs
+++ b/crates/engine/tests/log/driver.rs
@@ -9,7 +9,7 @@
 use proto::Incarnation;
 use proto::Instance;
 use proto::Outcome;
-use proto::Progress;
+use proto::SyncProgress;
 use std::net::SocketAddr;
 use std::time::Duration;
 use stdx::Time;
@@ -35,7 +35,7 @@
     /// How often the topic was to be read at once.
     pub reads: u32,
     /// Addresses that were asked for the state.
-    pub fetches: Vec<(SocketAddr, Progress)>,
+    pub fetches: Vec<(SocketAddr, SyncProgress)>,
     pub answers: Vec<Outcome>,
 }
 
--- a/crates/engine/tests/log/outage.rs
+++ b/crates/engine/tests/log/outage.rs
@@ -11,9 +11,9 @@
 use proto::Datagram;
 use proto::MemberMessage;
 use proto::Outcome;
-use proto::Progress;
 use proto::Reason;
 use proto::Request;
+use proto::SyncProgress;
 use proto::PROTOCOL_VERSION;
 use std::time::Duration;
 
@@ -75,7 +75,7 @@
             version: PROTOCOL_VERSION,
             progress: from.engine.journal().progress(),
             message: MemberMessage::Gossip {
-                rumours: Vec::new(),
+                updates: Vec::new(),
             },
         },
     }
@@ -88,9 +88,9 @@
     let peer = reader(2, 3);
     let mut d = cut_off(&[2]);
     assert_eq!(refusal(&mut d), Some(Reason::NoRules));
-    assert_eq!(d.fetches, [(instance(2).addr, Progress::default())]);
+    assert_eq!(d.fetches, [(instance(2).addr, SyncProgress::default())]);
 
-    let state = peer.engine.state_beyond(Progress::default()).unwrap();
+    let state = peer.engine.state_beyond(SyncProgress::default()).unwrap();
     d.feed(Input::PeerState(state));
     assert_eq!(d.engine.rules_version(), 3);
     assert!(!d.engine.is_listed());
@@ -146,7 +146,7 @@
 fn a_stale_state_is_refused() {
     let old = reader(2, 1)
         .engine
-        .state_beyond(Progress::default())
+        .state_beyond(SyncProgress::default())
         .unwrap();
     let mut d = reader(1, 2);
     d.feed(Input::PeerState(old.slice(..old.len() / 2)));
--- a/crates/engine/tests/refusals.rs
+++ b/crates/engine/tests/refusals.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use journal::Record;
 use proto::Answer;
-use proto::Below;
+use proto::DownstreamSummary;
 use proto::Frame;
 use proto::Incarnation;
 use proto::Instance;
@@ -89,8 +89,8 @@
                 sent += 1;
                 let answer = Answer {
                     outcome: Outcome::NotRun(Refusal::new(reason, Duration::from_secs(1))),
-                    unspent: 0,
-                    below: Below::default(),
+                    unspent_retries: 0,
+                    downstream: DownstreamSummary::default(),
                     load: LoadReport::default(),
                 };
                 let frame = Frame::Answer(id, Box::new(answer));
--- a/crates/journal/src/state.rs
+++ b/crates/journal/src/state.rs
@@ -4,7 +4,7 @@
 use indexmap::IndexMap;
 use proto::Incarnation;
 use proto::Instance;
-use proto::Progress;
+use proto::SyncProgress;
 use rules::Rules;
 use std::sync::Arc;
 use stdx::data;
@@ -57,10 +57,10 @@
 
 impl State {
     /// How much of what nodes share this state has.
-    pub fn progress(&self) -> Progress {
-        Progress {
-            version: self.version,
-            next: self.next,
+    pub fn progress(&self) -> SyncProgress {
+        SyncProgress {
+            rules_version: self.version,
+            next_offset: self.next,
         }
     }
 
--- a/crates/membership/src/digest.rs
+++ b/crates/membership/src/digest.rs
@@ -12,7 +12,7 @@
 use proto::Incarnation;
 use proto::MemberMessage;
 use proto::PeerState;
-use proto::Rumour;
+use proto::PeerUpdate;
 use std::net::SocketAddr;
 use stdx::Time;
 
@@ -79,7 +79,7 @@
         };
         let about_me = Some(self.my_rumour()).filter(|_| differs(self.me.incarnation));
         let peers = self.peers.iter().filter(|(id, _)| differs(**id));
-        let mut rumours: Vec<Rumour> = peers.map(|(_, entry)| Entry::rumour(entry)).collect();
+        let mut rumours: Vec<PeerUpdate> = peers.map(|(_, entry)| Entry::rumour(entry)).collect();
         // Whole buckets first, so that a pull that is cut short by the bound still makes some equal.
         rumours.sort_by_key(|rumour| bucket(rumour.instance.incarnation));
         let mut packets = vec![Packet::default()];
@@ -93,13 +93,13 @@
                 packets[last + 1].add(rumour);
             }
         }
-        for Packet { rumours, .. } in packets {
-            self.send(from, MemberMessage::News { rumours });
+        for Packet { updates, .. } in packets {
+            self.send(from, MemberMessage::PullReply { updates });
         }
     }
 
     /// Takes what a pull brought. There may be more: the next difference is asked for soon.
-    pub(crate) fn on_news(&mut self, now: Time, rumours: &[Rumour]) {
+    pub(crate) fn on_news(&mut self, now: Time, rumours: &[PeerUpdate]) {
         let before = self.effects.len();
         self.hear_all(now, rumours);
         let learned = self.effects[before..]
--- a/crates/membership/src/hear.rs
+++ b/crates/membership/src/hear.rs
@@ -6,19 +6,19 @@
 use proto::Incarnation;
 use proto::LoadReport;
 use proto::PeerState;
-use proto::Rumour;
+use proto::PeerUpdate;
 use std::net::SocketAddr;
 use stdx::Time;
 
 impl Membership {
-    pub(crate) fn hear_all(&mut self, now: Time, rumours: &[Rumour]) {
+    pub(crate) fn hear_all(&mut self, now: Time, rumours: &[PeerUpdate]) {
         for rumour in rumours {
             self.hear(now, rumour);
         }
     }
 
     /// Takes a message's sender: what it says of itself, and that it is there.
-    pub(crate) fn hear_sender(&mut self, now: Time, sender: &Rumour, load: LoadReport) {
+    pub(crate) fn hear_sender(&mut self, now: Time, sender: &PeerUpdate, load: LoadReport) {
         self.hear(now, sender);
         if let Some(entry) = self.peers.get_mut(&sender.instance.incarnation) {
             entry.heard = Some(now);
@@ -26,7 +26,7 @@
         }
     }
 
-    fn hear(&mut self, now: Time, rumour: &Rumour) {
+    fn hear(&mut self, now: Time, rumour: &PeerUpdate) {
         let instance = &rumour.instance;
         let incarnation = instance.incarnation;
         if incarnation == self.me.incarnation {
@@ -45,9 +45,9 @@
             None if rumour.state == PeerState::Dead => {}
             None => self.discover(now, rumour),
             Some(entry) if entry.is_news(rumour) => {
-                let turned = entry.peer.open != rumour.open;
-                self.set_open_of(incarnation, rumour.open);
-                self.set_state(now, incarnation, rumour.state, rumour.beat);
+                let turned = entry.peer.open != rumour.accepts_work;
+                self.set_open_of(incarnation, rumour.accepts_work);
+                self.set_state(now, incarnation, rumour.state, rumour.revision);
                 if turned {
                     let state = rumour.state;
                     self.effects.push(Effect::Changed { incarnation, state });
@@ -67,10 +67,10 @@
     }
 
     /// Only this node gives out its own beats, so a higher one overrides what others say of it.
-    fn refute(&mut self, rumour: &Rumour) {
+    fn refute(&mut self, rumour: &PeerUpdate) {
         let wrong = rumour.state != self.my_state();
-        if rumour.beat > self.beat || (rumour.beat == self.beat && wrong) {
-            self.raise_beat(rumour.beat);
+        if rumour.revision > self.beat || (rumour.revision == self.beat && wrong) {
+            self.raise_beat(rumour.revision);
         }
     }
 
@@ -80,7 +80,7 @@
         self.spread(self.me.incarnation);
     }
 
-    fn discover(&mut self, now: Time, rumour: &Rumour) {
+    fn discover(&mut self, now: Time, rumour: &PeerUpdate) {
         if self.peers.len() >= self.cfg.max_peers {
             return self.effects.push(Effect::TableFull);
         }
@@ -89,7 +89,7 @@
         self.spread(incarnation);
     }
 
-    pub(crate) fn enter(&mut self, now: Time, rumour: Rumour) {
+    pub(crate) fn enter(&mut self, now: Time, rumour: PeerUpdate) {
         let incarnation = rumour.instance.incarnation;
         let state = rumour.state;
         self.occupants.insert(rumour.instance.addr, incarnation);
--- a/crates/membership/src/members.rs
+++ b/crates/membership/src/members.rs
@@ -13,7 +13,7 @@
 use proto::LoadReport;
 use proto::MemberMessage;
 use proto::PeerState;
-use proto::Rumour;
+use proto::PeerUpdate;
 use rand::rngs::StdRng;
 use rand::seq::SliceRandom;
 use rand::SeedableRng;
@@ -143,10 +143,10 @@
                 seq,
                 digest,
                 load,
-                rumours,
+                updates,
             } => {
                 self.hear_sender(now, &sender, load);
-                self.hear_all(now, &rumours);
+                self.hear_all(now, &updates);
                 self.on_ping(from, &sender, seq);
                 self.compare(now, from, digest);
             }
@@ -155,17 +155,17 @@
                 seq,
                 digest,
                 load,
-                rumours,
+                updates,
             } => {
                 self.on_ack(now, &sender, seq, digest, load);
                 self.hear_sender(now, &sender, load);
-                self.hear_all(now, &rumours);
+                self.hear_all(now, &updates);
                 self.compare(now, sender.instance.addr, digest);
             }
             MemberMessage::PingReq { seq, target } => self.on_ping_req(from, seq, target),
-            MemberMessage::Gossip { rumours } => self.hear_all(now, &rumours),
+            MemberMessage::Gossip { updates } => self.hear_all(now, &updates),
             MemberMessage::Pull { digests } => self.on_pull(from, &digests),
-            MemberMessage::News { rumours } => self.on_news(now, &rumours),
+            MemberMessage::PullReply { updates } => self.on_news(now, &updates),
         }
         std::mem::take(&mut self.effects)
     }
@@ -213,8 +213,8 @@
             let told = self.peers.values().filter(recent).take(MAX_TOLD);
             let told: Vec<SocketAddr> = told.map(|entry| entry.peer.instance.addr).collect();
             for to in told {
-                let rumours = vec![self.my_rumour()];
-                self.send(to, MemberMessage::Gossip { rumours });
+                let updates = vec![self.my_rumour()];
+                self.send(to, MemberMessage::Gossip { updates });
             }
         }
         std::mem::take(&mut self.effects)
@@ -327,17 +327,17 @@
         }
     }
 
-    pub(crate) fn my_rumour(&self) -> Rumour {
-        Rumour {
+    pub(crate) fn my_rumour(&self) -> PeerUpdate {
+        PeerUpdate {
             instance: self.me.clone(),
             state: self.my_state(),
-            beat: self.beat,
-            open: self.open,
+            revision: self.beat,
+            accepts_work: self.open,
         }
     }
 
     /// The rumours for one datagram.
-    pub(crate) fn take_rumours(&mut self, first: Option<Rumour>) -> Vec<Rumour> {
+    pub(crate) fn take_rumours(&mut self, first: Option<PeerUpdate>) -> Vec<PeerUpdate> {
         let mine = self.my_rumour();
         self.rumours.take(first, |about| {
             if about == mine.instance.incarnation {
@@ -359,9 +359,9 @@
         }
         self.gossip_at = now + self.cfg.gossip_interval;
         for to in self.pick_helpers(self.cfg.gossip_fanout, None) {
-            let rumours = self.take_rumours(None);
-            if !rumours.is_empty() {
-                self.send(to, MemberMessage::Gossip { rumours });
+            let updates = self.take_rumours(None);
+            if !updates.is_empty() {
+                self.send(to, MemberMessage::Gossip { updates });
             }
         }
     }
--- a/crates/membership/src/probe.rs
+++ b/crates/membership/src/probe.rs
@@ -6,7 +6,7 @@
 use proto::LoadReport;
 use proto::MemberMessage;
 use proto::PeerState;
-use proto::Rumour;
+use proto::PeerUpdate;
 use rand::seq::SliceRandom;
 use rand::RngExt;
 use std::collections::VecDeque;
@@ -242,13 +242,13 @@
             seq,
             digest: self.digest(),
             load: self.load,
-            rumours: self.take_rumours(about),
+            updates: self.take_rumours(about),
         };
         self.send(addr, message);
         seq
     }
 
-    pub(crate) fn on_ping(&mut self, from: SocketAddr, sender: &Rumour, seq: u64) {
+    pub(crate) fn on_ping(&mut self, from: SocketAddr, sender: &PeerUpdate, seq: u64) {
         let about = self.peers.get(&sender.instance.incarnation);
         let about = about.map(Entry::rumour).filter(needs_refuting);
         let message = MemberMessage::Ack {
@@ -256,7 +256,7 @@
             seq,
             digest: self.digest(),
             load: self.load,
-            rumours: self.take_rumours(about),
+            updates: self.take_rumours(about),
         };
         self.send(from, message);
     }
@@ -270,7 +270,7 @@
     pub(crate) fn on_ack(
         &mut self,
         now: Time,
-        sender: &Rumour,
+        sender: &PeerUpdate,
         seq: u64,
         digest: u64,
         load: LoadReport,
@@ -284,7 +284,7 @@
                 seq,
                 digest,
                 load,
-                rumours: Vec::new(),
+                updates: Vec::new(),
             };
             self.send(to, ack);
         }
@@ -303,13 +303,13 @@
     }
 
     /// What this node says to a peer about itself, so that it can refute.
-    fn view_of(&self, addr: SocketAddr) -> Option<Rumour> {
+    fn view_of(&self, addr: SocketAddr) -> Option<PeerUpdate> {
         let occupant = self.occupants.get(&addr)?;
         let entry = self.peers.get(occupant)?;
         Some(entry.rumour()).filter(needs_refuting)
     }
 }
 
-fn needs_refuting(rumour: &Rumour) -> bool {
+fn needs_refuting(rumour: &PeerUpdate) -> bool {
     matches!(rumour.state, PeerState::Suspect | PeerState::Dead)
 }
--- a/crates/membership/src/roster.rs
+++ b/crates/membership/src/roster.rs
@@ -6,7 +6,7 @@
 use proto::Incarnation;
 use proto::Instance;
 use proto::PeerState;
-use proto::Rumour;
+use proto::PeerUpdate;
 use stdx::Time;
 
 impl Membership {
@@ -42,10 +42,10 @@
     }
 
     /// An earlier incarnation at this node's own address has ended; nobody knows that better.
-    pub(crate) fn disown(&mut self, now: Time, rumour: &Rumour) {
+    pub(crate) fn disown(&mut self, now: Time, rumour: &PeerUpdate) {
         let incarnation = rumour.instance.incarnation;
         if !self.peers.contains_key(&incarnation) {
-            let dead = Rumour {
+            let dead = PeerUpdate {
                 state: PeerState::Dead,
                 ..rumour.clone()
             };
@@ -56,7 +56,7 @@
     }
 
     /// `sender` has just answered at its address: whoever else is known there has ended.
-    pub(crate) fn settle_address(&mut self, now: Time, sender: &Rumour) {
+    pub(crate) fn settle_address(&mut self, now: Time, sender: &PeerUpdate) {
         let (addr, incarnation) = (sender.instance.addr, sender.instance.incarnation);
         if incarnation == self.me.incarnation || self.is_buried(incarnation) {
             return;
@@ -160,11 +160,11 @@
 }
 
 /// What a listed peer is taken for before it has said anything itself.
-fn listed_as(instance: &Instance, state: PeerState) -> Rumour {
-    Rumour {
+fn listed_as(instance: &Instance, state: PeerState) -> PeerUpdate {
+    PeerUpdate {
         instance: instance.clone(),
         state,
-        beat: 0,
-        open: true,
+        revision: 0,
+        accepts_work: true,
     }
 }
--- a/crates/membership/src/rumours.rs
+++ b/crates/membership/src/rumours.rs
@@ -2,7 +2,7 @@
 
 use indexmap::IndexMap;
 use proto::Incarnation;
-use proto::Rumour;
+use proto::PeerUpdate;
 
 /// The most bytes of rumours in one datagram; with the rest of a message it stays below 1,200
 /// bytes, which no usual path fragments.
@@ -28,9 +28,9 @@
     /// news about a peer that it does not know any more is dropped.
     pub(crate) fn take(
         &mut self,
-        first: Option<Rumour>,
-        whole: impl Fn(Incarnation) -> Option<Rumour>,
-    ) -> Vec<Rumour> {
+        first: Option<PeerUpdate>,
+        whole: impl Fn(Incarnation) -> Option<PeerUpdate>,
+    ) -> Vec<PeerUpdate> {
         let mut packet = Packet::default();
         if let Some(first) = first {
             packet.add(first);
@@ -55,25 +55,25 @@
                 self.left.insert(about, left - 1);
             }
         }
-        packet.rumours
+        packet.updates
     }
 }
 
 /// Rumours of one datagram.
 #[derive(Debug, Default)]
 pub(crate) struct Packet {
-    pub(crate) rumours: Vec<Rumour>,
+    pub(crate) updates: Vec<PeerUpdate>,
     bytes: usize,
 }
 
 impl Packet {
     /// Adds a rumour; `false` if there is no room for it.
-    pub(crate) fn add(&mut self, rumour: Rumour) -> bool {
+    pub(crate) fn add(&mut self, rumour: PeerUpdate) -> bool {
         let bytes = proto::encode(&rumour).len();
         let fits = self.bytes + bytes <= MAX_BYTES;
         if fits {
             self.bytes += bytes;
-            self.rumours.push(rumour);
+            self.updates.push(rumour);
         }
         fits
     }
--- a/crates/membership/src/table.rs
+++ b/crates/membership/src/table.rs
@@ -3,7 +3,7 @@
 use proto::Instance;
 use proto::LoadReport;
 use proto::PeerState;
-use proto::Rumour;
+use proto::PeerUpdate;
 use stdx::Time;
 
 /// What is known of a peer.
@@ -40,16 +40,16 @@
 }
 
 impl Entry {
-    pub(crate) fn new(now: Time, rumour: Rumour) -> Self {
+    pub(crate) fn new(now: Time, rumour: PeerUpdate) -> Self {
         let rumour_state = rumour.state;
         Self {
             peer: Peer {
                 instance: rumour.instance,
                 state: rumour.state,
                 load: LoadReport::default(),
-                open: rumour.open,
+                open: rumour.accepts_work,
             },
-            beat: rumour.beat,
+            beat: rumour.revision,
             left: rumour_state == PeerState::Leaving,
             listed: false,
             gone: false,
@@ -70,19 +70,19 @@
     }
 
     /// Whether a rumour says something newer than this entry.
-    pub(crate) fn is_news(&self, rumour: &Rumour) -> bool {
+    pub(crate) fn is_news(&self, rumour: &PeerUpdate) -> bool {
         if self.gone {
             return rumour.state == PeerState::Dead && !self.is_dead();
         }
-        (rumour.beat, rumour.state) > (self.beat, self.peer.state)
+        (rumour.revision, rumour.state) > (self.beat, self.peer.state)
     }
 
-    pub(crate) fn rumour(&self) -> Rumour {
-        Rumour {
+    pub(crate) fn rumour(&self) -> PeerUpdate {
+        PeerUpdate {
             instance: self.peer.instance.clone(),
             state: self.peer.state,
-            beat: self.beat,
-            open: self.peer.open,
+            revision: self.beat,
+            accepts_work: self.peer.open,
         }
     }
 }
--- a/crates/membership/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -193,9 +193,9 @@
     fn send(&mut self, from: usize, to: SocketAddr, message: MemberMessage) {
         let bytes = proto::encode(&Datagram::Member {
             version: PROTOCOL_VERSION,
-            progress: proto::Progress {
-                version: 1 << 20,
-                next: 1 << 20,
+            progress: proto::SyncProgress {
+                rules_version: 1 << 20,
+                next_offset: 1 << 20,
             },
             message: message.clone(),
         });
--- a/crates/membership/tests/probes.rs
+++ b/crates/membership/tests/probes.rs
@@ -10,7 +10,7 @@
 use proto::LoadReport;
 use proto::MemberMessage;
 use proto::PeerState;
-use proto::Rumour;
+use proto::PeerUpdate;
 use std::time::Duration;
 
 const ALIVE: Option<PeerState> = Some(PeerState::Alive);
@@ -158,22 +158,22 @@
     let mut fleet = Fleet::listed(14, 2);
     fleet.run(Duration::from_millis(100));
     fleet.nodes[1].up = false;
-    let from = Rumour {
+    let from = PeerUpdate {
         instance: Instance {
             incarnation: Incarnation(77),
             ..instance(1, 2, 2)
         },
         state: PeerState::Alive,
-        beat: 0,
-        open: true,
+        revision: 0,
+        accepts_work: true,
     };
-    let (digest, load, rumours) = (0, LoadReport::default(), Vec::new());
+    let (digest, load, updates) = (0, LoadReport::default(), Vec::new());
     let ping = MemberMessage::Ping {
         from: from.clone(),
         seq: 1,
         digest,
         load,
-        rumours: rumours.clone(),
+        updates: updates.clone(),
     };
     fleet.deliver(0, addr(1), ping);
     assert_eq!(fleet.state(0, 1), ALIVE);
@@ -186,7 +186,7 @@
         seq,
         digest,
         load,
-        rumours,
+        updates,
     };
     fleet.deliver(0, addr(1), ack);
     assert_eq!(fleet.state(0, 1), DEAD);
@@ -202,18 +202,18 @@
     fleet.run(secs(5));
     let mut old = instance(4, 2, 2);
     old.incarnation = Incarnation(3);
-    let rumours = vec![Rumour {
+    let updates = vec![PeerUpdate {
         instance: old,
         state: PeerState::Alive,
-        beat: 50,
-        open: true,
+        revision: 50,
+        accepts_work: true,
     }];
     for to in [0, 1, 2] {
         fleet.deliver(
             to,
             addr(5),
             MemberMessage::Gossip {
-                rumours: rumours.clone(),
+                updates: updates.clone(),
             },
         );
     }
--- a/crates/node/src/dialect/own.rs
+++ b/crates/node/src/dialect/own.rs
@@ -183,8 +183,8 @@
 
 fn not_run(reason: Reason, keyed: bool) -> Outcome {
     let refusal = Refusal::new(reason, Duration::from_secs(1));
-    if keyed && !reason.is_callers_mistake() {
-        return Outcome::NotRun(refusal.of_this_attempt());
+    if keyed && !reason.is_client_error() {
+        return Outcome::NotRun(refusal.for_attempt_only());
     }
     Outcome::NotRun(refusal)
 }
@@ -192,7 +192,7 @@
 fn respond(reply: Reply) -> HttpResponse<BoxBody> {
     let Reply { outcome, made_key } = reply;
     let mut response = match &outcome {
-        Outcome::Whole(whole) => {
+        Outcome::Completed(whole) => {
             let status = StatusCode::from_u16(whole.status).unwrap_or(StatusCode::BAD_GATEWAY);
             let mut response = HttpResponse::build(status);
             for (name, value) in &whole.headers {
@@ -206,7 +206,7 @@
             response.insert_header((OUTCOME_HEADER, outcome.name()));
             response.insert_header((ATTEMPT_HEADER, "not-run"));
             response.insert_header((REASON_HEADER, refusal.reason.name()));
-            if !refusal.reason.is_callers_mistake() {
+            if !refusal.reason.is_client_error() {
                 let seconds = refusal.retry_after_ms.div_ceil(1000).max(1);
                 response.insert_header(("retry-after", seconds.to_string()));
             }
--- a/crates/node/src/fetch.rs
+++ b/crates/node/src/fetch.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use engine::Input;
 use proto::Frame;
-use proto::Progress;
+use proto::SyncProgress;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
@@ -19,7 +19,7 @@
 const PATIENCE: Duration = Duration::from_secs(3);
 
 /// Asks the node at `addr`. It may be any incarnation, because a contact address names none.
-pub(crate) fn ask(shell: &Rc<Shell>, addr: SocketAddr, known: Progress) {
+pub(crate) fn ask(shell: &Rc<Shell>, addr: SocketAddr, known: SyncProgress) {
     let shell = shell.clone();
     actix_rt::spawn(async move {
         match timeout(PATIENCE, exchange(&shell, addr, known)).await {
@@ -29,7 +29,7 @@
     });
 }
 
-async fn exchange(shell: &Shell, addr: SocketAddr, known: Progress) -> Option<Bytes> {
+async fn exchange(shell: &Shell, addr: SocketAddr, known: SyncProgress) -> Option<Bytes> {
     let stream = TcpStream::connect(addr).await.ok()?;
     let mut wire = wire::frame_wire(stream);
     wire::write(&mut wire, &peers::hello_frame(shell, None))
--- a/crates/node/src/link/tests.rs
+++ b/crates/node/src/link/tests.rs
@@ -7,10 +7,10 @@
 use proto::ActionId;
 use proto::Call;
 use proto::CallId;
+use proto::CallRole;
 use proto::Class;
 use proto::Frame;
 use proto::Incarnation;
-use proto::Leg;
 use proto::Request;
 
 fn call(number: u64, size: usize) -> Frame {
@@ -20,17 +20,17 @@
             number,
         },
         action: ActionId(1),
-        dice: 0,
+        admission_sample: 0,
         class: Class::Lookup,
         priority: 0,
         passed_level: 0,
-        leg: Leg::Serve,
+        role: CallRole::Serve,
         remaining_ms: 1000,
-        allowance: 0,
-        again: false,
+        retry_allowance: 0,
+        possible_repeat: false,
         idempotent: true,
         key: None,
-        fresh: false,
+        first_attempt: false,
         depth: 0,
         request: Request::new("press", "GET", "/days", Bytes::from(vec![7; size])),
     }))
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -7,7 +7,7 @@
 
 use engine::Switches;
 use ini::Ini;
-use organisation::QuotaBounds;
+use organisation::QuotaTolerance;
 use policy::FleetRetries;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -73,7 +73,7 @@
     /// A revoked key is refused by every node within this time; unbounded without it.
     pub revocation: Option<Duration>,
     /// How strictly the quotas of organisations hold.
-    pub quotas: QuotaBounds,
+    pub quotas: QuotaTolerance,
     /// The mechanisms in force. No key sets this: all are on, but for experiments that ask otherwise
     /// on the command line.
     pub switches: Switches,
@@ -233,14 +233,14 @@
     })
 }
 
-fn quota_bounds(ini: &Ini) -> Result<QuotaBounds, SettingsError> {
-    let default = QuotaBounds::default();
+fn quota_bounds(ini: &Ini) -> Result<QuotaTolerance, SettingsError> {
+    let default = QuotaTolerance::default();
     let window = default.window.as_secs_f64();
     let window = QUOTA_WINDOW.or(ini, window, number(1.0, 300.0))?;
     let over = f64::from(default.over_permille) / 1000.0;
     let over = QUOTA_OVER.or(ini, over, number(0.0, 1.0))?;
     let slack = QUOTA_SLACK.or(ini, default.slack.into(), number(0.0, 1e6))?;
-    Ok(QuotaBounds {
+    Ok(QuotaTolerance {
         window: Duration::from_secs_f64(window),
         over_permille: (over * 1000.0) as u32,
         slack: slack as u32,
--- a/crates/node/tests/common/mod.rs
+++ b/crates/node/tests/common/mod.rs
@@ -225,5 +225,5 @@
     }
     slots
         .values()
-        .all(|slots| *slots == u32::from(proto::SLOTS))
+        .all(|slots| *slots == u32::from(proto::SLOT_COUNT))
 }
--- a/crates/once/src/home.rs
+++ b/crates/once/src/home.rs
@@ -19,7 +19,7 @@
 use proto::Incarnation;
 use proto::Instance;
 use proto::KeyHash;
-use proto::SLOTS;
+use proto::SLOT_COUNT;
 use std::collections::BTreeSet;
 use std::sync::Arc;
 use std::time::Duration;
@@ -92,7 +92,7 @@
             lease_awaited: Time::ZERO,
             fence: Fence::default(),
             log_heard: None,
-            slots: (0..SLOTS).map(|_| Slot::default()).collect(),
+            slots: (0..SLOT_COUNT).map(|_| Slot::default()).collect(),
             moving: BTreeSet::new(),
             records: Records::new(cfg.reserve_bytes),
             moved: IndexMap::new(),
@@ -213,7 +213,7 @@
     /// node leaves: the others take that as its word that it starts nothing any more.
     pub fn leave(&mut self, _now: Time) -> Vec<Effect> {
         self.leaving = true;
-        for slot in 0..SLOTS {
+        for slot in 0..SLOT_COUNT {
             self.recall(slot);
         }
         std::mem::take(&mut self.out)
@@ -294,7 +294,7 @@
 
     /// Enters the moves of slots from or to this node.
     fn move_slots(&mut self, now: Time, old: Option<&View>, view: &View) {
-        for slot in 0..SLOTS {
+        for slot in 0..SLOT_COUNT {
             let before = old.and_then(|old| owner(&old.members, slot));
             let after = owner(&view.members, slot);
             if before.map(|owner| owner.incarnation) == after.map(|owner| owner.incarnation) {
--- a/crates/once/src/records.rs
+++ b/crates/once/src/records.rs
@@ -7,7 +7,7 @@
 use proto::KeyRecord;
 use proto::RecordState;
 use proto::Response;
-use proto::SLOTS;
+use proto::SLOT_COUNT;
 use std::collections::BTreeSet;
 use std::time::Duration;
 use stdx::Time;
@@ -67,7 +67,7 @@
     /// An empty table that keeps `reserve` bytes free for the response of each run here.
     pub(crate) fn new(reserve: usize) -> Self {
         Self {
-            slots: vec![IndexMap::new(); usize::from(SLOTS)],
+            slots: vec![IndexMap::new(); usize::from(SLOT_COUNT)],
             ends: BTreeSet::new(),
             reserve,
             bytes: 0,
--- a/crates/once/src/transfers.rs
+++ b/crates/once/src/transfers.rs
@@ -152,7 +152,7 @@
         }
         if transfer.parts == 1 {
             // All is known that the giver knew, and it had stopped.
-            held.doubt_until = now + from_ms(transfer.doubt_ms);
+            held.doubt_until = now + from_ms(transfer.uncertain_ms);
             held.doubted = None;
         }
         for record in transfer.records {
@@ -218,7 +218,7 @@
         }
         let parts = split(records, self.cfg.part_bytes);
         let count = u16::try_from(parts.len()).unwrap_or(u16::MAX);
-        let doubt_ms = to_ms(now.until(held.doubt_until));
+        let uncertain_ms = to_ms(now.until(held.doubt_until));
         let parts = parts.into_iter().zip(0..count);
         parts
             .map(|(records, part)| SlotTransfer {
@@ -229,7 +229,7 @@
                 part,
                 parts: count,
                 records,
-                doubt_ms,
+                uncertain_ms,
             })
             .collect()
     }
@@ -299,7 +299,7 @@
 /// Takes a part; whether all are there.
 fn take_part(now: Time, receive: &mut Receive, transfer: SlotTransfer) -> bool {
     receive.expected = Some(transfer.parts);
-    receive.doubt_until = now + from_ms(transfer.doubt_ms);
+    receive.doubt_until = now + from_ms(transfer.uncertain_ms);
     receive.parts.insert(transfer.part, transfer.records);
     receive.is_complete()
 }
--- a/crates/once/tests/common/mod.rs
+++ b/crates/once/tests/common/mod.rs
@@ -339,6 +339,6 @@
     pub fn all_ready(&self) -> bool {
         let ready: IndexSet<u64> = self.members().iter().map(|m| m.incarnation.0).collect();
         let ready = self.ready().into_iter().filter(|(n, _)| ready.contains(n));
-        ready.map(|(_, ready)| ready).sum::<usize>() == usize::from(proto::SLOTS)
+        ready.map(|(_, ready)| ready).sum::<usize>() == usize::from(proto::SLOT_COUNT)
     }
 }
--- a/crates/organisation/src/borrower.rs
+++ b/crates/organisation/src/borrower.rs
@@ -5,8 +5,8 @@
 
 use crate::lender::VOTE_LEASE;
 use crate::pool::Pool;
-use crate::QuotaBounds;
-use crate::GROUPS;
+use crate::QuotaTolerance;
+use crate::GROUP_COUNT;
 use indexmap::IndexMap;
 use proto::Incarnation;
 use proto::Loan;
@@ -42,7 +42,7 @@
 
 /// A token that was spent on a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Credit {
+pub struct QuotaToken {
     /// Whose.
     pub organisation: OrganisationId,
     /// Until when it could be spent.
@@ -55,9 +55,9 @@
     /// Who is asked.
     pub lender: Incarnation,
     /// The question's number.
-    pub number: u64,
+    pub request_id: u64,
     /// The stamp that lends this node's vote; 0 if it is not lent.
-    pub vote: u64,
+    pub vote_stamp: u64,
     /// How many tokens are asked for.
     pub wanted: Vec<(OrganisationId, u16)>,
 }
@@ -126,7 +126,7 @@
 /// What this node borrows.
 #[derive(Debug)]
 pub struct Borrower {
-    bounds: QuotaBounds,
+    bounds: QuotaTolerance,
     /// When this node began. An earlier incarnation at its place may have lent its vote until
     /// [`VOTE_LEASE`] later.
     began: Option<Time>,
@@ -134,52 +134,56 @@
     active: bool,
     pools: IndexMap<OrganisationId, Pool>,
     ballots: Vec<Ballot>,
-    number: u64,
+    last_request_id: u64,
 }
 
 impl Borrower {
     /// A borrower without tokens.
-    pub fn new(bounds: QuotaBounds) -> Self {
+    pub fn new(bounds: QuotaTolerance) -> Self {
         Self {
             bounds,
             began: None,
             active: false,
             pools: IndexMap::new(),
-            ballots: (0..GROUPS).map(|_| Ballot::new()).collect(),
-            number: 0,
+            ballots: (0..GROUP_COUNT).map(|_| Ballot::new()).collect(),
+            last_request_id: 0,
         }
     }
 
     /// Spends a token on a request that has come.
-    pub fn take(
+    pub fn try_spend(
         &mut self,
         now: Time,
         organisation: OrganisationId,
         quota: Quota,
-    ) -> Option<Credit> {
+    ) -> Option<QuotaToken> {
         let pool = self.pool(organisation, quota);
         pool.demand.add(now);
         let expires = pool.take(now);
         self.note_need(now, organisation);
-        expires.map(|expires| Credit {
+        expires.map(|expires| QuotaToken {
             organisation,
             expires,
         })
     }
 
     /// Spends a token on a request that waits.
-    pub fn take_waiting(&mut self, now: Time, organisation: OrganisationId) -> Option<Credit> {
+    pub fn try_spend_waiting(
+        &mut self,
+        now: Time,
+        organisation: OrganisationId,
+    ) -> Option<QuotaToken> {
         let pool = self.pools.get_mut(&organisation)?;
         let expires = pool.take(now)?;
         pool.waiting = pool.waiting.saturating_sub(1);
-        Some(Credit {
+        Some(QuotaToken {
             organisation,
             expires,
         })
     }
 
     /// A request waits for a token.
-    pub fn wait(&mut self, now: Time, organisation: OrganisationId) {
+    pub fn start_waiting(&mut self, now: Time, organisation: OrganisationId) {
         if let Some(pool) = self.pools.get_mut(&organisation) {
             pool.waiting += 1;
             self.note_need(now, organisation);
@@ -194,7 +198,7 @@
     }
 
     /// Gives back a token whose request did not run.
-    pub fn put_back(&mut self, now: Time, credit: Credit) {
+    pub fn refund(&mut self, now: Time, credit: QuotaToken) {
         if let Some(pool) = self.pools.get_mut(&credit.organisation) {
             if credit.expires > now {
                 pool.put(credit.expires, 1);
@@ -203,7 +207,7 @@
     }
 
     /// Whether the lender had too few tokens when it was asked last.
-    pub fn was_short(&self, organisation: OrganisationId) -> bool {
+    pub fn lender_was_short(&self, organisation: OrganisationId) -> bool {
         let pool = self.pools.get(&organisation);
         pool.is_some_and(|pool| pool.short_until.is_some())
     }
@@ -249,26 +253,26 @@
         let is_free = ballot
             .bound
             .is_none_or(|(to, until)| to == lender || now >= until);
-        let vote = match is_free && now >= began + VOTE_LEASE {
+        let vote_stamp = match is_free && now >= began + VOTE_LEASE {
             true => ballot.stamp,
             false => 0,
         };
-        if vote != 0 {
+        if vote_stamp != 0 {
             ballot.bound = Some((lender, now + VOTE_LEASE));
         }
         ballot.vote_due = now + VOTE_INTERVAL;
-        self.number += 1;
-        let number = self.number;
+        self.last_request_id += 1;
+        let request_id = self.last_request_id;
         let question = Question {
             sent: now,
             is_for_lender: true,
             wanted: wanted.clone(),
         };
-        ballot.in_flight.insert(number, question);
+        ballot.in_flight.insert(request_id, question);
         Some(LoanRequest {
             lender,
-            number,
-            vote,
+            request_id,
+            vote_stamp,
             wanted,
         })
     }
@@ -293,20 +297,20 @@
         ballots.min()
     }
 
-    /// A lender's answer to question `number`. Says which organisations have more tokens, or none.
+    /// A lender's answer to request `request_id`. Says which organisations have more tokens, or none.
     pub fn on_lend(
         &mut self,
         now: Time,
         from: Incarnation,
         group: u8,
-        number: u64,
+        request_id: u64,
         stamp: u64,
         loans: &[Loan],
     ) -> Vec<Loan> {
         let Some(ballot) = self.ballots.get_mut(usize::from(group)) else {
             return Vec::new();
         };
-        let Some(question) = ballot.in_flight.swap_remove(&number) else {
+        let Some(question) = ballot.in_flight.swap_remove(&request_id) else {
             return Vec::new();
         };
         if question.is_for_lender {
@@ -363,7 +367,7 @@
         if expires > now {
             pool.put(expires, loan.tokens.into());
         }
-        pool.plenty = loan.plenty;
+        pool.has_surplus = loan.has_surplus;
         let wait = Duration::from_millis(loan.wait_ms.into()).clamp(MIN_SHORT, MAX_SHORT);
         pool.short_until = (loan.wait_ms > 0).then(|| now + wait);
         if pool.waiting > u32::from(loan.tokens) {
--- a/crates/organisation/src/freshness.rs
+++ b/crates/organisation/src/freshness.rs
@@ -54,13 +54,13 @@
 
 /// What to do now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Step {
+pub enum FreshnessAction {
     /// Find out from the store whether there are newer rules.
-    AskStore,
+    QueryStore,
     /// Ask a peer.
-    AskPeer {
+    QueryPeer {
         /// To be repeated in the answer.
-        number: u64,
+        request_id: u64,
         /// How many were asked in vain before; whoever sends the question chooses the peer by it.
         attempt: u32,
     },
@@ -75,7 +75,7 @@
     confirmed: Option<Time>,
     due: Time,
     attempt: u32,
-    number: u64,
+    last_request_id: u64,
     asked: Bounded<u64, Time>,
     store_asked: Option<Time>,
     store_due: Time,
@@ -89,7 +89,7 @@
             confirmed: None,
             due: Time::ZERO,
             attempt: 0,
-            number: 0,
+            last_request_id: 0,
             asked: Bounded::new(MAX_ASKED),
             store_asked: None,
             store_due: Time::ZERO,
@@ -121,7 +121,7 @@
     }
 
     /// Whether a key that the rules do not hold is known to be none.
-    pub fn is_complete(&self, now: Time) -> bool {
+    pub fn may_reject_unknown_key(&self, now: Time) -> bool {
         self.is_within(now, COMPLETE)
     }
 
@@ -138,7 +138,7 @@
     }
 
     /// What to do now. `leads` says whether this node asks the store for its failure domain.
-    pub fn tick(&mut self, now: Time, leads: bool, rng: &mut StdRng) -> Vec<Step> {
+    pub fn tick(&mut self, now: Time, leads: bool, rng: &mut StdRng) -> Vec<FreshnessAction> {
         let mut steps = Vec::new();
         if self.bound.is_none() {
             return steps;
@@ -158,13 +158,13 @@
                 true => now + INTERVAL,
                 false => now + DIRECT_INTERVAL.mul_f64(rng.random_range(1.0..2.0)),
             };
-            steps.push(Step::AskStore);
+            steps.push(FreshnessAction::QueryStore);
         }
         if (old || !leads) && now >= self.due {
-            self.number += 1;
-            self.asked.insert(self.number, now);
-            steps.push(Step::AskPeer {
-                number: self.number,
+            self.last_request_id += 1;
+            self.asked.insert(self.last_request_id, now);
+            steps.push(FreshnessAction::QueryPeer {
+                request_id: self.last_request_id,
                 attempt: self.attempt,
             });
             self.attempt = self.attempt.saturating_add(1);
@@ -199,14 +199,14 @@
         self.store_due = self.store_due.min(now + READ_AGAIN);
     }
 
-    /// A peer that holds no newer rules than this node answered question `number`: its rules were the newest
+    /// A peer that holds no newer rules than this node answered query `request_id`: its rules were the newest
     /// `age` before it answered.
-    pub fn on_report(&mut self, now: Time, number: u64, age: Duration) {
-        let Some(asked) = self.asked.get(&number).copied() else {
+    pub fn on_report(&mut self, now: Time, request_id: u64, age: Duration) {
+        let Some(asked) = self.asked.get(&request_id).copied() else {
             return;
         };
         self.confirm_before(asked, age);
-        if number != self.number {
+        if request_id != self.last_request_id {
             return;
         }
         let current = self.age(now).unwrap_or(Duration::MAX);
--- a/crates/organisation/src/lender.rs
+++ b/crates/organisation/src/lender.rs
@@ -4,7 +4,7 @@
 //! may give out the part of each quota that its votes are of all nodes. So however nodes disagree about who
 //! lends, in a partition or after a loss, the parts never add up to more than the whole.
 
-use crate::QuotaBounds;
+use crate::QuotaTolerance;
 use crate::Terms;
 use indexmap::IndexMap;
 use proto::Incarnation;
@@ -103,13 +103,13 @@
 /// What this node lends.
 #[derive(Debug)]
 pub struct Lender {
-    bounds: QuotaBounds,
+    bounds: QuotaTolerance,
     groups: IndexMap<u8, Group>,
 }
 
 impl Lender {
     /// A lender without votes.
-    pub fn new(bounds: QuotaBounds) -> Self {
+    pub fn new(bounds: QuotaTolerance) -> Self {
         Self {
             bounds,
             groups: IndexMap::new(),
@@ -138,7 +138,7 @@
     }
 
     /// Gives back all votes: this node is about to stop. Their owners may lend them to others at once.
-    pub fn resign(&mut self, now: Time, voters: usize) {
+    pub fn release_votes(&mut self, now: Time, voters: usize) {
         for group in self.groups.values_mut() {
             group.count(now, voters);
             group.votes.clear();
@@ -173,7 +173,7 @@
             organisation,
             tokens,
             wait_ms: wait.as_millis() as u16,
-            plenty: bucket.tokens >= terms.depth * share * PLENTY && tokens == wanted,
+            has_surplus: bucket.tokens >= terms.depth * share * PLENTY && tokens == wanted,
         }
     }
 
--- a/crates/organisation/src/lib.rs
+++ b/crates/organisation/src/lib.rs
@@ -10,10 +10,10 @@
 mod pool;
 
 pub use borrower::Borrower;
-pub use borrower::Credit;
 pub use borrower::LoanRequest;
+pub use borrower::QuotaToken;
 pub use freshness::Freshness;
-pub use freshness::Step;
+pub use freshness::FreshnessAction;
 pub use lender::Lender;
 
 use proto::OrganisationId;
@@ -23,7 +23,7 @@
 
 /// Into how many groups organisations are divided. Each group has a lender of its own, so that neither the
 /// load nor the loss of one lender concerns all organisations.
-pub const GROUPS: u8 = 4;
+pub const GROUP_COUNT: u8 = 4;
 
 /// The group that an organisation belongs to.
 ///
@@ -32,15 +32,15 @@
 /// ```
 /// use proto::OrganisationId;
 ///
-/// assert!(bilberry_organisation::group_of(OrganisationId(7)) < bilberry_organisation::GROUPS);
+/// assert!(bilberry_organisation::group_of(OrganisationId(7)) < bilberry_organisation::GROUP_COUNT);
 /// ```
 pub fn group_of(organisation: OrganisationId) -> u8 {
-    (organisation.0 % u64::from(GROUPS)) as u8
+    (organisation.0 % u64::from(GROUP_COUNT)) as u8
 }
 
 plain! {
     /// How strictly quotas hold.
-    pub struct QuotaBounds {
+    pub struct QuotaTolerance {
         /// The span in which requests are counted.
         pub window: Duration,
         /// What may come in a window beyond rate and burst, in thousandths of them.
@@ -50,7 +50,7 @@
     }
 }
 
-impl Default for QuotaBounds {
+impl Default for QuotaTolerance {
     fn default() -> Self {
         Self {
             window: Duration::from_secs(5),
@@ -78,7 +78,7 @@
     pub(crate) validity: Duration,
 }
 
-impl QuotaBounds {
+impl QuotaTolerance {
     /// How a quota is lent.
     pub(crate) fn terms(self, quota: Quota) -> Terms {
         let (rate, burst) = (quota.rate(), f64::from(quota.burst));
--- a/crates/organisation/src/pool.rs
+++ b/crates/organisation/src/pool.rs
@@ -45,7 +45,7 @@
     pub(crate) waiting: u32,
     /// Tokens that were asked for and are not answered yet.
     pub(crate) asked: u32,
-    pub(crate) plenty: bool,
+    pub(crate) has_surplus: bool,
     /// Until then no more is asked for, because there was not enough.
     pub(crate) short_until: Option<Time>,
 }
@@ -58,7 +58,7 @@
             demand: Demand::default(),
             waiting: 0,
             asked: 0,
-            plenty: false,
+            has_surplus: false,
             short_until: None,
         }
     }
@@ -102,7 +102,7 @@
 
     pub(crate) fn reserve(&self, now: Time) -> u32 {
         let rate = self.demand.rate(now);
-        let time = match self.plenty {
+        let time = match self.has_surplus {
             true => RESERVE,
             false => SMALL_RESERVE,
         };
--- a/crates/organisation/tests/freshness.rs
+++ b/crates/organisation/tests/freshness.rs
@@ -1,7 +1,7 @@
 //! How old the evidence of a node may be, over links that hold packets up, freezes and a store that fails.
 
 use bilberry_organisation::Freshness;
-use bilberry_organisation::Step;
+use bilberry_organisation::FreshnessAction;
 use rand::rngs::StdRng;
 use rand::RngExt;
 use rand::SeedableRng;
@@ -39,15 +39,15 @@
     Query {
         from: usize,
         to: usize,
-        number: u64,
+        request_id: u64,
     },
     Report {
         to: usize,
-        number: u64,
+        request_id: u64,
         version: u64,
         age: Duration,
     },
-    AskStore {
+    QueryStore {
         from: usize,
         asked: Time,
     },
@@ -64,7 +64,7 @@
             Event::Query { to, .. } | Event::Report { to, .. } | Event::Store { to, .. } => {
                 Some(*to)
             }
-            Event::AskStore { .. } => None,
+            Event::QueryStore { .. } => None,
         }
     }
 }
@@ -123,14 +123,17 @@
         let now = self.now;
         for step in self.nodes[node].0.tick(now, node == 0, &mut self.rng) {
             match step {
-                Step::AskStore => {
+                FreshnessAction::QueryStore => {
                     self.store_calls += 1;
-                    self.send(Event::AskStore {
+                    self.send(Event::QueryStore {
                         from: node,
                         asked: now,
                     });
                 }
-                Step::AskPeer { number, attempt } => {
+                FreshnessAction::QueryPeer {
+                    request_id,
+                    attempt,
+                } => {
                     let to = match attempt {
                         0 => 0,
                         _ => self.rng.random_range(0..self.nodes.len()),
@@ -138,7 +141,7 @@
                     self.send(Event::Query {
                         from: node,
                         to,
-                        number,
+                        request_id,
                     });
                 }
             }
@@ -155,13 +158,17 @@
             }
         }
         match event {
-            Event::Query { from, to, number } => {
+            Event::Query {
+                from,
+                to,
+                request_id,
+            } => {
                 let (freshness, version, _) = &self.nodes[to];
                 if let Some(age) = freshness.age(self.now) {
                     let version = *version;
                     self.send(Event::Report {
                         to: from,
-                        number,
+                        request_id,
                         version,
                         age,
                     });
@@ -169,17 +176,17 @@
             }
             Event::Report {
                 to,
-                number,
+                request_id,
                 version,
                 age,
             } => {
                 let node = &mut self.nodes[to];
                 match version > node.1 {
                     true => node.1 = version,
-                    false => node.0.on_report(self.now, number, age),
+                    false => node.0.on_report(self.now, request_id, age),
                 }
             }
-            Event::AskStore { from, asked } => {
+            Event::QueryStore { from, asked } => {
                 let version = (!self.store_down[from]).then_some(self.newest);
                 self.send(Event::Store {
                     to: from,
@@ -291,10 +298,10 @@
     let mut freshness = Freshness::new(Some(BOUND));
     let mut rng = StdRng::seed_from_u64(4);
     let steps = freshness.tick(at(1000), false, &mut rng);
-    let Some(Step::AskPeer { number, .. }) = steps.first().copied() else {
+    let Some(FreshnessAction::QueryPeer { request_id, .. }) = steps.first().copied() else {
         panic!("{steps:?}");
     };
     // The answer lay in a socket for four seconds.
-    freshness.on_report(at(5000), number, ms(100));
+    freshness.on_report(at(5000), request_id, ms(100));
     assert_eq!(freshness.age(at(5000)), Some(ms(4100)));
 }
--- a/crates/organisation/tests/quotas.rs
+++ b/crates/organisation/tests/quotas.rs
@@ -5,7 +5,7 @@
 use bilberry_organisation::Borrower;
 use bilberry_organisation::Lender;
 use bilberry_organisation::LoanRequest;
-use bilberry_organisation::QuotaBounds;
+use bilberry_organisation::QuotaTolerance;
 use proto::hash64;
 use proto::Incarnation;
 use proto::Loan;
@@ -119,12 +119,12 @@
 
     fn process(&mut self, demand: f64) -> Node {
         self.started += 1;
-        let mut borrower = Borrower::new(QuotaBounds::default());
+        let mut borrower = Borrower::new(QuotaTolerance::default());
         borrower.set_quotas(true, |_| Some(self.quota));
         Node {
             incarnation: Incarnation(self.started),
             borrower,
-            lender: Lender::new(QuotaBounds::default()),
+            lender: Lender::new(QuotaTolerance::default()),
             up: true,
             still_until: Time::ZERO,
             held: VecDeque::new(),
@@ -201,10 +201,10 @@
         let node = &mut self.nodes[at];
         for _ in 0..arrivals {
             self.offered += 1;
-            match node.borrower.take(now, ORGANISATION, self.quota) {
+            match node.borrower.try_spend(now, ORGANISATION, self.quota) {
                 Some(_) => self.admitted.push(now),
                 None => {
-                    node.borrower.wait(now, ORGANISATION);
+                    node.borrower.start_waiting(now, ORGANISATION);
                     node.waiting.push_back(now);
                 }
             }
@@ -250,8 +250,8 @@
             from: self.nodes[at].incarnation,
             addr: at,
             to: loans.lender,
-            number: loans.number,
-            vote: loans.vote,
+            number: loans.request_id,
+            vote: loans.vote_stamp,
             wanted,
         };
         self.send(at, to, message);
@@ -320,7 +320,7 @@
                 node.borrower
                     .on_lend(now, from, group, number, stamp, &loans);
                 while !node.waiting.is_empty() {
-                    if node.borrower.take_waiting(now, ORGANISATION).is_none() {
+                    if node.borrower.try_spend_waiting(now, ORGANISATION).is_none() {
                         break;
                     }
                     node.waiting.pop_front();
@@ -349,7 +349,7 @@
 
     /// The most requests that were admitted in a window of the bounds.
     fn most_in_window(&self) -> usize {
-        let window = QuotaBounds::default().window;
+        let window = QuotaTolerance::default().window;
         let mut first = 0;
         let mut most = 0;
         for (at, time) in self.admitted.iter().enumerate() {
@@ -510,7 +510,7 @@
 #[test]
 fn a_vote_that_came_late_does_not_count_twice() {
     let (group, voters) = (group_of(ORGANISATION), 1);
-    let mut lender = Lender::new(QuotaBounds::default());
+    let mut lender = Lender::new(QuotaTolerance::default());
     let given = Time::ZERO + ms(1000);
     let stamp = Lender::stamp(given);
     // The vote was sent at once, and lay in a socket while its owner lent it to another node.
@@ -523,13 +523,13 @@
 
 #[test]
 fn a_node_that_knows_no_lender_is_not_due_all_the_time() {
-    let mut borrower = Borrower::new(QuotaBounds::default());
+    let mut borrower = Borrower::new(QuotaTolerance::default());
     let quota = quota(10, 10);
     borrower.set_quotas(true, |_| Some(quota));
     let now = Time::ZERO + ms(1000);
-    assert_eq!(borrower.take(now, ORGANISATION, quota), None);
-    borrower.wait(now, ORGANISATION);
-    for group in 0..bilberry_organisation::GROUPS {
+    assert_eq!(borrower.try_spend(now, ORGANISATION, quota), None);
+    borrower.start_waiting(now, ORGANISATION);
+    for group in 0..bilberry_organisation::GROUP_COUNT {
         assert_eq!(borrower.poll(now, group, None), None);
     }
     assert!(!borrower.is_due(now));
@@ -539,15 +539,15 @@
 
 #[test]
 fn questions_that_find_no_place_are_asked_later() {
-    let mut borrower = Borrower::new(QuotaBounds::default());
+    let mut borrower = Borrower::new(QuotaTolerance::default());
     let quota = quota(1000, 1000);
     let group = group_of(ORGANISATION);
     borrower.set_quotas(true, |_| Some(quota));
     let mut now = Time::ZERO + ms(1000);
     let mut asked = 0;
     for _ in 0..200 {
-        assert_eq!(borrower.take(now, ORGANISATION, quota), None);
-        borrower.wait(now, ORGANISATION);
+        assert_eq!(borrower.try_spend(now, ORGANISATION, quota), None);
+        borrower.start_waiting(now, ORGANISATION);
         if let Some(loans) = borrower.poll(now, group, Some(Incarnation(1))) {
             asked += loans.wanted.first().map_or(0, |(_, tokens)| *tokens);
         }
--- a/crates/proto/src/answer.rs
+++ b/crates/proto/src/answer.rs
@@ -9,7 +9,7 @@
     /// The three ways a call can end.
     pub enum Outcome {
         /// The backend server's whole response.
-        Whole(Response),
+        Completed(Response),
         /// The work was never handed to a backend server, or the server's documented refusal came
         /// back whole.
         NotRun(Refusal),
@@ -30,7 +30,7 @@
     /// ```
     pub fn name(&self) -> &'static str {
         match self {
-            Outcome::Whole(_) => "whole",
+            Outcome::Completed(_) => "whole",
             // An earlier attempt may have run; the caller must not take it for undone.
             Outcome::NotRun(refusal) if refusal.attempt_only => "unknown",
             Outcome::NotRun(_) => "not-run",
@@ -71,9 +71,9 @@
     /// use std::time::Duration;
     ///
     /// let refusal = Refusal::new(Reason::Moving, Duration::from_secs(1));
-    /// assert!(refusal.of_this_attempt().attempt_only);
+    /// assert!(refusal.for_attempt_only().attempt_only);
     /// ```
-    pub fn of_this_attempt(self) -> Self {
+    pub fn for_attempt_only(self) -> Self {
         Self {
             attempt_only: true,
             ..self
@@ -214,7 +214,7 @@
     }
 
     /// Whether sending the same request again can never help.
-    pub fn is_callers_mistake(self) -> bool {
+    pub fn is_client_error(self) -> bool {
         matches!(
             self,
             Reason::KeyMismatch
@@ -233,18 +233,18 @@
         /// How the call ended.
         pub outcome: Outcome,
         /// The part of the lent retry allowance that was not spent.
-        pub unspent: u16,
+        pub unspent_retries: u16,
         /// The load of the instance that answers.
         pub load: LoadReport,
         /// What the run met in the calls that it made.
-        pub below: Below,
+        pub downstream: DownstreamSummary,
     }
 }
 
 plain! {
     /// What a run met in the calls that it made, and they in theirs.
     #[derive(Default)]
-    pub struct Below {
+    pub struct DownstreamSummary {
         /// The highest admission level, so that the first hop sheds what a deeper service would.
         pub level: u16,
         /// How many calls there were.
--- a/crates/proto/src/codec.rs
+++ b/crates/proto/src/codec.rs
@@ -9,7 +9,7 @@
     /// The bytes end early or hold no such message.
     Malformed,
     /// Bytes are left after the message.
-    Trailing,
+    TrailingBytes,
 }
 
 /// Encodes a message.
@@ -38,7 +38,7 @@
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, DecodeError> {
     match postcard::take_from_bytes(bytes) {
         Ok((message, [])) => Ok(message),
-        Ok(_) => Err(DecodeError::Trailing),
+        Ok(_) => Err(DecodeError::TrailingBytes),
         Err(_) => Err(DecodeError::Malformed),
     }
 }
--- a/crates/proto/src/datagram.rs
+++ b/crates/proto/src/datagram.rs
@@ -9,27 +9,27 @@
 plain! {
     /// How much a node has of what nodes share through the store.
     #[derive(Default)]
-    pub struct Progress {
+    pub struct SyncProgress {
         /// The version of the rules in force; 0 before there are any.
-        pub version: u64,
+        pub rules_version: u64,
         /// The next offset of the topic of views that it lacks.
-        pub next: u64,
+        pub next_offset: u64,
     }
 }
 
-impl Progress {
+impl SyncProgress {
     /// Whether this has anything that `other` lacks.
     ///
     /// # Examples
     ///
     /// ```
-    /// use bilberry_proto::Progress;
+    /// use bilberry_proto::SyncProgress;
     ///
-    /// let (old, new) = (Progress { version: 3, next: 9 }, Progress { version: 4, next: 9 });
-    /// assert!(new.has_more_than(old) && !old.has_more_than(new));
+    /// let (old, new) = (SyncProgress { rules_version: 3, next_offset: 9 }, SyncProgress { rules_version: 4, next_offset: 9 });
+    /// assert!(new.is_ahead_of(old) && !old.is_ahead_of(new));
     /// ```
-    pub fn has_more_than(self, other: Self) -> bool {
-        self.version > other.version || self.next > other.next
+    pub fn is_ahead_of(self, other: Self) -> bool {
+        self.rules_version > other.rules_version || self.next_offset > other.next_offset
     }
 }
 
@@ -41,7 +41,7 @@
             /// [`crate::PROTOCOL_VERSION`] of the sender.
             version: u16,
             /// What the sender knows; a receiver that knows less asks it.
-            progress: Progress,
+            progress: SyncProgress,
             /// The message.
             message: MemberMessage,
         },
@@ -111,12 +111,12 @@
             /// Repeated in the report. The asker counts the report's age from the time at which it
             /// sent this number, so that a report that was held up on its way does not look newer
             /// than it is.
-            number: u64,
+            request_id: u64,
         },
         /// Answers a query.
         Report {
             /// The query's.
-            number: u64,
+            request_id: u64,
             /// The version of the rules that the sender holds.
             rules: u64,
             /// Milliseconds from the time at which `rules` is known to have been the newest version to
@@ -138,10 +138,10 @@
             /// Which group of organisations this is about.
             group: u8,
             /// Repeated in the answer.
-            number: u64,
+            request_id: u64,
             /// The stamp of the lender's last answer, if the sender lends it its vote; else 0. The lender
             /// counts the vote from the time at which it gave out the stamp.
-            vote: u64,
+            vote_stamp: u64,
             /// How many tokens the sender asks for, by organisation.
             wanted: Vec<(OrganisationId, u16)>,
         },
@@ -154,11 +154,11 @@
             /// Which group of organisations this is about.
             group: u8,
             /// The request's.
-            number: u64,
+            request_id: u64,
             /// To be returned with a vote; 0 if the lender takes none.
             stamp: u64,
             /// What is lent, by organisation.
-            lent: Vec<Loan>,
+            loans: Vec<Loan>,
         },
     }
 }
@@ -174,6 +174,6 @@
         /// one; else 0.
         pub wait_ms: u16,
         /// The lender has most of the organisation's burst in hand, so that tokens may be kept in reserve.
-        pub plenty: bool,
+        pub has_surplus: bool,
     }
 }
--- a/crates/proto/src/frame.rs
+++ b/crates/proto/src/frame.rs
@@ -8,9 +8,9 @@
 use crate::Incarnation;
 use crate::KeyHash;
 use crate::KeyRecord;
-use crate::Progress;
 use crate::Request;
 use crate::SlotTransfer;
+use crate::SyncProgress;
 use bytes::Bytes;
 use stdx::data;
 use stdx::plain;
@@ -44,7 +44,7 @@
         /// A slot of the key space changes hands.
         Transfer(Box<SlotTransfer>),
         /// The slot's new holder has it.
-        TransferDone {
+        TransferAck {
             /// The slot.
             slot: u16,
             /// The view that moved it.
@@ -52,7 +52,7 @@
         },
         /// The sender's backend server broke off while this request ran: to the nodes of the
         /// service, so that a request that crashes servers is soon refused by all of them.
-        Suspect {
+        CrashReport {
             /// The service.
             service: std::sync::Arc<str>,
             /// The request.
@@ -61,11 +61,11 @@
             crashes: u32,
         },
         /// A run has ended whose record moved to the receiver while it was under way.
-        Finished(Box<KeyRecord>),
-        /// The receiver of [`Frame::Finished`] has put it in its records.
-        FinishedDone(KeyHash),
+        RunFinished(Box<KeyRecord>),
+        /// The receiver of [`Frame::RunFinished`] has put it in its records.
+        RunFinishedAck(KeyHash),
         /// Asks for what the receiver knows beyond this, from a node that the store does not answer.
-        FetchState(Progress),
+        FetchState(SyncProgress),
         /// The receiver's state, encoded by the journal package.
         State(Bytes),
         /// Asks for the status page; from the operator's tool.
@@ -73,14 +73,14 @@
         /// The status page: lines of a key and a value.
         Status(Bytes),
         /// The call with this id runs and has no answer after a time after which others do.
-        Late(CallId),
+        SlowCall(CallId),
     }
 }
 
 plain! {
     /// What the receiver of a call is asked to be.
     #[derive(Hash)]
-    pub enum Leg {
+    pub enum CallRole {
         /// Run the call on the receiver's own backend server. If it is not idempotent, the sender
         /// owns it, and gives it to no other node unless this one says that it did not run.
         Serve,
@@ -97,12 +97,12 @@
         /// The customer's action.
         pub action: ActionId,
         /// The action's random value for admission, the same at every hop.
-        pub dice: u16,
+        pub admission_sample: u16,
         /// The admission level that the action passed at its first hop, so that a service below can
         /// tell from what comes how much would come if nothing were shed.
         pub passed_level: u16,
         /// What the receiver is asked to be.
-        pub leg: Leg,
+        pub role: CallRole,
         /// What the action is for: that of the first call of the tree that is protected, so that a
         /// lookup that an order needs is not shed with other lookups.
         pub class: Class,
@@ -111,16 +111,16 @@
         /// Milliseconds that are left for the answer.
         pub remaining_ms: u32,
         /// Retries lent to this call and all below it.
-        pub allowance: u16,
+        pub retry_allowance: u16,
         /// The work below may have been done before, because an answer was lost: each child call
         /// counts as a retry.
-        pub again: bool,
+        pub possible_repeat: bool,
         /// Running it twice is the same as running it once.
         pub idempotent: bool,
         /// The key, for non-idempotent calls that have a home.
         pub key: Option<(KeyHash, Fingerprint)>,
         /// The sender knows that no attempt with this key was ever made before.
-        pub fresh: bool,
+        pub first_attempt: bool,
         /// How many calls are above this one.
         pub depth: u8,
         /// What is asked.
--- a/crates/proto/src/key.rs
+++ b/crates/proto/src/key.rs
@@ -8,7 +8,7 @@
 use stdx::plain;
 
 /// How many slots a service's key space is cut into. Ownership moves by whole slots.
-pub const SLOTS: u16 = 256;
+pub const SLOT_COUNT: u16 = 256;
 
 data! {
     /// A key in its scope: the same text from another caller or for another service is another key.
@@ -44,7 +44,7 @@
 
     /// The action that a root call with this key belongs to: the same for each re-send, so that
     /// the keys of its child calls are the same as well.
-    pub fn action(&self) -> ActionId {
+    pub fn action_id(&self) -> ActionId {
         ActionId(hash128(&("action", self)))
     }
 }
@@ -55,12 +55,12 @@
     /// # Examples
     ///
     /// ```
-    /// use bilberry_proto::{KeyHash, SLOTS};
+    /// use bilberry_proto::{KeyHash, SLOT_COUNT};
     ///
-    /// assert!(KeyHash(u128::MAX).slot() < SLOTS);
+    /// assert!(KeyHash(u128::MAX).slot() < SLOT_COUNT);
     /// ```
     pub fn slot(self) -> u16 {
-        (self.0 % u128::from(SLOTS)) as u16
+        (self.0 % u128::from(SLOT_COUNT)) as u16
     }
 }
 
--- a/crates/proto/src/member.rs
+++ b/crates/proto/src/member.rs
@@ -27,17 +27,17 @@
 
 data! {
     /// News about one peer, carried on other messages.
-    pub struct Rumour {
+    pub struct PeerUpdate {
         /// Whom it is about, whole, so that a node that hears of it for the first time can use it.
         pub instance: Instance,
         /// Its state.
         pub state: PeerState,
         /// A count that only the instance itself raises, to refute a suspicion or to tell news of
         /// itself.
-        pub beat: u32,
+        pub revision: u32,
         /// Whether its backend server takes new work. A node whose server drains, or has not been
         /// heard of yet, still takes its callers' requests.
-        pub open: bool,
+        pub accepts_work: bool,
     }
 }
 
@@ -47,7 +47,7 @@
         /// Asks for an [`MemberMessage::Ack`].
         Ping {
             /// The sender, as it sees itself.
-            from: Rumour,
+            from: PeerUpdate,
             /// Matches the answer to it.
             seq: u64,
             /// A digest of the peers that the sender holds to be there.
@@ -55,12 +55,12 @@
             /// The sender's load.
             load: LoadReport,
             /// News.
-            rumours: Vec<Rumour>,
+            updates: Vec<PeerUpdate>,
         },
         /// Answers a ping; a relay passes it on to the node that asked for the ping.
         Ack {
             /// Who answers, as it sees itself.
-            from: Rumour,
+            from: PeerUpdate,
             /// The ping's.
             seq: u64,
             /// A digest of the peers that the sender holds to be there.
@@ -68,7 +68,7 @@
             /// The sender's load.
             load: LoadReport,
             /// News.
-            rumours: Vec<Rumour>,
+            updates: Vec<PeerUpdate>,
         },
         /// Asks the receiver to ping an address and to pass the ack on.
         PingReq {
@@ -80,7 +80,7 @@
         /// News that is not answered.
         Gossip {
             /// The news.
-            rumours: Vec<Rumour>,
+            updates: Vec<PeerUpdate>,
         },
         /// Asks for the part of the receiver's table that differs from the sender's.
         Pull {
@@ -88,9 +88,9 @@
             digests: Vec<u32>,
         },
         /// Answers a [`MemberMessage::Pull`], perhaps in several datagrams.
-        News {
+        PullReply {
             /// Entries of the sender's table.
-            rumours: Vec<Rumour>,
+            updates: Vec<PeerUpdate>,
         },
     }
 }
--- a/crates/proto/src/transfer.rs
+++ b/crates/proto/src/transfer.rs
@@ -53,6 +53,6 @@
         pub records: Vec<KeyRecord>,
         /// Milliseconds for which keys that are in no record may have run all the same, because
         /// an earlier home was lost with its records; 0 if there is no such doubt.
-        pub doubt_ms: u32,
+        pub uncertain_ms: u32,
     }
 }
--- a/crates/rules/src/error.rs
+++ b/crates/rules/src/error.rs
@@ -10,12 +10,12 @@
     /// The column in characters, from 1.
     pub column: u32,
     /// What is wrong there.
-    pub problem: RuleProblem,
+    pub kind: RuleErrorKind,
 }
 
 /// What is wrong with a rule.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum RuleProblem {
+pub enum RuleErrorKind {
     /// The rule has no comment `# asked by NAME`.
     NobodyAsked,
     /// The first word is no kind of rule.
@@ -58,40 +58,42 @@
 
 impl fmt::Display for RuleError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}:{}: {}", self.line, self.column, self.problem)
+        write!(f, "{}:{}: {}", self.line, self.column, self.kind)
     }
 }
 
-impl fmt::Display for RuleProblem {
+impl fmt::Display for RuleErrorKind {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            RuleProblem::NobodyAsked => write!(
+            RuleErrorKind::NobodyAsked => write!(
                 f,
                 "no comment says who asked for it: end the line with `# asked by NAME`"
             ),
-            RuleProblem::UnknownKind(word) => write!(
+            RuleErrorKind::UnknownKind(word) => write!(
                 f,
                 "`{word}` is no kind of rule: use operation, limit, keys, resends or organisation"
             ),
-            RuleProblem::Missing(what) => write!(f, "{what} is missing"),
-            RuleProblem::UnknownOption(word) => write!(f, "`{word}` is no option of this rule"),
-            RuleProblem::RepeatedOption(word) => write!(f, "`{word}` stands twice"),
-            RuleProblem::BadValue { option, allowed } => write!(f, "`{option}` takes {allowed}"),
-            RuleProblem::Duplicate { earlier } => write!(f, "already set on line {earlier}"),
-            RuleProblem::SharedKey { earlier } => {
+            RuleErrorKind::Missing(what) => write!(f, "{what} is missing"),
+            RuleErrorKind::UnknownOption(word) => write!(f, "`{word}` is no option of this rule"),
+            RuleErrorKind::RepeatedOption(word) => write!(f, "`{word}` stands twice"),
+            RuleErrorKind::BadValue { option, allowed } => write!(f, "`{option}` takes {allowed}"),
+            RuleErrorKind::Duplicate { earlier } => write!(f, "already set on line {earlier}"),
+            RuleErrorKind::SharedKey { earlier } => {
                 write!(
                     f,
                     "the organisation on line {earlier} has one of these keys"
                 )
             }
-            RuleProblem::Unreachable { earlier } => {
+            RuleErrorKind::Unreachable { earlier } => {
                 write!(f, "never used: line {earlier} matches first")
             }
-            RuleProblem::Empty => write!(f, "the file holds no rule"),
-            RuleProblem::TooManyRules => {
+            RuleErrorKind::Empty => write!(f, "the file holds no rule"),
+            RuleErrorKind::TooManyRules => {
                 write!(f, "the file holds more than {} rules", crate::MAX_RULES)
             }
-            RuleProblem::TooLarge => write!(f, "the file is larger than {} bytes", crate::MAX_FILE),
+            RuleErrorKind::TooLarge => {
+                write!(f, "the file exceeds {} bytes", crate::MAX_FILE_BYTES)
+            }
         }
     }
 }
--- a/crates/rules/src/explain.rs
+++ b/crates/rules/src/explain.rs
@@ -1,9 +1,9 @@
 //! Which rules decide a call, and who asked for them.
 
-use crate::Asked;
-use crate::Limit;
 use crate::Operation;
+use crate::RuleOrigin;
 use crate::Rules;
+use crate::ServiceLimits;
 use std::fmt;
 use std::time::Duration;
 use stdx::plain;
@@ -11,7 +11,7 @@
 plain! {
     /// One bound of a service.
     #[derive(Hash, PartialOrd, Ord)]
-    pub enum Bound {
+    pub enum LimitKind {
         /// Calls at a time on one backend server.
         Concurrency,
         /// The wait in the queue.
@@ -23,13 +23,13 @@
     }
 }
 
-impl Bound {
+impl LimitKind {
     /// Every bound.
-    pub const ALL: [Bound; 4] = [
-        Bound::Concurrency,
-        Bound::Queue,
-        Bound::KeyRetention,
-        Bound::Resends,
+    pub const ALL: [LimitKind; 4] = [
+        LimitKind::Concurrency,
+        LimitKind::Queue,
+        LimitKind::KeyRetention,
+        LimitKind::Resends,
     ];
 }
 
@@ -39,7 +39,7 @@
     /// The first operation in the file that matches; without one the call is refused.
     pub operation: Option<&'a Operation>,
     /// The bounds of the service, with who asked for each; one that nobody asked for is a default.
-    pub limit: Limit,
+    pub limits: ServiceLimits,
 }
 
 impl Rules {
@@ -60,7 +60,7 @@
     pub fn explain(&self, service: &str, method: &str, path: &str) -> Explanation<'_> {
         Explanation {
             operation: self.operation(service, method, path),
-            limit: self.limit(service),
+            limits: self.service_limits(service),
         }
     }
 }
@@ -70,15 +70,15 @@
         let Some(operation) = self.operation else {
             return writeln!(f, "no operation matches: refused as no-such-operation");
         };
-        let Asked { line, by } = &operation.asked;
-        writeln!(f, "line {line}: {operation}, asked by {by}")?;
-        for bound in Bound::ALL {
-            match self.limit.asked.get(&bound) {
-                Some(Asked { line, by }) => write!(f, "line {line}: ")
-                    .and_then(|()| self.limit.write(f, bound))
-                    .and_then(|()| writeln!(f, ", asked by {by}"))?,
+        let RuleOrigin { line, requested_by } = &operation.origin;
+        writeln!(f, "line {line}: {operation}, asked by {requested_by}")?;
+        for bound in LimitKind::ALL {
+            match self.limits.origin.get(&bound) {
+                Some(RuleOrigin { line, requested_by }) => write!(f, "line {line}: ")
+                    .and_then(|()| self.limits.write(f, bound))
+                    .and_then(|()| writeln!(f, ", asked by {requested_by}"))?,
                 None => write!(f, "default: ")
-                    .and_then(|()| self.limit.write(f, bound))
+                    .and_then(|()| self.limits.write(f, bound))
                     .and_then(|()| writeln!(f))?,
             }
         }
@@ -86,16 +86,16 @@
     }
 }
 
-impl Limit {
-    fn write(&self, f: &mut fmt::Formatter<'_>, bound: Bound) -> fmt::Result {
+impl ServiceLimits {
+    fn write(&self, f: &mut fmt::Formatter<'_>, bound: LimitKind) -> fmt::Result {
         match bound {
-            Bound::Concurrency => {
+            LimitKind::Concurrency => {
                 let (min, max) = (self.min_concurrency, self.max_concurrency);
                 write!(f, "concurrency={min}..{max}")
             }
-            Bound::Queue => write!(f, "queue={}", Shown(self.queue)),
-            Bound::KeyRetention => write!(f, "retention={}", Shown(self.key_retention)),
-            Bound::Resends => write!(f, "percent={}", self.resend_percent),
+            LimitKind::Queue => write!(f, "queue={}", Shown(self.queue)),
+            LimitKind::KeyRetention => write!(f, "retention={}", Shown(self.key_retention)),
+            LimitKind::Resends => write!(f, "percent={}", self.resend_percent),
         }
     }
 }
--- a/crates/rules/src/model.rs
+++ b/crates/rules/src/model.rs
@@ -1,6 +1,6 @@
 //! The rules, parsed.
 
-use crate::Bound;
+use crate::LimitKind;
 use crate::Organisations;
 use crate::Routes;
 use indexmap::IndexMap;
@@ -12,11 +12,11 @@
 
 data! {
     /// Where a rule stands and who asked for it.
-    pub struct Asked {
+    pub struct RuleOrigin {
         /// The line in the file, from 1.
         pub line: u32,
         /// The comment's text after `asked by`.
-        pub by: Arc<str>,
+        pub requested_by: Arc<str>,
     }
 }
 
@@ -43,13 +43,13 @@
         /// Whether callers need no key, where there are organisations.
         pub public: bool,
         /// Where this rule stands.
-        pub asked: Asked,
+        pub origin: RuleOrigin,
     }
 }
 
 data! {
     /// The bounds that hold for a service; the defaults where no rule sets them.
-    pub struct Limit {
+    pub struct ServiceLimits {
         /// The least that the adaptive concurrency limit goes down to, in calls.
         pub min_concurrency: u16,
         /// The most that it goes up to, in calls.
@@ -61,14 +61,14 @@
         /// A caller's own re-sends, in hundredths of its first sends, at the edge.
         pub resend_percent: u16,
         /// Who asked for which of these bounds; the others are defaults.
-        pub asked: IndexMap<Bound, Asked>,
+        pub origin: IndexMap<LimitKind, RuleOrigin>,
     }
 }
 
 /// Hundredths of first sends, where no rule says otherwise.
 const DEFAULT_RESEND_PERCENT: u16 = 20;
 
-impl Default for Limit {
+impl Default for ServiceLimits {
     fn default() -> Self {
         Self {
             min_concurrency: 2,
@@ -76,7 +76,7 @@
             queue: Duration::from_millis(100),
             key_retention: Duration::from_secs(15 * 60),
             resend_percent: DEFAULT_RESEND_PERCENT,
-            asked: IndexMap::new(),
+            origin: IndexMap::new(),
         }
     }
 }
@@ -88,7 +88,7 @@
         /// `operation` rules in the file's order.
         pub operations: Vec<Operation>,
         /// `limit`, `keys` and `resends` rules by service.
-        pub limits: IndexMap<Arc<str>, Limit>,
+        pub limits: IndexMap<Arc<str>, ServiceLimits>,
         /// Routes by host and path.
         pub routes: Routes,
         /// Where a service's backend servers say whether they are healthy and stay, by service.
@@ -116,7 +116,7 @@
             .find(|operation| operation.matches(service, method, path))
     }
 
-    /// A caller's own re-sends that the edge lets through, in hundredths of its first sends. Asked
+    /// A caller's own re-sends that the edge lets through, in hundredths of its first sends. RuleOrigin
     /// for each request, so it copies no bounds.
     ///
     /// # Examples
@@ -126,7 +126,7 @@
     ///             resends press percent=5 # asked by Anna";
     /// let rules = bilberry_rules::Rules::parse(text).unwrap();
     /// assert_eq!(rules.resend_percent("press"), 5);
-    /// assert_eq!(rules.resend_percent("order"), rules.limit("order").resend_percent);
+    /// assert_eq!(rules.resend_percent("order"), rules.service_limits("order").resend_percent);
     /// ```
     pub fn resend_percent(&self, service: &str) -> u16 {
         let limit = self.limits.get(service);
@@ -140,7 +140,7 @@
     }
 
     /// Each class and priority that a request can have.
-    pub fn standings(&self) -> impl Iterator<Item = (Class, u8)> + '_ {
+    pub fn class_priorities(&self) -> impl Iterator<Item = (Class, u8)> + '_ {
         let organisations = self.organisations.iter().flat_map(Organisations::iter);
         let priorities = organisations.filter_map(|(_, organisation)| organisation.priority);
         let priorities: IndexSet<u8> = priorities.collect();
@@ -153,7 +153,7 @@
     }
 
     /// The bounds of a service.
-    pub fn limit(&self, service: &str) -> Limit {
+    pub fn service_limits(&self, service: &str) -> ServiceLimits {
         self.limits.get(service).cloned().unwrap_or_default()
     }
 }
--- a/crates/rules/src/organisation.rs
+++ b/crates/rules/src/organisation.rs
@@ -1,6 +1,6 @@
 //! Organisations: by which keys their callers are known, how much they may send, how urgent it is.
 
-use crate::Asked;
+use crate::RuleOrigin;
 use indexmap::IndexMap;
 use proto::OrganisationId;
 use sha2::Digest;
@@ -89,7 +89,7 @@
         /// What it may send; without one, any number.
         pub quota: Option<Quota>,
         /// Where this rule stands.
-        pub asked: Asked,
+        pub origin: RuleOrigin,
     }
 }
 
@@ -127,13 +127,13 @@
     /// # Examples
     ///
     /// ```
-    /// use bilberry_rules::{Asked, KeyDigest, Organisation, Organisations};
+    /// use bilberry_rules::{RuleOrigin, KeyDigest, Organisation, Organisations};
     ///
     /// let anna = Organisation {
     ///     name: "anna".into(),
     ///     priority: None,
     ///     quota: None,
-    ///     asked: Asked { line: 1, by: "Giulia".into() },
+    ///     origin: RuleOrigin { line: 1, requested_by: "Giulia".into() },
     /// };
     /// let mut organisations = Organisations::default();
     /// organisations.insert(anna.clone(), &[KeyDigest::of("k")]).unwrap();
@@ -147,11 +147,11 @@
     ) -> Result<(), OrganisationError> {
         let id = OrganisationId::of(&organisation.name);
         if let Some(earlier) = self.by_id.get(&id) {
-            let earlier = earlier.asked.line;
+            let earlier = earlier.origin.line;
             return Err(OrganisationError::NameTwice { earlier });
         }
         if let Some(holder) = keys.iter().find_map(|key| self.by_key.get(key)) {
-            let earlier = self.by_id[holder].asked.line;
+            let earlier = self.by_id[holder].origin.line;
             return Err(OrganisationError::KeyTwice { earlier });
         }
         self.by_key.extend(keys.iter().map(|key| (*key, id)));
--- a/crates/rules/src/parse.rs
+++ b/crates/rules/src/parse.rs
@@ -5,16 +5,16 @@
 mod organisation;
 mod words;
 
-use crate::Asked;
 use crate::RuleError;
-use crate::RuleProblem;
+use crate::RuleErrorKind;
+use crate::RuleOrigin;
 use crate::Rules;
 use words::column_at;
 use words::words;
 use words::LineResult;
 
 /// The largest rules file, in bytes. It travels in one record of the log.
-pub const MAX_FILE: usize = 256 * 1024;
+pub const MAX_FILE_BYTES: usize = 256 * 1024;
 
 /// The most rules in a file. Each call is held against the operations of its service in turn.
 pub const MAX_RULES: usize = 2000;
@@ -33,11 +33,11 @@
     ///
     /// ```
     /// let errors = bilberry_rules::Rules::parse("limit press queue=1s").unwrap_err();
-    /// assert_eq!(errors[0].problem, bilberry_rules::RuleProblem::NobodyAsked);
+    /// assert_eq!(errors[0].kind, bilberry_rules::RuleErrorKind::NobodyAsked);
     /// ```
     pub fn parse(text: &str) -> Result<Rules, Vec<RuleError>> {
-        if text.len() > MAX_FILE {
-            return Err(vec![whole_file(RuleProblem::TooLarge)]);
+        if text.len() > MAX_FILE_BYTES {
+            return Err(vec![whole_file(RuleErrorKind::TooLarge)]);
         }
         let mut rules = Rules::default();
         let mut errors = Vec::new();
@@ -45,21 +45,21 @@
         for (line, number) in text.lines().zip(1..) {
             match parse_line(line, number, &mut rules) {
                 Ok(is_rule) => count += usize::from(is_rule),
-                Err((column, problem)) => errors.push(RuleError {
+                Err((column, kind)) => errors.push(RuleError {
                     line: number,
                     column,
-                    problem,
+                    kind,
                 }),
             }
             if count > MAX_RULES {
-                return Err(vec![whole_file(RuleProblem::TooManyRules)]);
+                return Err(vec![whole_file(RuleErrorKind::TooManyRules)]);
             }
             if errors.len() == MAX_ERRORS {
                 return Err(errors);
             }
         }
         if errors.is_empty() && rules.operations.is_empty() {
-            errors.push(whole_file(RuleProblem::Empty));
+            errors.push(whole_file(RuleErrorKind::Empty));
         }
         if errors.is_empty() {
             Ok(rules)
@@ -69,11 +69,11 @@
     }
 }
 
-fn whole_file(problem: RuleProblem) -> RuleError {
+fn whole_file(kind: RuleErrorKind) -> RuleError {
     RuleError {
         line: 1,
         column: 1,
-        problem,
+        kind,
     }
 }
 
@@ -92,19 +92,19 @@
         .and_then(|comment| comment.trim().strip_prefix("asked by "))
         .map(str::trim)
         .filter(|by| !by.is_empty())
-        .ok_or((end, RuleProblem::NobodyAsked))?;
-    let asked = Asked {
+        .ok_or((end, RuleErrorKind::NobodyAsked))?;
+    let origin = RuleOrigin {
         line: number,
-        by: by.into(),
+        requested_by: by.into(),
     };
     let (column, kind) = words.remove(0);
     match kind {
-        "operation" => operation::parse(&words, end, asked, rules)?,
-        "limit" => limits::parse_limit(&words, end, asked, rules)?,
-        "keys" => limits::parse_keys(&words, end, asked, rules)?,
-        "organisation" => organisation::parse(&words, end, asked, rules)?,
-        "resends" => limits::parse_resends(&words, end, asked, rules)?,
-        other => return Err((column, RuleProblem::UnknownKind(other.to_owned()))),
+        "operation" => operation::parse(&words, end, origin, rules)?,
+        "limit" => limits::parse_limit(&words, end, origin, rules)?,
+        "keys" => limits::parse_keys(&words, end, origin, rules)?,
+        "organisation" => organisation::parse(&words, end, origin, rules)?,
+        "resends" => limits::parse_resends(&words, end, origin, rules)?,
+        other => return Err((column, RuleErrorKind::UnknownKind(other.to_owned()))),
     }
     Ok(true)
 }
--- a/crates/rules/src/parse/operation.rs
+++ b/crates/rules/src/parse/operation.rs
@@ -7,13 +7,18 @@
 use super::words::service;
 use super::words::LineResult;
 use super::words::Word;
-use crate::Asked;
 use crate::Operation;
-use crate::RuleProblem;
+use crate::RuleErrorKind;
+use crate::RuleOrigin;
 use crate::Rules;
 use proto::Class;
 
-pub(super) fn parse(words: &[Word], end: u32, asked: Asked, rules: &mut Rules) -> LineResult<()> {
+pub(super) fn parse(
+    words: &[Word],
+    end: u32,
+    origin: RuleOrigin,
+    rules: &mut Rules,
+) -> LineResult<()> {
     let service = service(words, end)?;
     let (column, method) = positional(words, 1, "the method", end)?;
     if !is_method(method) {
@@ -39,20 +44,20 @@
             "idempotent" => return Err((column, IDEMPOTENT)),
             "public" if value.is_empty() => public = true,
             "public" => return Err((column, PUBLIC)),
-            _ => return Err((column, RuleProblem::UnknownOption(option.to_owned()))),
+            _ => return Err((column, RuleErrorKind::UnknownOption(option.to_owned()))),
         }
     }
     let operation = Operation {
         service: service.into(),
         method: method.into(),
         path: path.into(),
-        class: class.ok_or((end, RuleProblem::Missing("class")))?,
+        class: class.ok_or((end, RuleErrorKind::Missing("class")))?,
         idempotent,
-        deadline: deadline.ok_or((end, RuleProblem::Missing("deadline")))?,
+        deadline: deadline.ok_or((end, RuleErrorKind::Missing("deadline")))?,
         priority,
         retries,
         public,
-        asked,
+        origin,
     };
     refuse_hidden(rules, &operation)?;
     rules.operations.push(operation);
@@ -67,12 +72,12 @@
         return Ok(());
     };
     let same = earlier.method == operation.method && earlier.path == operation.path;
-    let earlier = earlier.asked.line;
+    let earlier = earlier.origin.line;
     Err((
         1,
         match same {
-            true => RuleProblem::Duplicate { earlier },
-            false => RuleProblem::Unreachable { earlier },
+            true => RuleErrorKind::Duplicate { earlier },
+            false => RuleErrorKind::Unreachable { earlier },
         },
     ))
 }
@@ -107,35 +112,35 @@
 /// The least urgent priority that a rule may name.
 const MAX_PRIORITY: u8 = 9;
 
-const METHOD: RuleProblem = RuleProblem::BadValue {
+const METHOD: RuleErrorKind = RuleErrorKind::BadValue {
     option: "method",
     allowed: "a method in capitals, or `*` for any",
 };
-const PATH: RuleProblem = RuleProblem::BadValue {
+const PATH: RuleErrorKind = RuleErrorKind::BadValue {
     option: "path",
     allowed: "a path that starts with `/`, without a query, with `*` only at its end",
 };
-const CLASS: RuleProblem = RuleProblem::BadValue {
+const CLASS: RuleErrorKind = RuleErrorKind::BadValue {
     option: "class",
     allowed: "lookup, order, booking, payment or print-job",
 };
-const DEADLINE: RuleProblem = RuleProblem::BadValue {
+const DEADLINE: RuleErrorKind = RuleErrorKind::BadValue {
     option: "deadline",
     allowed: "a duration from 1ms to 24h",
 };
-pub(super) const PRIORITY: RuleProblem = RuleProblem::BadValue {
+pub(super) const PRIORITY: RuleErrorKind = RuleErrorKind::BadValue {
     option: "priority",
     allowed: "a whole number from 0, the most urgent, to 9",
 };
-const RETRIES: RuleProblem = RuleProblem::BadValue {
+const RETRIES: RuleErrorKind = RuleErrorKind::BadValue {
     option: "retries",
     allowed: "a whole number from 0 to 10",
 };
-const IDEMPOTENT: RuleProblem = RuleProblem::BadValue {
+const IDEMPOTENT: RuleErrorKind = RuleErrorKind::BadValue {
     option: "idempotent",
     allowed: "no value",
 };
-const PUBLIC: RuleProblem = RuleProblem::BadValue {
+const PUBLIC: RuleErrorKind = RuleErrorKind::BadValue {
     option: "public",
     allowed: "no value",
 };
--- a/crates/rules/src/parse/organisation.rs
+++ b/crates/rules/src/parse/organisation.rs
@@ -7,18 +7,23 @@
 use super::words::service;
 use super::words::LineResult;
 use super::words::Word;
-use crate::Asked;
 use crate::KeyDigest;
 use crate::Organisation;
 use crate::OrganisationError;
 use crate::Quota;
-use crate::RuleProblem;
+use crate::RuleErrorKind;
+use crate::RuleOrigin;
 use crate::Rules;
 
 /// The highest rate and burst that a rule may set, in requests per second and in requests.
 const MAX_QUOTA: u16 = u16::MAX;
 
-pub(super) fn parse(words: &[Word], end: u32, asked: Asked, rules: &mut Rules) -> LineResult<()> {
+pub(super) fn parse(
+    words: &[Word],
+    end: u32,
+    origin: RuleOrigin,
+    rules: &mut Rules,
+) -> LineResult<()> {
     let name = service(words, end)?;
     let (mut keys, mut rate, mut burst, mut priority) = (None, None, None, None);
     for (column, option, value) in options(words, 1)? {
@@ -27,12 +32,12 @@
             "rate" => rate = Some(number(value, 1, MAX_QUOTA).ok_or((column, RATE))?),
             "burst" => burst = Some((column, number(value, 0, MAX_QUOTA).ok_or((column, BURST))?)),
             "priority" => priority = Some(parse_priority(value).ok_or((column, PRIORITY))?),
-            _ => return Err((column, RuleProblem::UnknownOption(option.to_owned()))),
+            _ => return Err((column, RuleErrorKind::UnknownOption(option.to_owned()))),
         }
     }
-    let (keys_column, keys) = keys.ok_or((end, RuleProblem::Missing("keys")))?;
+    let (keys_column, keys) = keys.ok_or((end, RuleErrorKind::Missing("keys")))?;
     if let (None, Some((column, _))) = (rate, burst) {
-        return Err((column, RuleProblem::Missing("rate")));
+        return Err((column, RuleErrorKind::Missing("rate")));
     }
     let quota = rate.map(|rate| Quota {
         per_kilosecond: u64::from(rate) * 1000,
@@ -42,15 +47,15 @@
         name: name.into(),
         priority,
         quota,
-        asked,
+        origin,
     };
     let organisations = rules.organisations.get_or_insert_default();
     organisations
         .insert(organisation, &keys)
         .map_err(|e| match e {
-            OrganisationError::NameTwice { earlier } => (1, RuleProblem::Duplicate { earlier }),
+            OrganisationError::NameTwice { earlier } => (1, RuleErrorKind::Duplicate { earlier }),
             OrganisationError::KeyTwice { earlier } => {
-                (keys_column, RuleProblem::SharedKey { earlier })
+                (keys_column, RuleErrorKind::SharedKey { earlier })
             }
         })
 }
@@ -59,15 +64,15 @@
     value.split(',').map(KeyDigest::parse).collect()
 }
 
-const KEYS: RuleProblem = RuleProblem::BadValue {
+const KEYS: RuleErrorKind = RuleErrorKind::BadValue {
     option: "keys",
     allowed: "digests of keys as `bilberryctl key` prints them, with commas between them",
 };
-const RATE: RuleProblem = RuleProblem::BadValue {
+const RATE: RuleErrorKind = RuleErrorKind::BadValue {
     option: "rate",
     allowed: "a whole number of requests a second from 1 to 65535",
 };
-const BURST: RuleProblem = RuleProblem::BadValue {
+const BURST: RuleErrorKind = RuleErrorKind::BadValue {
     option: "burst",
     allowed: "a whole number of requests from 0 to 65535",
 };
--- a/crates/rules/src/parse/words.rs
+++ b/crates/rules/src/parse/words.rs
@@ -1,14 +1,14 @@
 //! The words of a line, with their places, and the values in them.
 
 use crate::parse_duration;
-use crate::RuleProblem;
+use crate::RuleErrorKind;
 use std::time::Duration;
 
 /// A word of a rule and its column, from 1.
 pub(super) type Word<'a> = (u32, &'a str);
 
 /// What came of a line, or the column and kind of its fault.
-pub(super) type LineResult<T> = Result<T, (u32, RuleProblem)>;
+pub(super) type LineResult<T> = Result<T, (u32, RuleErrorKind)>;
 
 /// The longest name of a service, in bytes.
 const MAX_NAME: usize = 64;
@@ -37,7 +37,7 @@
     end: u32,
 ) -> LineResult<Word<'a>> {
     let word = words.get(index).copied();
-    word.ok_or((end, RuleProblem::Missing(what)))
+    word.ok_or((end, RuleErrorKind::Missing(what)))
 }
 
 /// The service, which comes first in every rule.
@@ -61,7 +61,7 @@
     for &(column, word) in words.iter().skip(index) {
         let (name, value) = word.split_once('=').unwrap_or((word, ""));
         if options.iter().any(|(_, earlier, _)| *earlier == name) {
-            return Err((column, RuleProblem::RepeatedOption(name.to_owned())));
+            return Err((column, RuleErrorKind::RepeatedOption(name.to_owned())));
         }
         options.push((column, name, value));
     }
@@ -77,7 +77,7 @@
     number.filter(|number| (min..=max).contains(number))
 }
 
-const SERVICE: RuleProblem = RuleProblem::BadValue {
+const SERVICE: RuleErrorKind = RuleErrorKind::BadValue {
     option: "service",
     allowed: "1 to 64 letters, digits, `-`, `_` or `.`",
 };
--- a/crates/rules/src/route.rs
+++ b/crates/rules/src/route.rs
@@ -16,7 +16,7 @@
         /// The services that share the requests, with their weights; at least one.
         pub targets: Vec<(Arc<str>, u32)>,
         /// The time within which an answer is worth most to its caller.
-        pub objective: Duration,
+        pub latency_objective: Duration,
     }
 }
 
@@ -79,19 +79,19 @@
 
 /// What decides a request.
 #[derive(Debug, Clone, Copy)]
-pub enum Rule<'a> {
+pub enum MatchedRule<'a> {
     /// The request names its service; this says what its method and path mean.
     Operation(&'a Operation),
     /// The request names a host; this says where it leads.
     Route(&'a Route),
 }
 
-impl<'a> Rule<'a> {
+impl<'a> MatchedRule<'a> {
     /// What the request means.
     pub fn operation(self) -> &'a Operation {
         match self {
-            Rule::Operation(operation) => operation,
-            Rule::Route(route) => &route.operation,
+            MatchedRule::Operation(operation) => operation,
+            MatchedRule::Route(route) => &route.operation,
         }
     }
 }
@@ -105,14 +105,16 @@
     /// let text = "operation press POST /slots class=booking deadline=2s # asked by Anna";
     /// let rules = bilberry_rules::Rules::parse(text).unwrap();
     /// let request = proto::Request::new("press", "POST", "/slots", Default::default());
-    /// assert!(!rules.decide(&request).unwrap().operation().idempotent);
+    /// assert!(!rules.match_rule(&request).unwrap().operation().idempotent);
     /// ```
-    pub fn decide(&self, req: &Request) -> Option<Rule<'_>> {
+    pub fn match_rule(&self, req: &Request) -> Option<MatchedRule<'_>> {
         if req.host.is_empty() {
             let operation = self.operation(&req.service, &req.method, &req.path);
-            return operation.map(Rule::Operation);
+            return operation.map(MatchedRule::Operation);
         }
-        self.routes.find(&req.host, &req.path).map(Rule::Route)
+        self.routes
+            .find(&req.host, &req.path)
+            .map(MatchedRule::Route)
     }
 
     /// Rules that consist of routes alone.
--- a/crates/rules/tests/parse.rs
+++ b/crates/rules/tests/parse.rs
@@ -2,7 +2,7 @@
 
 use bilberry_rules::KeyDigest;
 use bilberry_rules::Rules;
-use bilberry_rules::MAX_FILE;
+use bilberry_rules::MAX_FILE_BYTES;
 use bilberry_rules::MAX_RULES;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -153,8 +153,8 @@
 fn files_are_bounded() {
     check(
         "",
-        &" ".repeat(MAX_FILE + 1),
-        &["1:1: the file is larger than 262144 bytes"],
+        &" ".repeat(MAX_FILE_BYTES + 1),
+        &["1:1: the file exceeds 262144 bytes"],
     );
     let rule = |n| format!("operation s GET /{n} class=lookup deadline=1s # asked by A\n");
     let most: String = (0..MAX_RULES).map(rule).collect();
--- a/crates/rules/tests/routes.rs
+++ b/crates/rules/tests/routes.rs
@@ -1,9 +1,9 @@
 //! Which route decides a host and path, and how a split shares requests.
 
-use bilberry_rules::Asked;
 use bilberry_rules::Operation;
 use bilberry_rules::Route;
 use bilberry_rules::Routes;
+use bilberry_rules::RuleOrigin;
 use proto::Class;
 use std::sync::Arc;
 use std::time::Duration;
@@ -24,13 +24,13 @@
             priority: 0,
             retries: 1,
             public: false,
-            asked: Asked {
+            origin: RuleOrigin {
                 line: 1,
-                by: "Anna".into(),
+                requested_by: "Anna".into(),
             },
         },
         targets,
-        objective: Duration::from_secs(1),
+        latency_objective: Duration::from_secs(1),
     }
 }
 
--- a/crates/trial/src/caller.rs
+++ b/crates/trial/src/caller.rs
@@ -290,8 +290,8 @@
             action.key = made;
         }
         match outcome {
-            Outcome::Whole(response) if response.status == 200 => self.end(index, End::Whole),
-            Outcome::Whole(_) => {
+            Outcome::Completed(response) if response.status == 200 => self.end(index, End::Whole),
+            Outcome::Completed(_) => {
                 let again = action.comes_back.is_some();
                 let idempotent = self.layout.operations[action.operation].idempotent;
                 if again && idempotent {
--- a/crates/trial/src/judge.rs
+++ b/crates/trial/src/judge.rs
@@ -225,7 +225,7 @@
                     return Err(format!("{name} was told {refusal:?} but ran: {known:?}"));
                 }
             }
-            Outcome::Whole(response) => {
+            Outcome::Completed(response) => {
                 let expected = layout.expected(operation, body);
                 let fits = match response.status {
                     200 => response.body == expected,
--- a/crates/trial/src/net.rs
+++ b/crates/trial/src/net.rs
@@ -10,7 +10,7 @@
 use proto::Frame;
 use proto::Incarnation;
 use proto::Instance;
-use proto::Progress;
+use proto::SyncProgress;
 use rand::RngExt;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -199,7 +199,7 @@
             self.note(format!(
                 "{} gets {:?} {} {} of {}",
                 self.nodes[node].name,
-                call.leg,
+                call.role,
                 call.id,
                 call.request.path,
                 String::from_utf8_lossy(&call.request.body)
@@ -347,7 +347,7 @@
     }
 
     /// A connection of its own, which comes about only if both ways are open.
-    pub(crate) fn fetch_state(&mut self, node: usize, addr: SocketAddr, known: Progress) {
+    pub(crate) fn fetch_state(&mut self, node: usize, addr: SocketAddr, known: SyncProgress) {
         let Some(target) = self.nodes.iter().position(|other| other.me.addr == addr) else {
             return;
         };
--- a/crates/trial/src/server.rs
+++ b/crates/trial/src/server.rs
@@ -254,7 +254,7 @@
         };
         work.open -= 1;
         match outcome {
-            Some(Outcome::Whole(response)) if response.status == 200 => {
+            Some(Outcome::Completed(response)) if response.status == 200 => {
                 work.parts.insert(nth, response.body.clone());
                 if response.body != expected {
                     self.violation(&format!("not the whole answer: {response:?}"));
--- a/crates/trial/src/world.rs
+++ b/crates/trial/src/world.rs
@@ -303,7 +303,7 @@
     fn note_answer(&mut self, node: usize, frame: &Frame) {
         if let Frame::Answer(id, answer) = frame {
             let outcome = match &answer.outcome {
-                Outcome::Whole(response) => format!("whole {}", response.status),
+                Outcome::Completed(response) => format!("whole {}", response.status),
                 other => format!("{other:?}"),
             };
             self.judge
