--- a/crates/engine/src/admission.rs
+++ b/crates/engine/src/admission.rs
@@ -8,8 +8,8 @@
 use policy::PriorityBands;
 use policy::ReportedLevel;
 use policy::RunTimes;
-use proto::Below;
 use proto::Class;
+use proto::DownstreamSummary;
 use proto::Incarnation;
 use proto::Instance;
 use proto::Reason;
@@ -79,7 +79,12 @@
     }
 
     /// A run of an operation met something below it.
-    pub(crate) fn hear_path(&mut self, now: Time, operation: &OperationKey, below: Below) {
+    pub(crate) fn hear_path(
+        &mut self,
+        now: Time,
+        operation: &OperationKey,
+        below: DownstreamSummary,
+    ) {
         let path = self.path_of(now, operation);
         path.level.observe(now, below.level);
         path.calls = below.calls;
--- a/crates/engine/src/log.rs
+++ b/crates/engine/src/log.rs
@@ -130,7 +130,7 @@
     }
 
     fn on_rules(&mut self, now: Time) {
-        let limit = self.journal.rules.limit(&self.me.service);
+        let limit = self.journal.rules.service_limits(&self.me.service);
         let operations = || self.journal.rules.all_operations();
         let longest = operations().map(|operation| operation.deadline).max();
         let ranks = match self.cfg.policy.ranks {
--- a/crates/journal/src/state.rs
+++ b/crates/journal/src/state.rs
@@ -4,7 +4,7 @@
 use indexmap::IndexMap;
 use proto::Incarnation;
 use proto::Instance;
-use proto::Progress;
+use proto::SyncProgress;
 use rules::Rules;
 use std::sync::Arc;
 use stdx::data;
