--- a/crates/engine/src/admission.rs
+++ b/crates/engine/src/admission.rs
@@ -204,7 +204,7 @@
     /// All instances of a service in turn, whatever their load.
     fn in_turn(&mut self, call: &Outgoing) -> Option<Instance> {
         let turn = self.number() as usize;
-        let peers = self.members.usable(&call.request.service);
+        let peers = self.members.usable_peers(&call.request.service);
         let peers = peers.map(|peer| &peer.instance);
         let fits = |instance: &&Instance| !call.avoid.contains(&instance.incarnation);
         let mut all: Vec<&Instance> = peers.filter(fits).collect();
@@ -230,7 +230,10 @@
         service: &'a str,
     ) -> impl Iterator<Item = (Incarnation, u16)> + 'a {
         let own = (*self.me.service == *service).then_some(&self.me);
-        let peers = self.members.usable(service).map(|peer| &peer.instance);
+        let peers = self
+            .members
+            .usable_peers(service)
+            .map(|peer| &peer.instance);
         own.into_iter()
             .chain(peers)
             .map(move |instance| (instance.incarnation, self.level_of(now, instance)))
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -155,7 +155,7 @@
         let defaults = rules::Limit::default();
         let incarnation = me.incarnation;
         let mut members = Membership::new(cfg.membership.clone(), me.clone(), cfg.contacts.clone());
-        members.set_open(!cfg.announced);
+        members.set_accepting_work(!cfg.announced);
         Self {
             rng: StdRng::seed_from_u64(cfg.seed),
             journal: State::default(),
@@ -248,7 +248,7 @@
             Input::LogRead => self.on_log_read(now),
             Input::Published { version, file } => self.on_published(now, version, &file),
             Input::Directory(addrs) => {
-                let effects = self.members.meet(&addrs);
+                let effects = self.members.add_contacts(&addrs);
                 self.apply_members(now, effects);
             }
             Input::Server(announcement) => self.on_announcement(now, announcement),
--- a/crates/engine/src/fetch.rs
+++ b/crates/engine/src/fetch.rs
@@ -60,7 +60,7 @@
 
     /// Whether this node reads the store, or leaves that to others and hears of what is new from them.
     pub fn reads_store(&self, now: Time) -> bool {
-        !self.cfg.shares_reads || !self.has_rules() || self.members.watches_store(now)
+        !self.cfg.shares_reads || !self.has_rules() || self.members.is_store_reader(now)
     }
 
     /// A peer says how much it knows.
@@ -92,7 +92,7 @@
     }
 
     fn is_in_own_domain(&self, addr: SocketAddr) -> bool {
-        let peer = self.members.at(addr);
+        let peer = self.members.peer_at(addr);
         peer.is_some_and(|peer| peer.instance.failure_domain == self.me.failure_domain)
     }
 
--- a/crates/engine/src/freshness.rs
+++ b/crates/engine/src/freshness.rs
@@ -39,7 +39,7 @@
         if due.is_none_or(|due| now < due) {
             return;
         }
-        self.leads = self.members.leads_domain(now);
+        self.leads = self.members.is_domain_leader(now);
         for step in self.freshness.tick(now, self.leads, &mut self.rng) {
             match step {
                 Step::AskStore => self.out.push(Output::CheckRules),
@@ -55,7 +55,7 @@
     /// The nodes that lead the own failure domain, then any: the whole domain may be cut off from the store.
     fn freshness_source(&mut self, attempt: u32) -> Option<SocketAddr> {
         if attempt < NEIGHBOURS_ASKED {
-            let leader = self.members.domain_leader(attempt as usize);
+            let leader = self.members.domain_leader_candidate(attempt as usize);
             if let Some(leader) = leader {
                 return Some(leader.addr);
             }
--- a/crates/engine/src/homes.rs
+++ b/crates/engine/src/homes.rs
@@ -8,9 +8,9 @@
 use crate::Engine;
 use crate::Output;
 use indexmap::IndexMap;
-use once::Begin;
+use once::BeginResult;
 use once::Effect;
-use once::End;
+use once::RunOutcome;
 use proto::Call;
 use proto::CallId;
 use proto::Datagram;
@@ -58,17 +58,17 @@
             return self.answer_call(id, allowance, self.not_run(Reason::BadKey));
         };
         match self.home.begin(now, key, fingerprint, call.fresh) {
-            Begin::Start => self.start_key(now, key, call),
-            Begin::Attach => self.attach(key, id),
-            Begin::Done(response) => {
+            BeginResult::Start => self.start_key(now, key, call),
+            BeginResult::Attach => self.attach(key, id),
+            BeginResult::Done(response) => {
                 self.count(Counter::Replayed);
                 self.answer_call(id, allowance, Outcome::Whole(response));
             }
-            Begin::NotRun(reason) => self.answer_call(id, allowance, self.not_run(reason)),
-            Begin::Unknown => {
+            BeginResult::NotRun(reason) => self.answer_call(id, allowance, self.not_run(reason)),
+            BeginResult::Unknown => {
                 self.answer_call(id, allowance, Outcome::Unknown(Reason::RecordLost));
             }
-            Begin::Wait => self.hold(now, key, call),
+            BeginResult::Wait => self.hold(now, key, call),
         }
     }
 
@@ -157,9 +157,9 @@
     /// The run of a key has ended: the record first, then everyone who waits.
     pub(crate) fn end_key(&mut self, now: Time, key: KeyHash, unspent: u16, outcome: Outcome) {
         let end = match &outcome {
-            Outcome::Whole(response) => End::Done(response.clone()),
-            Outcome::NotRun(_) => End::NotRun,
-            Outcome::Unknown(_) => End::Unknown,
+            Outcome::Whole(response) => RunOutcome::Done(response.clone()),
+            Outcome::NotRun(_) => RunOutcome::NotRun,
+            Outcome::Unknown(_) => RunOutcome::Unknown,
         };
         let effects = self.home.finish(now, key, end);
         let Some(work) = self.keys.swap_remove(&key) else {
@@ -214,9 +214,9 @@
     pub(crate) fn on_home_frame(&mut self, now: Time, from: Incarnation, frame: Frame) -> bool {
         let effects = match frame {
             Frame::Transfer(transfer) => self.home.on_transfer(now, *transfer),
-            Frame::TransferDone { slot, view } => self.home.on_transfer_done(now, from, slot, view),
+            Frame::TransferDone { slot, view } => self.home.on_transfer_ack(now, from, slot, view),
             Frame::Finished(record) => self.home.on_finished(now, from, *record),
-            Frame::FinishedDone(key) => self.home.on_finished_done(now, key),
+            Frame::FinishedDone(key) => self.home.on_finished_ack(now, key),
             _ => return false,
         };
         self.apply_home(now, effects);
@@ -237,11 +237,11 @@
         let Some(view) = self.journal.view(&self.me.service) else {
             return;
         };
-        if self.home.view() >= Some(view.number) {
+        if self.home.view_number() >= Some(view.number) {
             return;
         }
         let view = view.clone();
-        let missed = match self.home.newest() {
+        let missed = match self.home.latest_view() {
             Some(known) => view.since(known),
             None if self.journal.forgotten.is_some() => None,
             None => view.history(),
@@ -285,27 +285,29 @@
 
     fn apply_home_effect(&mut self, now: Time, effect: Effect) {
         match effect {
-            Effect::Lease { to, message } => {
+            Effect::SendLease { to, message } => {
                 let version = PROTOCOL_VERSION;
                 let datagram = Datagram::Lease { version, message };
                 self.out.push(Output::Datagram { to, datagram });
             }
-            Effect::Transfer { to, transfer } => {
+            Effect::SendTransfer { to, transfer } => {
                 self.send(&to, Frame::Transfer(Box::new(transfer)));
             }
-            Effect::TransferDone { to, slot, view } => {
+            Effect::AckTransfer { to, slot, view } => {
                 self.count(Counter::SlotMoved);
                 self.send(&to, Frame::TransferDone { slot, view });
             }
-            Effect::Finished { to, record } => self.send(&to, Frame::Finished(Box::new(record))),
-            Effect::FinishedDone { to, key } => self.send(&to, Frame::FinishedDone(key)),
-            Effect::Settled(slot) => self.release(now, |key| key.slot() == slot),
-            Effect::Leased => self.release(now, |_| true),
-            Effect::Ended(key) => self.on_ended_elsewhere(key),
-            Effect::Recall(key) => self.recall(now, key),
-            Effect::Behind => self.out.push(Output::ReadLog),
+            Effect::SendFinished { to, record } => {
+                self.send(&to, Frame::Finished(Box::new(record)))
+            }
+            Effect::AckFinished { to, key } => self.send(&to, Frame::FinishedDone(key)),
+            Effect::MoveEnded(slot) => self.release(now, |key| key.slot() == slot),
+            Effect::LeaseAcquired => self.release(now, |_| true),
+            Effect::RemoteRunEnded(key) => self.on_ended_elsewhere(key),
+            Effect::CancelQueued(key) => self.recall(now, key),
+            Effect::ViewOutdated => self.out.push(Output::ReadLog),
             Effect::Expelled => self.expel(now),
-            Effect::Fault(fault) => {
+            Effect::InvariantViolation(fault) => {
                 debug_assert!(false, "{fault:?}");
                 self.count(Counter::Fault);
             }
@@ -320,9 +322,9 @@
         let Some(work) = self.keys.swap_remove(&key) else {
             return;
         };
-        let outcome = match self.home.known(key) {
-            Begin::Done(response) => Outcome::Whole(response),
-            Begin::NotRun(reason) => self.not_run(reason),
+        let outcome = match self.home.lookup(key) {
+            BeginResult::Done(response) => Outcome::Whole(response),
+            BeginResult::NotRun(reason) => self.not_run(reason),
             _ => Outcome::Unknown(Reason::RecordLost),
         };
         for id in work.waiting {
--- a/crates/engine/src/log.rs
+++ b/crates/engine/src/log.rs
@@ -141,7 +141,7 @@
         self.admission.set_ranks(ranks);
         self.set_quotas();
         let longest = longest.unwrap_or(limit.key_retention);
-        self.home.set_times(limit.key_retention, longest);
+        self.home.set_time_limits(limit.key_retention, longest);
         self.set_server_bounds();
         self.check_server(now);
         self.update_roster(now);
--- a/crates/engine/src/members.rs
+++ b/crates/engine/src/members.rs
@@ -65,7 +65,7 @@
 
     /// Takes a report that came with an answer.
     pub(crate) fn hear_load(&mut self, now: Time, from: Incarnation, load: LoadReport) {
-        self.members.heard_load(now, from, load);
+        self.members.on_load_report(now, from, load);
         self.selector.on_report(now, from, load);
         self.selector.on_answered(from);
     }
@@ -127,7 +127,7 @@
                     };
                     self.out.push(Output::Datagram { to, datagram });
                 }
-                Effect::Changed { incarnation, state } => {
+                Effect::PeerChanged { incarnation, state } => {
                     self.count(Counter::PeerChanged);
                     self.note_peer(now, incarnation, state);
                     self.set_standing(now, incarnation, state);
--- a/crates/engine/src/own_server.rs
+++ b/crates/engine/src/own_server.rs
@@ -143,7 +143,7 @@
     fn on_server_changed(&mut self, now: Time, another: bool) {
         self.set_server_bounds();
         let open = self.server_is_open();
-        if self.members.set_open(open) || another {
+        if self.members.set_accepting_work(open) || another {
             self.note_own_server(open);
         }
         if !open {
--- a/crates/engine/src/peer_notes.rs
+++ b/crates/engine/src/peer_notes.rs
@@ -54,7 +54,7 @@
             incarnation,
             addr: peer.instance.addr,
             state,
-            open: peer.open,
+            open: peer.accepts_work,
         }));
     }
 
--- a/crates/engine/src/quarantine.rs
+++ b/crates/engine/src/quarantine.rs
@@ -149,7 +149,7 @@
 
     fn report_suspect(&mut self, request: Fingerprint, crashes: u32) {
         let service = self.me.service.clone();
-        let peers = self.members.usable(&service);
+        let peers = self.members.usable_peers(&service);
         let peers: Vec<Instance> = peers.map(|peer| peer.instance.clone()).collect();
         for peer in peers {
             let frame = Frame::Suspect {
--- a/crates/engine/src/quota.rs
+++ b/crates/engine/src/quota.rs
@@ -143,7 +143,7 @@
             return;
         }
         self.quota.elected_at = Some(now);
-        self.quota.voters = self.members.voters(now);
+        self.quota.voters = self.members.voter_count(now);
         for group in 0..GROUPS {
             self.quota.elected[usize::from(group)] = self.elected(now, group);
         }
--- a/crates/engine/src/routing.rs
+++ b/crates/engine/src/routing.rs
@@ -13,7 +13,7 @@
 impl Engine {
     pub(crate) fn home_of(&self, service: &str, key: KeyHash) -> Option<Instance> {
         let view = self.journal.view(service)?;
-        once::owner(&view.members, key.slot()).cloned()
+        once::slot_owner(&view.members, key.slot()).cloned()
     }
 
     pub(crate) fn choose_server(&mut self, now: Time, call: &Outgoing) -> Option<Instance> {
@@ -50,7 +50,7 @@
             return;
         };
         let standing = match state {
-            _ if !peer.open => Standing::Closed,
+            _ if !peer.accepts_work => Standing::Closed,
             PeerState::Alive if !peer.load.draining => Standing::Ready,
             PeerState::Suspect if !peer.load.draining => Standing::Doubtful,
             _ => Standing::Closed,
--- a/crates/membership/src/config.rs
+++ b/crates/membership/src/config.rs
@@ -15,19 +15,19 @@
     /// How many others are asked to probe a peer that did not ack.
     pub indirect_probes: usize,
     /// One in so many probes and pieces of gossip goes to another region, where bytes are billed.
-    pub far_every: u32,
+    pub cross_region_every: u32,
     /// The time between two rounds of gossip while there is news.
     pub gossip_interval: Duration,
     /// To how many peers a round of gossip goes.
     pub gossip_fanout: usize,
     /// Each piece of news is sent so many times the binary logarithm of the fleet's size.
-    pub retransmit: u32,
+    pub retransmit_mult: u32,
     /// The time between two comparisons of whole tables by this node.
     pub sync_interval: Duration,
     /// How long a peer that the log lists may be dead before it is evicted.
     pub evict_after: Duration,
     /// How much later the next member evicts, if the one before has not.
-    pub evict_step: Duration,
+    pub evict_stagger: Duration,
     /// The most evictions by this node within a minute.
     pub evictions_per_minute: usize,
     /// How long a dead peer that the log does not list is remembered.
@@ -45,13 +45,13 @@
             ack_timeout: Duration::from_millis(250),
             suspicion_timeout: Duration::from_secs(3),
             indirect_probes: 3,
-            far_every: 8,
+            cross_region_every: 8,
             gossip_interval: Duration::from_millis(200),
             gossip_fanout: 3,
-            retransmit: 3,
+            retransmit_mult: 3,
             sync_interval: Duration::from_secs(10),
             evict_after: Duration::from_secs(3),
-            evict_step: Duration::from_secs(2),
+            evict_stagger: Duration::from_secs(2),
             evictions_per_minute: 10,
             forget_after: Duration::from_secs(600),
             max_peers: 4096,
--- a/crates/membership/src/digest.rs
+++ b/crates/membership/src/digest.rs
@@ -104,7 +104,7 @@
         self.hear_all(now, rumours);
         let learned = self.effects[before..]
             .iter()
-            .any(|effect| matches!(effect, Effect::Changed { .. }));
+            .any(|effect| matches!(effect, Effect::PeerChanged { .. }));
         if learned {
             self.digests.next_pull = now + self.cfg.probe_interval;
         }
--- a/crates/membership/src/evict.rs
+++ b/crates/membership/src/evict.rs
@@ -121,7 +121,7 @@
         let due = dead.filter(|(incarnation, entry)| {
             let rank = self.rank(**incarnation, &entry.peer.instance.service);
             rank.is_some_and(|rank| {
-                now.since(entry.since) >= self.cfg.evict_after + self.cfg.evict_step * rank
+                now.since(entry.since) >= self.cfg.evict_after + self.cfg.evict_stagger * rank
             })
         });
         due.map(|(incarnation, _)| *incarnation).collect()
--- a/crates/membership/src/hear.rs
+++ b/crates/membership/src/hear.rs
@@ -45,12 +45,13 @@
             None if rumour.state == PeerState::Dead => {}
             None => self.discover(now, rumour),
             Some(entry) if entry.is_news(rumour) => {
-                let turned = entry.peer.open != rumour.open;
-                self.set_open_of(incarnation, rumour.open);
+                let turned = entry.peer.accepts_work != rumour.open;
+                self.set_peer_accepts_work(incarnation, rumour.open);
                 self.set_state(now, incarnation, rumour.state, rumour.beat);
                 if turned {
                     let state = rumour.state;
-                    self.effects.push(Effect::Changed { incarnation, state });
+                    self.effects
+                        .push(Effect::PeerChanged { incarnation, state });
                 }
             }
             Some(_) => {}
@@ -145,6 +146,7 @@
         if state == PeerState::Suspect {
             self.start_suspicion(now, incarnation);
         }
-        self.effects.push(Effect::Changed { incarnation, state });
+        self.effects
+            .push(Effect::PeerChanged { incarnation, state });
     }
 }
--- a/crates/membership/src/members.rs
+++ b/crates/membership/src/members.rs
@@ -54,7 +54,7 @@
         message: MemberMessage,
     },
     /// A peer's state is not what it was.
-    Changed {
+    PeerChanged {
         /// Whose.
         incarnation: Incarnation,
         /// The new one.
@@ -224,7 +224,7 @@
     /// reaches a large fleet in a few rounds; a load report would reach most nodes only with the
     /// next probe between the two.
     /// Gives whether that is news.
-    pub fn set_open(&mut self, open: bool) -> bool {
+    pub fn set_accepting_work(&mut self, open: bool) -> bool {
         let news = self.open != open;
         if news {
             self.open = open;
@@ -235,7 +235,7 @@
 
     /// Asks the nodes at these addresses who they are, and keeps the addresses as hints. Some may
     /// be gone; who answers tells of the rest.
-    pub fn meet(&mut self, addrs: &[SocketAddr]) -> Vec<Effect> {
+    pub fn add_contacts(&mut self, addrs: &[SocketAddr]) -> Vec<Effect> {
         let strangers = addrs.iter().filter(|addr| **addr != self.me.addr);
         let mut strangers: Vec<SocketAddr> = strangers.copied().collect();
         strangers.shuffle(&mut self.rng);
@@ -249,9 +249,9 @@
         std::mem::take(&mut self.effects)
     }
 
-    pub(crate) fn set_open_of(&mut self, incarnation: Incarnation, open: bool) {
+    pub(crate) fn set_peer_accepts_work(&mut self, incarnation: Incarnation, open: bool) {
         if let Some(entry) = self.peers.get_mut(&incarnation) {
-            entry.peer.open = open;
+            entry.peer.accepts_work = open;
         }
     }
 
@@ -261,7 +261,7 @@
     }
 
     /// Takes a report that came with an answer.
-    pub fn heard_load(&mut self, now: Time, from: Incarnation, load: LoadReport) {
+    pub fn on_load_report(&mut self, now: Time, from: Incarnation, load: LoadReport) {
         if let Some(entry) = self.peers.get_mut(&from) {
             entry.peer.load = load;
             entry.heard = Some(now);
@@ -282,7 +282,7 @@
     /// How many nodes may be at work, this one included. Unlike [`Membership::fleet_size`] it leaves out
     /// nodes that have said that they leave, and counts addresses that nobody has been heard of at yet: a
     /// node that starts in a small part of a fleet that is cut apart must not take it for the whole.
-    pub fn voters(&self, now: Time) -> usize {
+    pub fn voter_count(&self, now: Time) -> usize {
         let peers = self.occupants.iter().filter(|(addr, occupant)| {
             let entry = self.peers.get(*occupant);
             **addr != self.me.addr && entry.is_none_or(|entry| !entry.has_left())
@@ -301,11 +301,11 @@
     }
 
     /// The peers that may be given new work for `service`.
-    pub fn usable<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a Peer> {
+    pub fn usable_peers<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a Peer> {
         self.peers().filter(move |peer| {
             &*peer.instance.service == service
                 && peer.state == PeerState::Alive
-                && peer.open
+                && peer.accepts_work
                 && !peer.load.draining
         })
     }
@@ -315,7 +315,7 @@
     }
 
     /// Who was last known to be at an address.
-    pub fn at(&self, addr: SocketAddr) -> Option<&Peer> {
+    pub fn peer_at(&self, addr: SocketAddr) -> Option<&Peer> {
         self.get(*self.occupants.get(&addr)?)
     }
 
@@ -349,7 +349,7 @@
 
     pub(crate) fn spread(&mut self, about: Incarnation) {
         let size = self.peers.len() as u32 + 2;
-        let times = self.cfg.retransmit * (size.ilog2() + 1);
+        let times = self.cfg.retransmit_mult * (size.ilog2() + 1);
         self.rumours.push(about, times);
     }
 
--- a/crates/membership/src/pick.rs
+++ b/crates/membership/src/pick.rs
@@ -36,7 +36,7 @@
 
     /// A random peer for gossip or an indirect probe: near, but for one in so many.
     pub(crate) fn pick_helper(&mut self, except: Option<Incarnation>) -> Option<SocketAddr> {
-        let far = self.rng.random_ratio(1, self.cfg.far_every.max(1));
+        let far = self.rng.random_ratio(1, self.cfg.cross_region_every.max(1));
         let region = self.me.region.clone();
         let fits = |entry: &Entry| {
             entry.peer.state == PeerState::Alive
--- a/crates/membership/src/probe.rs
+++ b/crates/membership/src/probe.rs
@@ -164,7 +164,7 @@
     /// The next peer of the round: each is probed once before any is probed again, which bounds
     /// the time to find out about it.
     fn next_target(&mut self) -> Option<Incarnation> {
-        let far = self.probes.periods % u64::from(self.cfg.far_every.max(1)) == 0;
+        let far = self.probes.periods % u64::from(self.cfg.cross_region_every.max(1)) == 0;
         self.next_of_round(far).or_else(|| self.next_of_round(!far))
     }
 
--- a/crates/membership/src/table.rs
+++ b/crates/membership/src/table.rs
@@ -16,7 +16,7 @@
     /// What it last said of its load.
     pub load: LoadReport,
     /// Whether its backend server takes new work.
-    pub open: bool,
+    pub accepts_work: bool,
 }
 
 #[derive(Debug)]
@@ -47,7 +47,7 @@
                 instance: rumour.instance,
                 state: rumour.state,
                 load: LoadReport::default(),
-                open: rumour.open,
+                accepts_work: rumour.open,
             },
             beat: rumour.beat,
             left: rumour_state == PeerState::Leaving,
@@ -82,7 +82,7 @@
             instance: self.peer.instance.clone(),
             state: self.peer.state,
             beat: self.beat,
-            open: self.peer.open,
+            open: self.peer.accepts_work,
         }
     }
 }
--- a/crates/membership/src/watch.rs
+++ b/crates/membership/src/watch.rs
@@ -26,7 +26,7 @@
 impl Membership {
     /// Whether this node reads the store, as far as it knows. Nodes that know different peers may decide
     /// differently; more or fewer of them read then, until they agree.
-    pub fn watches_store(&self, now: Time) -> bool {
+    pub fn is_store_reader(&self, now: Time) -> bool {
         let started = self.started.unwrap_or(now);
         if now.since(started) < SETTLED_AFTER {
             return false;
@@ -37,7 +37,7 @@
 
     /// Whether this node asks the store on behalf of its failure domain. One does, so that the number of
     /// questions grows with the failure domains and not with the nodes.
-    pub fn leads_domain(&self, now: Time) -> bool {
+    pub fn is_domain_leader(&self, now: Time) -> bool {
         let settled = self
             .started
             .is_some_and(|started| now.since(started) >= SETTLED_AFTER);
@@ -45,7 +45,7 @@
     }
 
     /// The live peer of the own failure domain that comes `nth` in the order of incarnations.
-    pub fn domain_leader(&self, nth: usize) -> Option<&Instance> {
+    pub fn domain_leader_candidate(&self, nth: usize) -> Option<&Instance> {
         let mut peers: Vec<&Instance> = self
             .peers()
             .filter(|peer| self.is_live_neighbour(peer))
--- a/crates/membership/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -129,8 +129,8 @@
     }
 
     /// Has a node ask who is at these addresses.
-    pub fn meet(&mut self, number: usize, addrs: &[SocketAddr]) {
-        let effects = self.nodes[number].members.meet(addrs);
+    pub fn add_contacts(&mut self, number: usize, addrs: &[SocketAddr]) {
+        let effects = self.nodes[number].members.add_contacts(addrs);
         self.perform(number, effects);
     }
 
@@ -180,7 +180,7 @@
             match effect {
                 Effect::Send { to, message } => self.send(number, to, message),
                 Effect::Evict(incarnation) => self.nodes[number].evictions.push(incarnation),
-                Effect::Changed { state, .. } => {
+                Effect::PeerChanged { state, .. } => {
                     let node = &mut self.nodes[number];
                     node.suspected += u32::from(state == PeerState::Suspect);
                     node.died += u32::from(state == PeerState::Dead);
--- a/crates/membership/tests/mass_loss.rs
+++ b/crates/membership/tests/mass_loss.rs
@@ -128,7 +128,7 @@
         }
         let addrs: Vec<_> = (0..nodes).map(addr).collect();
         for number in 0..nodes {
-            fleet.meet(number, &addrs);
+            fleet.add_contacts(number, &addrs);
         }
         fleet.run(Duration::from_secs(12));
         let far: u64 = fleet.nodes.iter().map(|node| node.far_bytes).sum();
--- a/crates/once/src/config.rs
+++ b/crates/once/src/config.rs
@@ -4,7 +4,7 @@
 
 /// Bounds and times of a home; filled once and passed down.
 ///
-/// All nodes of a service must agree on `lease`, `margin` and `max_log_silence`: a fence waits out
+/// All nodes of a service must agree on `lease`, `margin` and `max_log_staleness`: a fence waits out
 /// what others were granted.
 #[derive(Debug, Clone)]
 pub struct Config {
@@ -23,17 +23,17 @@
     /// unlike rates: a fence waits for `lease` + `margin`.
     pub margin: Duration,
     /// A node that did not hear the log for so long holds no lease.
-    pub max_log_silence: Duration,
+    pub max_log_staleness: Duration,
     /// The longest time that one read of the log may take: what was read is at most this old.
-    pub max_log_read: Duration,
+    pub max_log_read_duration: Duration,
     /// How long a transfer from a node that left as planned is waited for.
     pub transfer_timeout: Duration,
     /// How long calls are held while their slot is on its way here.
-    pub hold: Duration,
+    pub max_hold: Duration,
     /// How long to wait before a transfer without an answer is sent again.
-    pub resend: Duration,
+    pub resend_interval: Duration,
     /// The most bytes of records in one transfer frame.
-    pub part_bytes: usize,
+    pub max_part_bytes: usize,
 }
 
 impl Default for Config {
@@ -44,12 +44,12 @@
             max_response_bytes: 64 << 10,
             lease: Duration::from_secs(3),
             margin: Duration::from_millis(300),
-            max_log_silence: Duration::from_secs(2 * 60 * 60),
-            max_log_read: Duration::from_secs(30),
+            max_log_staleness: Duration::from_secs(2 * 60 * 60),
+            max_log_read_duration: Duration::from_secs(30),
             transfer_timeout: Duration::from_secs(10),
-            hold: Duration::from_secs(1),
-            resend: Duration::from_millis(200),
-            part_bytes: 1 << 20,
+            max_hold: Duration::from_secs(1),
+            resend_interval: Duration::from_millis(200),
+            max_part_bytes: 1 << 20,
         }
     }
 }
--- a/crates/once/src/fence.rs
+++ b/crates/once/src/fence.rs
@@ -197,8 +197,8 @@
         // Whoever still goes by this view read the log before its successor was in it. Over hours
         // even good clocks drift apart by more than the margin; without the part for that, a home
         // with a slow clock could still start work when its successor does.
-        let drift = cfg.max_log_silence / CLOCK_RATE;
-        let silent = self.succeeded + cfg.max_log_silence + drift + cfg.margin;
+        let drift = cfg.max_log_staleness / CLOCK_RATE;
+        let silent = self.succeeded + cfg.max_log_staleness + drift + cfg.margin;
         // Whatever was granted was asked for before the last granter was lost.
         match self.closed {
             Some(closed) => silent.min(closed + cfg.lease + cfg.margin),
--- a/crates/once/src/home.rs
+++ b/crates/once/src/home.rs
@@ -3,7 +3,7 @@
 use crate::fence::Fence;
 use crate::lease::Lease;
 use crate::moved::Moved;
-use crate::owner::owner;
+use crate::owner::slot_owner;
 use crate::records::Records;
 use crate::slot::Give;
 use crate::slot::Held;
@@ -75,7 +75,7 @@
     /// use bilberry_once::{Config, Home};
     ///
     /// let home = Home::new(Config::default(), proto::Incarnation(1));
-    /// assert_eq!(home.view(), None);
+    /// assert_eq!(home.view_number(), None);
     /// ```
     pub fn new(cfg: Config, me: Incarnation) -> Self {
         Self {
@@ -104,24 +104,24 @@
     }
 
     /// Takes the rules' retention of keys, and the longest deadline of a run.
-    pub fn set_times(&mut self, retention: Duration, longest_run: Duration) {
+    pub fn set_time_limits(&mut self, retention: Duration, longest_run: Duration) {
         self.retention = retention;
         self.longest_run = longest_run;
     }
 
     /// The number of the newest view that was taken. The first record of a stream makes view 0.
-    pub fn view(&self) -> Option<u64> {
+    pub fn view_number(&self) -> Option<u64> {
         self.view.as_ref().map(|view| view.number)
     }
 
     /// The newest view that was taken.
-    pub fn newest(&self) -> Option<&View> {
+    pub fn latest_view(&self) -> Option<&View> {
         self.view.as_ref()
     }
 
     /// Whether this node knows no view, or only older ones.
     pub(crate) fn is_behind(&self, view: u64) -> bool {
-        self.view().is_none_or(|mine| mine < view)
+        self.view_number().is_none_or(|mine| mine < view)
     }
 
     /// All views below this one are fenced, as far as this node knows.
@@ -194,7 +194,7 @@
             self.joined = true;
             self.next_round = Some(now);
             self.rounds_without = 0;
-            self.lease_awaited = now + self.cfg.hold;
+            self.lease_awaited = now + self.cfg.max_hold;
         } else if self.joined {
             self.next_round = None;
             self.expelled = Some(now).filter(|_| !self.leaving);
@@ -205,7 +205,7 @@
 
     /// The log was read to its end.
     pub fn on_log_read(&mut self, now: Time) {
-        let began = Time::ZERO + now.since(Time::ZERO + self.cfg.max_log_read);
+        let began = Time::ZERO + now.since(Time::ZERO + self.cfg.max_log_read_duration);
         self.log_heard = self.log_heard.max(Some(began));
     }
 
@@ -288,15 +288,15 @@
     fn recall(&mut self, slot: u16) {
         for key in self.records.queued(slot) {
             self.records.remove(key);
-            self.out.push(Effect::Recall(key));
+            self.out.push(Effect::CancelQueued(key));
         }
     }
 
     /// Enters the moves of slots from or to this node.
     fn move_slots(&mut self, now: Time, old: Option<&View>, view: &View) {
         for slot in 0..SLOTS {
-            let before = old.and_then(|old| owner(&old.members, slot));
-            let after = owner(&view.members, slot);
+            let before = old.and_then(|old| slot_owner(&old.members, slot));
+            let after = slot_owner(&view.members, slot);
             if before.map(|owner| owner.incarnation) == after.map(|owner| owner.incarnation) {
                 continue;
             }
--- a/crates/once/src/lib.rs
+++ b/crates/once/src/lib.rs
@@ -18,10 +18,10 @@
 mod votes;
 
 pub use config::Config;
-pub use effect::Begin;
+pub use effect::BeginResult;
 pub use effect::Effect;
-pub use effect::End;
-pub use effect::Fault;
+pub use effect::InvariantViolation;
+pub use effect::RunOutcome;
 pub use home::Home;
-pub use owner::owner;
+pub use owner::slot_owner;
 pub use view::is_quorum;
--- a/crates/once/src/moved.rs
+++ b/crates/once/src/moved.rs
@@ -1,8 +1,8 @@
 //! Runs whose slot has moved on to another home.
 
 use crate::records::to_ms;
-use crate::Begin;
-use crate::End;
+use crate::BeginResult;
+use crate::RunOutcome;
 use proto::Fingerprint;
 use proto::KeyHash;
 use proto::KeyRecord;
@@ -16,7 +16,7 @@
 pub(crate) struct Moved {
     pub(crate) fingerprint: Fingerprint,
     /// `None` while it runs.
-    pub(crate) end: Option<End>,
+    pub(crate) end: Option<RunOutcome>,
     /// When to tell the new home, again.
     pub(crate) send_at: Option<Time>,
     /// When to stop telling.
@@ -38,23 +38,23 @@
         self.end.is_none()
     }
 
-    pub(crate) fn begin(&self, fingerprint: Fingerprint) -> Begin {
+    pub(crate) fn begin(&self, fingerprint: Fingerprint) -> BeginResult {
         if self.fingerprint != fingerprint {
-            return Begin::NotRun(Reason::KeyMismatch);
+            return BeginResult::NotRun(Reason::KeyMismatch);
         }
         match &self.end {
-            None => Begin::Attach,
-            Some(End::Done(response)) => Begin::Done(response.clone()),
-            Some(End::Unknown) => Begin::Unknown,
-            Some(End::NotRun) => Begin::NotRun(Reason::Moving),
+            None => BeginResult::Attach,
+            Some(RunOutcome::Done(response)) => BeginResult::Done(response.clone()),
+            Some(RunOutcome::Unknown) => BeginResult::Unknown,
+            Some(RunOutcome::NotRun) => BeginResult::NotRun(Reason::Moving),
         }
     }
 
     pub(crate) fn to_message(&self, key: KeyHash, retention: Duration) -> Option<KeyRecord> {
         let state = match self.end.as_ref()? {
-            End::Done(response) => RecordState::Done(response.clone()),
-            End::NotRun => RecordState::NotRun,
-            End::Unknown => RecordState::Unknown,
+            RunOutcome::Done(response) => RecordState::Done(response.clone()),
+            RunOutcome::NotRun => RecordState::NotRun,
+            RunOutcome::Unknown => RecordState::Unknown,
         };
         Some(KeyRecord {
             key,
--- a/crates/once/src/runs.rs
+++ b/crates/once/src/runs.rs
@@ -7,11 +7,11 @@
 use crate::slot::Move;
 use crate::slot::Receive;
 use crate::view::is_member;
-use crate::Begin;
+use crate::BeginResult;
 use crate::Effect;
-use crate::End;
-use crate::Fault;
 use crate::Home;
+use crate::InvariantViolation;
+use crate::RunOutcome;
 use proto::Fingerprint;
 use proto::Incarnation;
 use proto::KeyHash;
@@ -28,7 +28,7 @@
         key: KeyHash,
         fingerprint: Fingerprint,
         fresh: bool,
-    ) -> Begin {
+    ) -> BeginResult {
         if let Some(moved) = self.moved.get(&key) {
             return moved.begin(fingerprint);
         }
@@ -42,7 +42,7 @@
             return self.await_lease(now);
         }
         if self.records.bytes() + RECORD_BYTES + self.cfg.reserve_bytes > self.cfg.max_bytes {
-            return Begin::NotRun(Reason::TableFull);
+            return BeginResult::NotRun(Reason::TableFull);
         }
         let record = Record {
             fingerprint,
@@ -50,14 +50,14 @@
             ends: None,
         };
         self.records.put(key, record);
-        Begin::Start
+        BeginResult::Start
     }
 
     /// What is known of a key, for whoever waited for the end of its run.
-    pub fn known(&self, key: KeyHash) -> Begin {
+    pub fn lookup(&self, key: KeyHash) -> BeginResult {
         match self.records.get(key) {
             Some(record) => known(record, record.fingerprint),
-            None => Begin::NotRun(Reason::Moving),
+            None => BeginResult::NotRun(Reason::Moving),
         }
     }
 
@@ -87,14 +87,14 @@
             }
             _ => {
                 debug_assert!(false, "a run starts once, from the queue");
-                self.fault(Fault::NoSuchRun(key));
+                self.fault(InvariantViolation::RunNotInFlight(key));
                 Err(Reason::RecordLost)
             }
         }
     }
 
     /// Ends the run of a key, started or not.
-    pub fn finish(&mut self, now: Time, key: KeyHash, end: End) -> Vec<Effect> {
+    pub fn finish(&mut self, now: Time, key: KeyHash, end: RunOutcome) -> Vec<Effect> {
         if let Some(moved) = self.moved.get_mut(&key) {
             moved.end = Some(end);
             moved.send_at = Some(now);
@@ -105,8 +105,8 @@
         match self.records.get(key).map(|record| &record.state) {
             Some(State::Queued | State::Running) => self.end(now, key, end),
             // A queued run that was recalled.
-            None if end == End::NotRun => {}
-            _ => self.fault(Fault::NoSuchRun(key)),
+            None if end == RunOutcome::NotRun => {}
+            _ => self.fault(InvariantViolation::RunNotInFlight(key)),
         }
         std::mem::take(&mut self.out)
     }
@@ -119,14 +119,14 @@
             self.import(now, record);
             let to = self.known.get(&from).cloned();
             self.out
-                .extend(to.map(|to| Effect::FinishedDone { to, key }));
-            self.out.push(Effect::Ended(key));
+                .extend(to.map(|to| Effect::AckFinished { to, key }));
+            self.out.push(Effect::RemoteRunEnded(key));
         }
         std::mem::take(&mut self.out)
     }
 
     /// The new home knows the end of a run.
-    pub fn on_finished_done(&mut self, now: Time, key: KeyHash) -> Vec<Effect> {
+    pub fn on_finished_ack(&mut self, now: Time, key: KeyHash) -> Vec<Effect> {
         if self
             .moved
             .get(&key)
@@ -139,7 +139,7 @@
     }
 
     /// What becomes of a call because of the slot's state; `None` if it is ready and certain.
-    fn check_slot(&self, now: Time, slot: u16, fresh: bool) -> Option<Begin> {
+    fn check_slot(&self, now: Time, slot: u16, fresh: bool) -> Option<BeginResult> {
         let entry = &self.slots[usize::from(slot)];
         let listed = self
             .view
@@ -147,43 +147,45 @@
             .is_some_and(|view| is_member(&view.members, self.me));
         match (entry.moves.front(), entry.held) {
             (Some(Move::Receive(receive)), _) => Some(self.await_slot(now, receive)),
-            (Some(Move::Give(_)), _) => Some(Begin::Wait),
-            (None, None) => Some(Begin::NotRun(Reason::Moving)),
+            (Some(Move::Give(_)), _) => Some(BeginResult::Wait),
+            (None, None) => Some(BeginResult::NotRun(Reason::Moving)),
             // The view that moves the slot is on its way.
-            (None, Some(_)) if self.leaving && listed => Some(Begin::Wait),
-            (None, Some(held)) => (now < held.doubt_until && !fresh).then_some(Begin::Unknown),
+            (None, Some(_)) if self.leaving && listed => Some(BeginResult::Wait),
+            (None, Some(held)) => {
+                (now < held.doubt_until && !fresh).then_some(BeginResult::Unknown)
+            }
         }
     }
 
     /// After a change of view, grants are some milliseconds away.
-    fn await_lease(&self, now: Time) -> Begin {
+    fn await_lease(&self, now: Time) -> BeginResult {
         if now < self.lease_awaited && !self.leaving {
-            Begin::Wait
+            BeginResult::Wait
         } else {
-            Begin::NotRun(Reason::NoLease)
+            BeginResult::NotRun(Reason::NoLease)
         }
     }
 
-    fn await_slot(&self, now: Time, receive: &Receive) -> Begin {
+    fn await_slot(&self, now: Time, receive: &Receive) -> BeginResult {
         if receive.lost.is_some_and(|lost| lost <= now) {
-            Begin::NotRun(Reason::NoLease)
-        } else if now < receive.since + self.cfg.hold {
-            Begin::Wait
+            BeginResult::NotRun(Reason::NoLease)
+        } else if now < receive.since + self.cfg.max_hold {
+            BeginResult::Wait
         } else {
-            Begin::NotRun(Reason::Moving)
+            BeginResult::NotRun(Reason::Moving)
         }
     }
 
-    fn end(&mut self, now: Time, key: KeyHash, end: End) {
+    fn end(&mut self, now: Time, key: KeyHash, end: RunOutcome) {
         let Some(record) = self.records.remove(key) else {
             return;
         };
         let state = match end {
-            End::NotRun => return,
-            End::Unknown => State::Unknown,
-            End::Done(response) if self.fits(response.size()) => State::Done(response),
+            RunOutcome::NotRun => return,
+            RunOutcome::Unknown => State::Unknown,
+            RunOutcome::Done(response) if self.fits(response.size()) => State::Done(response),
             // It ran and its answer goes out, but a re-send can only be told that it ran.
-            End::Done(_) => State::Unknown,
+            RunOutcome::Done(_) => State::Unknown,
         };
         let record = Record {
             state,
@@ -210,7 +212,7 @@
             let state = self.records.get(key).map(|record| &record.state);
             match state {
                 Some(State::Done(_)) if moved.end.is_some() => {}
-                Some(State::Done(_)) => self.fault(Fault::RecordBackwards(key)),
+                Some(State::Done(_)) => self.fault(InvariantViolation::RecordRegressed(key)),
                 _ => self.put_back(now, key, moved),
             }
         }
@@ -246,11 +248,11 @@
                 self.moved.swap_remove(&key);
                 continue;
             }
-            moved.send_at = Some(now + self.cfg.resend);
+            moved.send_at = Some(now + self.cfg.resend_interval);
             let record = moved.to_message(key, self.retention);
             let effect = to.zip(record);
             self.out
-                .extend(effect.map(|(to, record)| Effect::Finished { to, record }));
+                .extend(effect.map(|(to, record)| Effect::SendFinished { to, record }));
         }
     }
 
@@ -267,20 +269,20 @@
                     ..record
                 };
                 self.records.put(key, record);
-                self.out.push(Effect::Ended(key));
+                self.out.push(Effect::RemoteRunEnded(key));
             }
         }
     }
 }
 
 /// What the record of a key says to a call.
-fn known(record: &Record, fingerprint: Fingerprint) -> Begin {
+fn known(record: &Record, fingerprint: Fingerprint) -> BeginResult {
     if record.fingerprint != fingerprint {
-        return Begin::NotRun(Reason::KeyMismatch);
+        return BeginResult::NotRun(Reason::KeyMismatch);
     }
     match &record.state {
-        State::Queued | State::Running | State::RunningAt(_) => Begin::Attach,
-        State::Done(response) => Begin::Done(response.clone()),
-        State::Unknown => Begin::Unknown,
+        State::Queued | State::Running | State::RunningAt(_) => BeginResult::Attach,
+        State::Done(response) => BeginResult::Done(response.clone()),
+        State::Unknown => BeginResult::Unknown,
     }
 }
--- a/crates/once/src/transfers.rs
+++ b/crates/once/src/transfers.rs
@@ -10,8 +10,8 @@
 use crate::slot::Move;
 use crate::slot::Receive;
 use crate::Effect;
-use crate::Fault;
 use crate::Home;
+use crate::InvariantViolation;
 use proto::Incarnation;
 use proto::Instance;
 use proto::KeyHash;
@@ -26,7 +26,7 @@
         let slot = usize::from(transfer.slot);
         // A view that is not known here yet: the giver sends again.
         if slot >= self.slots.len() || self.is_behind(transfer.view) {
-            self.out.push(Effect::Behind);
+            self.out.push(Effect::ViewOutdated);
             return std::mem::take(&mut self.out);
         }
         let (number, view, from) = (transfer.slot, transfer.view, transfer.from);
@@ -46,7 +46,7 @@
     }
 
     /// The receiver of a slot has it.
-    pub fn on_transfer_done(
+    pub fn on_transfer_ack(
         &mut self,
         now: Time,
         from: Incarnation,
@@ -62,7 +62,7 @@
         if given {
             entry.moves.pop_front();
             self.release(slot);
-            self.out.push(Effect::Settled(slot));
+            self.out.push(Effect::MoveEnded(slot));
         }
         self.advance(now);
         std::mem::take(&mut self.out)
@@ -122,7 +122,7 @@
             self.import(now, record);
         }
         self.reclaim(now, slot);
-        self.out.push(Effect::Settled(slot));
+        self.out.push(Effect::MoveEnded(slot));
         true
     }
 
@@ -138,7 +138,7 @@
             doubted: Some(receive.view),
         });
         self.reclaim(now, slot);
-        self.out.push(Effect::Settled(slot));
+        self.out.push(Effect::MoveEnded(slot));
     }
 
     /// The records of a slot that was taken over in doubt come after all.
@@ -167,7 +167,7 @@
         entry.held = None;
         if entry.moves.is_empty() {
             self.records.take_slot(slot);
-            self.out.push(Effect::Settled(slot));
+            self.out.push(Effect::MoveEnded(slot));
         }
     }
 
@@ -180,7 +180,7 @@
     /// Sends the slot, or sends it again.
     fn give(&mut self, now: Time, slot: u16) {
         let Some(held) = self.slots[usize::from(slot)].held else {
-            self.fault(Fault::NotHeld(slot));
+            self.fault(InvariantViolation::SlotNotHeld(slot));
             return self.abandon(slot);
         };
         let unprepared = |give: &mut crate::slot::Give| give.parts.is_empty().then_some(give.view);
@@ -191,12 +191,12 @@
                 give.parts = parts;
             }
         }
-        let resend = self.cfg.resend;
+        let resend = self.cfg.resend_interval;
         let Some(give) = self.slots[usize::from(slot)].giving() else {
             return;
         };
         give.send_at = now + resend;
-        let sends = give.parts.iter().map(|part| Effect::Transfer {
+        let sends = give.parts.iter().map(|part| Effect::SendTransfer {
             to: give.to.clone(),
             transfer: part.clone(),
         });
@@ -216,7 +216,7 @@
         for (key, fingerprint) in running {
             self.moved.insert(key, Moved::running(fingerprint));
         }
-        let parts = split(records, self.cfg.part_bytes);
+        let parts = split(records, self.cfg.max_part_bytes);
         let count = u16::try_from(parts.len()).unwrap_or(u16::MAX);
         let doubt_ms = to_ms(now.until(held.doubt_until));
         let parts = parts.into_iter().zip(0..count);
@@ -243,7 +243,7 @@
             (Some(State::Unknown), RecordState::Done(_)) => false,
             (Some(State::Unknown | State::Done(_)), _) => true,
             (Some(State::Queued | State::Running), _) => {
-                self.fault(Fault::RecordBackwards(key));
+                self.fault(InvariantViolation::RecordRegressed(key));
                 true
             }
         };
@@ -274,18 +274,18 @@
     fn thank(&mut self, giver: Incarnation, slot: u16, view: u64) {
         let to: Option<Instance> = self.known.get(&giver).cloned();
         self.out
-            .extend(to.map(|to| Effect::TransferDone { to, slot, view }));
+            .extend(to.map(|to| Effect::AckTransfer { to, slot, view }));
     }
 
     /// The home of a key in the newest view, if that is another node.
     pub(crate) fn home_elsewhere(&self, key: KeyHash) -> Option<Instance> {
         let view = self.view.as_ref()?;
-        let home = crate::owner(&view.members, key.slot())?;
+        let home = crate::slot_owner(&view.members, key.slot())?;
         (home.incarnation != self.me).then(|| home.clone())
     }
 
-    pub(crate) fn fault(&mut self, fault: Fault) {
-        self.out.push(Effect::Fault(fault));
+    pub(crate) fn fault(&mut self, fault: InvariantViolation) {
+        self.out.push(Effect::InvariantViolation(fault));
     }
 }
 
--- a/crates/once/src/view.rs
+++ b/crates/once/src/view.rs
@@ -10,7 +10,7 @@
 ///
 /// With two members a tie-break would let the older one hold its lease by its own votes alone. Then
 /// its crash could not be told from a pause, and its slots would be out until
-/// [`crate::Config::max_log_silence`] has passed. So both must agree.
+/// [`crate::Config::max_log_staleness`] has passed. So both must agree.
 const MAX_WITHOUT_TIE_BREAK: usize = 2;
 
 /// The votes of a member; none for all others.
--- a/crates/once/src/votes.rs
+++ b/crates/once/src/votes.rs
@@ -41,7 +41,9 @@
             .until(now, &view.members, self.me, self.cfg.lease);
         // Beyond this time a new home may take it that this node does not hear the log, and would
         // not know of a newer view.
-        let heard = self.log_heard.map(|heard| heard + self.cfg.max_log_silence);
+        let heard = self
+            .log_heard
+            .map(|heard| heard + self.cfg.max_log_staleness);
         let until = granted.min(heard).unwrap_or(Time::ZERO);
         now.until(until).saturating_sub(self.cfg.margin)
     }
@@ -100,7 +102,7 @@
             // a member by what it knows is behind, and has seen nothing newer than the asker.
             granted: !self.leaving && view >= mine.number,
         };
-        self.out.push(Effect::Lease { to: addr, message });
+        self.out.push(Effect::SendLease { to: addr, message });
     }
 
     fn on_grant(&mut self, now: Time, from: Incarnation, view: u64, round: u64, log_age: Duration) {
@@ -116,14 +118,14 @@
         }
         if had_none && !self.lease_left(now).is_zero() {
             self.rounds_without = 0;
-            self.out.push(Effect::Leased);
+            self.out.push(Effect::LeaseAcquired);
         }
     }
 
     fn heard_view(&mut self, from: Incarnation, view: u64) {
         self.fence.heard(from, view);
         if self.is_behind(view) {
-            self.out.push(Effect::Behind);
+            self.out.push(Effect::ViewOutdated);
         }
     }
 
@@ -144,7 +146,7 @@
                 view: view.number,
                 round,
             };
-            self.out.push(Effect::Lease { to, message });
+            self.out.push(Effect::SendLease { to, message });
         }
         self.view = Some(view);
     }
--- a/crates/once/tests/common/mod.rs
+++ b/crates/once/tests/common/mod.rs
@@ -2,11 +2,11 @@
 
 #![allow(dead_code, reason = "each test file uses a part")]
 
-use bilberry_once::Begin;
+use bilberry_once::BeginResult;
 use bilberry_once::Config;
 use bilberry_once::Effect;
-use bilberry_once::End;
 use bilberry_once::Home;
+use bilberry_once::RunOutcome;
 use indexmap::IndexMap;
 use indexmap::IndexSet;
 use journal::Departure;
@@ -33,7 +33,7 @@
     TransferDone(u16, u64),
     Finished(KeyRecord),
     FinishedDone(KeyHash),
-    RunEnds(KeyHash, End),
+    RunEnds(KeyHash, RunOutcome),
     View(usize),
 }
 
@@ -195,18 +195,18 @@
     }
 
     /// A call with a key at a node. A run that starts ends whole after `self.run`.
-    pub fn call(&mut self, number: u64, key: KeyHash, fresh: bool) -> Begin {
+    pub fn call(&mut self, number: u64, key: KeyHash, fresh: bool) -> BeginResult {
         let now = self.now;
         let begin = self.home(number).begin(now, key, FINGERPRINT, fresh);
-        if begin != Begin::Start {
+        if begin != BeginResult::Start {
             return begin;
         }
         let end = match self.home(number).start(now, key) {
             Ok(_) => {
                 *self.starts.entry(key).or_default() += 1;
-                End::Done(response())
+                RunOutcome::Done(response())
             }
-            Err(_) => End::NotRun,
+            Err(_) => RunOutcome::NotRun,
         };
         self.put(number, number, self.run, Packet::RunEnds(key, end));
         begin
@@ -263,9 +263,9 @@
         let effects = match packet {
             Packet::Lease(addr, message) => home.on_lease(now, addr, message),
             Packet::Transfer(transfer) => home.on_transfer(now, transfer),
-            Packet::TransferDone(slot, view) => home.on_transfer_done(now, giver, slot, view),
+            Packet::TransferDone(slot, view) => home.on_transfer_ack(now, giver, slot, view),
             Packet::Finished(record) => home.on_finished(now, giver, record),
-            Packet::FinishedDone(key) => home.on_finished_done(now, key),
+            Packet::FinishedDone(key) => home.on_finished_ack(now, key),
             Packet::RunEnds(key, end) => home.finish(now, key, end),
             Packet::View(_) => Vec::new(),
         };
@@ -275,7 +275,7 @@
     pub fn apply(&mut self, number: u64, effects: Vec<Effect>) {
         for effect in effects {
             let (to, packet) = match &effect {
-                Effect::Lease { to, message } => {
+                Effect::SendLease { to, message } => {
                     let bytes = proto::encode(message).len();
                     *self.lease_bytes.entry(number).or_default() += bytes;
                     let mine = self.nodes[&number].instance.addr;
@@ -285,19 +285,19 @@
                         Packet::Lease(mine, *message),
                     )
                 }
-                Effect::Transfer { to, transfer } => {
+                Effect::SendTransfer { to, transfer } => {
                     (Some(to.incarnation), Packet::Transfer(transfer.clone()))
                 }
-                Effect::TransferDone { to, slot, view } => {
+                Effect::AckTransfer { to, slot, view } => {
                     (Some(to.incarnation), Packet::TransferDone(*slot, *view))
                 }
-                Effect::Finished { to, record } => {
+                Effect::SendFinished { to, record } => {
                     (Some(to.incarnation), Packet::Finished(record.clone()))
                 }
-                Effect::FinishedDone { to, key } => {
+                Effect::AckFinished { to, key } => {
                     (Some(to.incarnation), Packet::FinishedDone(*key))
                 }
-                Effect::Fault(fault) => panic!("node {number}: {fault:?}"),
+                Effect::InvariantViolation(fault) => panic!("node {number}: {fault:?}"),
                 _ => {
                     self.nodes[&number].seen.push(effect);
                     continue;
@@ -322,7 +322,7 @@
     pub fn key_of(&self, number: u64, nth: usize) -> KeyHash {
         let members = self.members();
         let owned = |key: &KeyHash| {
-            bilberry_once::owner(&members, key.slot())
+            bilberry_once::slot_owner(&members, key.slot())
                 .unwrap()
                 .incarnation
                 .0
--- a/crates/once/tests/homes.rs
+++ b/crates/once/tests/homes.rs
@@ -2,8 +2,8 @@
 
 mod common;
 
-use bilberry_once::Begin;
-use bilberry_once::End;
+use bilberry_once::BeginResult;
+use bilberry_once::RunOutcome;
 use common::ms;
 use common::response;
 use common::Cluster;
@@ -15,7 +15,7 @@
 use proto::Reason;
 
 /// What each of `calls` gets, in order.
-fn check(cluster: &mut Cluster, calls: &[(u64, KeyHash, Begin)]) {
+fn check(cluster: &mut Cluster, calls: &[(u64, KeyHash, BeginResult)]) {
     for (number, key, expected) in calls {
         assert_eq!(
             cluster.call(*number, *key, false),
@@ -25,8 +25,8 @@
     }
 }
 
-const NO_LEASE: Begin = Begin::NotRun(Reason::NoLease);
-const MOVING: Begin = Begin::NotRun(Reason::Moving);
+const NO_LEASE: BeginResult = BeginResult::NotRun(Reason::NoLease);
+const MOVING: BeginResult = BeginResult::NotRun(Reason::Moving);
 
 #[test]
 fn a_key_runs_once_and_is_replayed() {
@@ -36,18 +36,18 @@
     check(
         &mut cluster,
         &[
-            (3, key, Begin::Start),
-            (3, key, Begin::Attach),
+            (3, key, BeginResult::Start),
+            (3, key, BeginResult::Attach),
             (4, key, MOVING),
         ],
     );
     cluster.advance(ms(100));
-    check(&mut cluster, &[(3, key, Begin::Done(response()))]);
+    check(&mut cluster, &[(3, key, BeginResult::Done(response()))]);
     let now = cluster.now;
     let other = cluster
         .home(3)
         .begin(now, key, proto::Fingerprint(8), false);
-    assert_eq!(other, Begin::NotRun(Reason::KeyMismatch));
+    assert_eq!(other, BeginResult::NotRun(Reason::KeyMismatch));
 }
 
 /// A node is paused for longer than its lease, between the check of a call and the start of its
@@ -60,16 +60,16 @@
     let now = cluster.now;
     assert_eq!(
         cluster.home(3).begin(now, key, FINGERPRINT, true),
-        Begin::Start
+        BeginResult::Start
     );
     cluster.nodes[&3].paused = true;
     cluster.depart(3, Departure::Evicted);
     cluster.advance(ms(10_000));
-    let heir = bilberry_once::owner(&cluster.members(), key.slot())
+    let heir = bilberry_once::slot_owner(&cluster.members(), key.slot())
         .unwrap()
         .incarnation
         .0;
-    assert_eq!(cluster.call(heir, key, true), Begin::Start);
+    assert_eq!(cluster.call(heir, key, true), BeginResult::Start);
     let now = cluster.now;
     assert_eq!(cluster.home(3).start(now, key), Err(Reason::NoLease));
 }
@@ -82,14 +82,14 @@
     let key = cluster.key_of(3, 0);
     cluster.nodes[&3].sees_log = false;
     cluster.depart(3, Departure::Evicted);
-    let heir = bilberry_once::owner(&cluster.members(), key.slot())
+    let heir = bilberry_once::slot_owner(&cluster.members(), key.slot())
         .unwrap()
         .incarnation
         .0;
     for _ in 0..80 {
         cluster.advance(ms(100));
         let now = cluster.now;
-        let slot_taken = cluster.call(heir, key, true) == Begin::Start;
+        let slot_taken = cluster.call(heir, key, true) == BeginResult::Start;
         let lease = cluster.home(3).lease_left(now);
         assert!(!slot_taken || lease.is_zero(), "{lease:?}");
         if slot_taken {
@@ -113,11 +113,11 @@
     cluster.advance(ms(20_000));
     let now = cluster.now;
     assert!(!cluster.home(3).lease_left(now).is_zero());
-    let heir = bilberry_once::owner(&cluster.members(), key.slot())
+    let heir = bilberry_once::slot_owner(&cluster.members(), key.slot())
         .unwrap()
         .incarnation
         .0;
-    assert_ne!(cluster.call(heir, key, true), Begin::Start);
+    assert_ne!(cluster.call(heir, key, true), BeginResult::Start);
 }
 
 /// A grant is under way for longer than the lease. Counted from when it came, it would keep a home
@@ -141,7 +141,7 @@
     let mut cluster = Cluster::new(3);
     cluster.join(9, 3);
     let now = cluster.now;
-    let view = cluster.home(9).view().unwrap();
+    let view = cluster.home(9).view_number().unwrap();
     let grant = |from: u64, to: u64| LeaseMessage::Grant {
         from: proto::Incarnation(from),
         to: proto::Incarnation(to),
@@ -170,7 +170,7 @@
     let mut cluster = Cluster::new(3);
     let keys: Vec<KeyHash> = (0..8).map(|nth| cluster.key_of(3, nth)).collect();
     for key in &keys {
-        check(&mut cluster, &[(3, *key, Begin::Start)]);
+        check(&mut cluster, &[(3, *key, BeginResult::Start)]);
     }
     cluster.advance(ms(100));
     cluster.crash(3);
@@ -179,18 +179,18 @@
     assert!(cluster.all_ready(), "{:?}", cluster.ready());
     let members = cluster.members();
     let home = |key: &KeyHash| {
-        bilberry_once::owner(&members, key.slot())
+        bilberry_once::slot_owner(&members, key.slot())
             .unwrap()
             .incarnation
             .0
     };
     for key in &keys {
-        check(&mut cluster, &[(home(key), *key, Begin::Unknown)]);
+        check(&mut cluster, &[(home(key), *key, BeginResult::Unknown)]);
     }
     cluster.advance(ms(17 * 60_000));
     cluster.read_log();
     let key = keys[0];
-    check(&mut cluster, &[(home(&key), key, Begin::Start)]);
+    check(&mut cluster, &[(home(&key), key, BeginResult::Start)]);
 }
 
 /// The answer to a transfer is lost, and the transfer comes twice and out of order. The giver must
@@ -198,10 +198,10 @@
 #[test]
 fn transfers_that_are_lost_doubled_and_reordered_move_each_record_once() {
     let mut cluster = Cluster::new(4);
-    cluster.cfg.part_bytes = 300;
+    cluster.cfg.max_part_bytes = 300;
     let keys: Vec<KeyHash> = (0..40).map(|nth| cluster.key_of(4, nth)).collect();
     for key in &keys {
-        check(&mut cluster, &[(4, *key, Begin::Start)]);
+        check(&mut cluster, &[(4, *key, BeginResult::Start)]);
     }
     cluster.advance(ms(100));
     let mut sent = 0;
@@ -220,13 +220,16 @@
     assert!(cluster.all_ready(), "{:?}", cluster.ready());
     let members = cluster.members();
     for key in &keys {
-        let home = bilberry_once::owner(&members, key.slot())
+        let home = bilberry_once::slot_owner(&members, key.slot())
             .unwrap()
             .incarnation
             .0;
         check(
             &mut cluster,
-            &[(home, *key, Begin::Done(response())), (4, *key, MOVING)],
+            &[
+                (home, *key, BeginResult::Done(response())),
+                (4, *key, MOVING),
+            ],
         );
     }
 }
@@ -238,25 +241,28 @@
     let mut cluster = Cluster::new(4);
     cluster.run = ms(2_000);
     let key = cluster.key_of(4, 0);
-    check(&mut cluster, &[(4, key, Begin::Start)]);
+    check(&mut cluster, &[(4, key, BeginResult::Start)]);
     cluster.leave(4);
-    let heir = bilberry_once::owner(&cluster.members(), key.slot())
+    let heir = bilberry_once::slot_owner(&cluster.members(), key.slot())
         .unwrap()
         .incarnation
         .0;
-    check(&mut cluster, &[(heir, key, Begin::Wait)]);
+    check(&mut cluster, &[(heir, key, BeginResult::Wait)]);
     cluster.advance(ms(100));
     check(
         &mut cluster,
-        &[(heir, key, Begin::Attach), (4, key, Begin::Attach)],
+        &[
+            (heir, key, BeginResult::Attach),
+            (4, key, BeginResult::Attach),
+        ],
     );
     assert!(!cluster.home(4).is_handed_over());
     cluster.advance(ms(3_000));
     assert!(cluster
         .node(heir)
         .seen
-        .contains(&bilberry_once::Effect::Ended(key)));
-    check(&mut cluster, &[(heir, key, Begin::Done(response()))]);
+        .contains(&bilberry_once::Effect::RemoteRunEnded(key)));
+    check(&mut cluster, &[(heir, key, BeginResult::Done(response()))]);
     assert!(cluster.home(4).is_handed_over());
 }
 
@@ -266,11 +272,11 @@
 fn a_slot_that_moved_on_is_passed_on() {
     let mut cluster = Cluster::new(3);
     let key = cluster.key_of(3, 0);
-    check(&mut cluster, &[(3, key, Begin::Start)]);
+    check(&mut cluster, &[(3, key, BeginResult::Start)]);
     cluster.advance(ms(100));
     cluster.nodes[&3].sees_log = false;
     let mut joined = 4;
-    while bilberry_once::owner(&cluster.members(), key.slot())
+    while bilberry_once::slot_owner(&cluster.members(), key.slot())
         .unwrap()
         .incarnation
         .0
@@ -279,7 +285,7 @@
         cluster.join(joined, joined as u16);
         joined += 1;
     }
-    let middle = bilberry_once::owner(&cluster.members(), key.slot())
+    let middle = bilberry_once::slot_owner(&cluster.members(), key.slot())
         .unwrap()
         .incarnation
         .0;
@@ -288,11 +294,11 @@
     cluster.nodes[&3].sees_log = true;
     cluster.read_log();
     cluster.advance(ms(2_000));
-    let heir = bilberry_once::owner(&cluster.members(), key.slot())
+    let heir = bilberry_once::slot_owner(&cluster.members(), key.slot())
         .unwrap()
         .incarnation
         .0;
-    check(&mut cluster, &[(heir, key, Begin::Done(response()))]);
+    check(&mut cluster, &[(heir, key, BeginResult::Done(response()))]);
     assert!(cluster.home(middle).is_handed_over());
 }
 
@@ -303,7 +309,7 @@
     cluster.read_log();
     let key = cluster.key_of(3, 0);
     cluster.advance(ms(60 * 60_000));
-    check(&mut cluster, &[(3, key, Begin::Start)]);
+    check(&mut cluster, &[(3, key, BeginResult::Start)]);
     cluster.advance(ms(61 * 60_000));
     let key = cluster.key_of(3, 1);
     check(&mut cluster, &[(3, key, NO_LEASE)]);
@@ -324,7 +330,7 @@
         (1, NO_LEASE),
         (118, NO_LEASE),
         (2, NO_LEASE),
-        (1, Begin::Start),
+        (1, BeginResult::Start),
     ] {
         cluster.advance(ms(minutes * 60_000));
         cluster.read_log();
@@ -358,15 +364,15 @@
 fn an_evicted_node_hands_over_and_is_told_to_start_anew() {
     let mut cluster = Cluster::new(6);
     let key = cluster.key_of(3, 0);
-    check(&mut cluster, &[(3, key, Begin::Start)]);
+    check(&mut cluster, &[(3, key, BeginResult::Start)]);
     cluster.advance(ms(100));
     cluster.depart(3, Departure::Evicted);
     cluster.advance(ms(1_000));
-    let heir = bilberry_once::owner(&cluster.members(), key.slot())
+    let heir = bilberry_once::slot_owner(&cluster.members(), key.slot())
         .unwrap()
         .incarnation
         .0;
-    check(&mut cluster, &[(heir, key, Begin::Done(response()))]);
+    check(&mut cluster, &[(heir, key, BeginResult::Done(response()))]);
     assert!(cluster
         .node(3)
         .seen
@@ -409,21 +415,21 @@
 fn a_full_table_refuses_new_keys_and_keeps_the_old() {
     let mut cluster = Cluster::new(1);
     let kept = cluster.key_of(1, 0);
-    check(&mut cluster, &[(1, kept, Begin::Start)]);
+    check(&mut cluster, &[(1, kept, BeginResult::Start)]);
     cluster.advance(ms(100));
     let mut nth = 1;
     let refused = loop {
         let key = cluster.key_of(1, nth);
         nth += 1;
-        if cluster.call(1, key, false) != Begin::Start {
+        if cluster.call(1, key, false) != BeginResult::Start {
             break key;
         }
     };
     check(
         &mut cluster,
-        &[(1, refused, Begin::NotRun(Reason::TableFull))],
+        &[(1, refused, BeginResult::NotRun(Reason::TableFull))],
     );
-    check(&mut cluster, &[(1, kept, Begin::Done(response()))]);
+    check(&mut cluster, &[(1, kept, BeginResult::Done(response()))]);
     let max = cluster.cfg.max_bytes;
     assert!(cluster.home(1).record_usage().1 <= max);
     let now = cluster.now;
@@ -432,7 +438,7 @@
         ..response()
     };
     let key = cluster.key_of(1, 1);
-    cluster.home(1).finish(now, key, End::Done(huge));
-    check(&mut cluster, &[(1, key, Begin::Unknown)]);
+    cluster.home(1).finish(now, key, RunOutcome::Done(huge));
+    check(&mut cluster, &[(1, key, BeginResult::Unknown)]);
     assert!(cluster.home(1).record_usage().1 <= max);
 }
--- a/crates/trial/src/layout.rs
+++ b/crates/trial/src/layout.rs
@@ -111,7 +111,7 @@
             slots: 10,
             policy: engine::Switches::ALL,
             backlog: 40,
-            max_log_silence: once::Config::default().max_log_silence,
+            max_log_silence: once::Config::default().max_log_staleness,
             latency: [
                 Duration::from_micros(100),
                 Duration::from_micros(500),
--- a/crates/trial/src/process.rs
+++ b/crates/trial/src/process.rs
@@ -30,7 +30,7 @@
             ..Config::default()
         };
         cfg.membership.seed = incarnation.0;
-        cfg.once.max_log_silence = self.layout.max_log_silence;
+        cfg.once.max_log_staleness = self.layout.max_log_silence;
         let now = self.now;
         let engines = self.nodes.iter().filter_map(|node| node.engine.as_ref());
         let known_version = engines.map(Engine::rules_version).max().unwrap_or(0);
