--- a/crates/engine/src/homes.rs
+++ b/crates/engine/src/homes.rs
@@ -8,9 +8,9 @@
 use crate::Engine;
 use crate::Output;
 use indexmap::IndexMap;
-use once::Begin;
+use once::BeginResult;
 use once::Effect;
-use once::End;
+use once::RunOutcome;
 use proto::Call;
 use proto::CallId;
 use proto::Datagram;
@@ -64,11 +64,11 @@
                 self.count(Counter::Replayed);
                 self.answer_call(id, allowance, Outcome::Completed(response));
             }
-            Begin::NotRun(reason) => self.answer_call(id, allowance, self.not_run(reason)),
-            Begin::Unknown => {
+            BeginResult::NotRun(reason) => self.answer_call(id, allowance, self.not_run(reason)),
+            BeginResult::Unknown => {
                 self.answer_call(id, allowance, Outcome::Unknown(Reason::RecordLost));
             }
-            Begin::Wait => self.hold(now, key, call),
+            BeginResult::Wait => self.hold(now, key, call),
         }
     }
 
@@ -241,7 +241,7 @@
         let Some(view) = self.journal.view(&self.me.service) else {
             return;
         };
-        if self.home.view() >= Some(view.number) {
+        if self.home.view_number() >= Some(view.number) {
             return;
         }
         let view = view.clone();
@@ -289,15 +289,15 @@
 
     fn apply_home_effect(&mut self, now: Time, effect: Effect) {
         match effect {
-            Effect::Lease { to, message } => {
+            Effect::SendLease { to, message } => {
                 let version = PROTOCOL_VERSION;
                 let datagram = Datagram::Lease { version, message };
                 self.out.push(Output::Datagram { to, datagram });
             }
-            Effect::Transfer { to, transfer } => {
+            Effect::SendTransfer { to, transfer } => {
                 self.send(&to, Frame::Transfer(Box::new(transfer)));
             }
-            Effect::TransferDone { to, slot, view } => {
+            Effect::AckTransfer { to, slot, view } => {
                 self.count(Counter::SlotMoved);
                 self.send(&to, Frame::TransferAck { slot, view });
             }
@@ -309,7 +309,7 @@
             Effect::Recall(key) => self.recall(now, key),
             Effect::Behind => self.out.push(Output::ReadLog),
             Effect::Expelled => self.expel(now),
-            Effect::Fault(fault) => {
+            Effect::InvariantViolation(fault) => {
                 debug_assert!(false, "{fault:?}");
                 self.count(Counter::Fault);
             }
--- a/crates/engine/src/routing.rs
+++ b/crates/engine/src/routing.rs
@@ -13,7 +13,7 @@
 impl Engine {
     pub(crate) fn home_of(&self, service: &str, key: KeyHash) -> Option<Instance> {
         let view = self.journal.view(service)?;
-        once::owner(&view.members, key.slot()).cloned()
+        once::slot_owner(&view.members, key.slot()).cloned()
     }
 
     pub(crate) fn choose_server(&mut self, now: Time, call: &Outgoing) -> Option<Instance> {
--- a/crates/membership/src/hear.rs
+++ b/crates/membership/src/hear.rs
@@ -50,7 +50,8 @@
                 self.set_state(now, incarnation, rumour.state, rumour.revision);
                 if turned {
                     let state = rumour.state;
-                    self.effects.push(Effect::Changed { incarnation, state });
+                    self.effects
+                        .push(Effect::PeerChanged { incarnation, state });
                 }
             }
             Some(_) => {}
@@ -145,6 +146,7 @@
         if state == PeerState::Suspect {
             self.start_suspicion(now, incarnation);
         }
-        self.effects.push(Effect::Changed { incarnation, state });
+        self.effects
+            .push(Effect::PeerChanged { incarnation, state });
     }
 }
--- a/crates/membership/src/table.rs
+++ b/crates/membership/src/table.rs
@@ -16,7 +16,7 @@
     /// What it last said of its load.
     pub load: LoadReport,
     /// Whether its backend server takes new work.
-    pub open: bool,
+    pub accepts_work: bool,
 }
 
 #[derive(Debug)]
