--- a/crates/engine/src/calls.rs
+++ b/crates/engine/src/calls.rs
@@ -6,11 +6,11 @@
 use crate::request::Draft;
 use crate::timers::Timer;
 use crate::Counter;
-use crate::Ending;
+use crate::Diagnostic;
 use crate::Engine;
-use crate::Note;
+use crate::OutcomeSummary;
 use crate::Output;
-use crate::Token;
+use crate::RequestToken;
 use crate::TreeRetries;
 use policy::admission_value;
 use policy::Place;
@@ -338,12 +338,12 @@
     }
 
     fn note_answered(&mut self, now: Time, call: &Outgoing, level: u16, outcome: &Outcome) {
-        self.out.push(Output::Note(Note::Answered {
+        self.out.push(Output::Diagnostic(Diagnostic::Answered {
             request: call.request.id.clone(),
             service: call.request.service.clone(),
             class: call.class,
             depth: call.depth,
-            ending: Ending::of(outcome),
+            outcome: OutcomeSummary::of(outcome),
             attempts: call.attempts,
             target: call.target.addr,
             value: admission_value(call.class, call.dice),
@@ -352,7 +352,7 @@
         }));
     }
 
-    fn parent_of(&mut self, token: Token) -> Option<&mut Job> {
+    fn parent_of(&mut self, token: RequestToken) -> Option<&mut Job> {
         let parent = self.open.get(&token)?.parent?;
         self.jobs.get_mut(&parent)
     }
--- a/crates/engine/src/note.rs
+++ b/crates/engine/src/diagnostic.rs
@@ -13,7 +13,7 @@
 
 plain! {
     /// How a request or its run ended, without what it brought.
-    pub enum Ending {
+    pub enum OutcomeSummary {
         /// With a whole response of this status.
         Whole(u16),
         /// It did not run.
@@ -70,7 +70,7 @@
 
 /// One decision about a request. Its `Display` is a line of `key=value` pairs.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Note {
+pub enum Diagnostic {
     /// A request got its final answer at its entry.
     Answered {
         /// The request.
@@ -82,7 +82,7 @@
         /// How many calls are above it.
         depth: u8,
         /// How it ended.
-        ending: Ending,
+        outcome: OutcomeSummary,
         /// Instances that it was sent to.
         attempts: u16,
         /// The last of them.
@@ -150,7 +150,7 @@
         /// How many calls are above it.
         depth: u8,
         /// How it ended.
-        ending: Ending,
+        outcome: OutcomeSummary,
         /// Whether it was given to the server.
         started: bool,
         /// Milliseconds that it had left.
@@ -160,35 +160,37 @@
     },
 }
 
-impl Ending {
+impl OutcomeSummary {
     pub(crate) fn of(outcome: &Outcome) -> Self {
         match outcome {
-            Outcome::Whole(response) => Ending::Whole(response.status),
-            Outcome::NotRun(refusal) => Ending::NotRun(refusal.reason),
-            Outcome::Unknown(reason) => Ending::Unknown(*reason),
+            Outcome::Whole(response) => OutcomeSummary::Whole(response.status),
+            Outcome::NotRun(refusal) => OutcomeSummary::NotRun(refusal.reason),
+            Outcome::Unknown(reason) => OutcomeSummary::Unknown(*reason),
         }
     }
 }
 
-impl fmt::Display for Ending {
+impl fmt::Display for OutcomeSummary {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Ending::Whole(status) => write!(f, "outcome=whole status={status}"),
-            Ending::NotRun(reason) => write!(f, "outcome=not-run reason={}", reason.name()),
-            Ending::Unknown(reason) => write!(f, "outcome=unknown reason={}", reason.name()),
+            OutcomeSummary::Whole(status) => write!(f, "outcome=whole status={status}"),
+            OutcomeSummary::NotRun(reason) => write!(f, "outcome=not-run reason={}", reason.name()),
+            OutcomeSummary::Unknown(reason) => {
+                write!(f, "outcome=unknown reason={}", reason.name())
+            }
         }
     }
 }
 
-impl fmt::Display for Note {
+impl fmt::Display for Diagnostic {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Note::Answered {
+            Diagnostic::Answered {
                 request,
                 service,
                 class,
                 depth,
-                ending,
+                outcome,
                 attempts,
                 target,
                 value,
@@ -196,12 +198,12 @@
                 left_ms,
             } => write!(
                 f,
-                "event=answered request={request} {ending} service={service} class={} \
+                "event=answered request={request} {outcome} service={service} class={} \
                  depth={depth} attempts={attempts} target={target} value={value} level={level} \
                  left_ms={left_ms}",
                 class.name()
             ),
-            Note::Refused {
+            Diagnostic::Refused {
                 request,
                 organisation,
                 reason,
@@ -217,7 +219,7 @@
                     organisation => write!(f, " organisation={organisation}"),
                 }
             }
-            Note::Keys {
+            Diagnostic::Keys {
                 trusted,
                 rules,
                 age,
@@ -228,7 +230,7 @@
                     None => Ok(()),
                 }
             }
-            Note::Peer {
+            Diagnostic::Peer {
                 incarnation,
                 addr,
                 state,
@@ -237,7 +239,7 @@
                 f,
                 "event=peer incarnation={incarnation} addr={addr} state={state:?} open={open}"
             ),
-            Note::Peers { changed, known } => write!(
+            Diagnostic::Peers { changed, known } => write!(
                 f,
                 "event=peers alive={} suspect={} leaving={} dead={} known_alive={} \
                  known_suspect={} known_leaving={} known_dead={}",
@@ -250,23 +252,23 @@
                 known.leaving,
                 known.dead
             ),
-            Note::OwnServer { id, open, sequence } => {
+            Diagnostic::OwnServer { id, open, sequence } => {
                 write!(
                     f,
                     "event=own_server id={id} open={open} sequence={sequence}"
                 )
             }
-            Note::Ran {
+            Diagnostic::Ran {
                 request,
                 class,
                 depth,
-                ending,
+                outcome,
                 started,
                 left_ms,
                 server,
             } => write!(
                 f,
-                "event=ran request={request} {ending} class={} depth={depth} started={started} \
+                "event=ran request={request} {outcome} class={} depth={depth} started={started} \
                  left_ms={left_ms} running={} queued={} limit={} level={}",
                 class.name(),
                 server.running,
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -23,7 +23,7 @@
 use crate::Counter;
 use crate::Input;
 use crate::Output;
-use crate::Token;
+use crate::RequestToken;
 use indexmap::IndexMap;
 use journal::State;
 use membership::Membership;
@@ -85,9 +85,9 @@
     /// The own backend server, once it has announced itself.
     pub(crate) own_server: Option<OwnServer>,
     /// Requests of callers and of the own backend server, in flight.
-    pub(crate) open: IndexMap<Token, OpenRequest>,
+    pub(crate) open: IndexMap<RequestToken, OpenRequest>,
     /// Requests that wait for the answer to another one.
-    pub(crate) followers: IndexMap<Token, Token>,
+    pub(crate) followers: IndexMap<RequestToken, RequestToken>,
     /// Calls to nodes (this one included), by the id of the present attempt.
     pub(crate) calls: IndexMap<CallId, Outgoing>,
     /// Attempts whose answers are late, and those that were sent after them.
@@ -215,7 +215,7 @@
                 parent,
                 key,
                 credential,
-                patience,
+                caller_timeout,
                 request,
             } => {
                 let arrival = Arrival {
@@ -225,7 +225,7 @@
                     parents: Parents { context, parent },
                     key,
                     credential,
-                    patience,
+                    caller_timeout,
                     request,
                 };
                 self.on_request(now, arrival);
@@ -244,9 +244,9 @@
             Input::Datagram { from, datagram } => self.on_datagram(now, from, datagram),
             Input::RunEnded { run, end } => self.on_run_ended(now, run, end),
             Input::Records(records) => self.on_records(now, records),
-            Input::Newest { values, end } => self.on_newest(now, values, end),
-            Input::LogRead => self.on_log_read(now),
-            Input::Published { version, file } => self.on_published(now, version, &file),
+            Input::TopicSnapshot { values, end } => self.on_newest(now, values, end),
+            Input::LogCaughtUp => self.on_log_read(now),
+            Input::RulesPublished { version, file } => self.on_published(now, version, &file),
             Input::Directory(addrs) => {
                 let effects = self.members.meet(&addrs);
                 self.apply_members(now, effects);
@@ -254,9 +254,9 @@
             Input::Server(announcement) => self.on_announcement(now, announcement),
             Input::ServerChecked { id, healthy } => self.on_server_checked(now, &id, healthy),
             Input::RulesChecked { asked, version } => self.on_rules_checked(now, asked, version),
-            Input::RulesUnchecked => self.on_rules_unchecked(now),
+            Input::RulesCheckFailed => self.on_rules_unchecked(now),
             Input::LogUnreachable => self.on_log_unreachable(now),
-            Input::PeerState(state) => self.on_peer_state(now, &state),
+            Input::StateFetched(state) => self.on_peer_state(now, &state),
             Input::Appended(number) => self.on_appended(now, number),
             Input::AppendConflict(number) => self.on_append_conflict(now, number),
             Input::AppendLost(number) => self.on_append_lost(now, number),
--- a/crates/engine/src/entry.rs
+++ b/crates/engine/src/entry.rs
@@ -8,11 +8,11 @@
 use crate::request::Parents;
 use crate::request::Refused;
 use crate::Counter;
+use crate::Diagnostic;
 use crate::Engine;
 use crate::Keyless;
-use crate::Note;
 use crate::Output;
-use crate::Token;
+use crate::RequestToken;
 use crate::TreeRetries;
 use organisation::Credit;
 use policy::Account;
@@ -79,14 +79,14 @@
             caller,
             parents,
             key,
-            patience,
+            caller_timeout,
             request,
             ..
         } = arrival;
         self.count(Counter::Request(operation.class));
         let refused = Refused::new(token, key.is_some(), &request);
         let latest = at + operation.deadline;
-        let patience = patience.map(|patience| patience.saturating_sub(now.since(at)));
+        let patience = caller_timeout.map(|patience| patience.saturating_sub(now.since(at)));
         let draft = self
             .filter_context(now, token, parents, dice, operation, request)
             .map(|draft| shorten(draft, now, patience, latest))
@@ -127,7 +127,7 @@
         } else {
             refusal
         };
-        self.out.push(Output::Note(Note::Refused {
+        self.out.push(Output::Diagnostic(Diagnostic::Refused {
             request,
             organisation,
             reason,
@@ -160,7 +160,7 @@
     fn filter_context(
         &mut self,
         now: Time,
-        token: Token,
+        token: RequestToken,
         parents: Parents,
         dice: u16,
         operation: Operation,
@@ -199,7 +199,7 @@
             lent,
             key: None,
             fresh: false,
-            made_key: None,
+            generated_key: None,
             again: job.again,
             credit: None,
             sent: None,
@@ -211,7 +211,7 @@
     fn root(
         &mut self,
         now: Time,
-        token: Token,
+        token: RequestToken,
         dice: u16,
         operation: Operation,
         request: Request,
@@ -234,7 +234,7 @@
             lent: 0,
             key: None,
             fresh: false,
-            made_key: None,
+            generated_key: None,
             again: false,
             credit: None,
             sent: None,
@@ -289,7 +289,7 @@
             },
             (None, None) => {
                 let text: Arc<str> = format!("{:032x}", self.rng.random::<u128>()).into();
-                draft.made_key = Some(text.clone());
+                draft.generated_key = Some(text.clone());
                 draft.fresh = true;
                 IdempotencyKey {
                     caller: caller.into(),
@@ -355,7 +355,7 @@
             },
             parent: draft.parent,
             lent: draft.lent,
-            made_key: draft.made_key.clone(),
+            generated_key: draft.generated_key.clone(),
             operation: draft.operation.clone(),
             credit: draft.credit,
             sent: draft.sent,
@@ -372,7 +372,7 @@
     pub(crate) fn close_request(
         &mut self,
         now: Time,
-        token: Token,
+        token: RequestToken,
         unspent: u16,
         outcome: Outcome,
     ) {
@@ -394,7 +394,7 @@
             self.out.push(Output::Answer {
                 token: follower,
                 outcome: outcome.clone(),
-                made_key: None,
+                generated_key: None,
             });
         }
         self.count(match &outcome {
@@ -405,22 +405,22 @@
         self.out.push(Output::Answer {
             token,
             outcome,
-            made_key: open.made_key,
+            generated_key: open.generated_key,
         });
     }
 
     /// Refuses a request that was never opened.
-    pub(crate) fn refuse(&mut self, token: Token, refusal: Refusal) {
+    pub(crate) fn refuse(&mut self, token: RequestToken, refusal: Refusal) {
         self.count(Counter::NotRun(refusal.reason));
         let outcome = Outcome::NotRun(refusal);
         self.out.push(Output::Answer {
             token,
             outcome,
-            made_key: None,
+            generated_key: None,
         });
     }
 
-    pub(crate) fn on_caller_gone(&mut self, now: Time, token: Token) {
+    pub(crate) fn on_caller_gone(&mut self, now: Time, token: RequestToken) {
         if self.unfollow(token) || self.stop_waiting_for_quota(token) {
             return;
         }
--- a/crates/engine/src/freshness.rs
+++ b/crates/engine/src/freshness.rs
@@ -1,7 +1,7 @@
 //! The controller of the evidence that the rules here are the newest.
 
+use crate::Diagnostic;
 use crate::Engine;
-use crate::Note;
 use crate::Output;
 use organisation::Step;
 use proto::Datagram;
@@ -126,7 +126,7 @@
         if trusts == std::mem::replace(&mut self.trusts_keys, trusts) {
             return;
         }
-        self.out.push(Output::Note(Note::Keys {
+        self.out.push(Output::Diagnostic(Diagnostic::Keys {
             trusted: trusts,
             rules: self.journal.version,
             age: self.freshness.age(now),
--- a/crates/engine/src/io.rs
+++ b/crates/engine/src/io.rs
@@ -1,7 +1,7 @@
 //! What reaches the engine and what it asks for.
 
 use crate::Counter;
-use crate::Note;
+use crate::Diagnostic;
 use bytes::Bytes;
 use journal::Entry;
 use proto::Datagram;
@@ -22,7 +22,7 @@
 plain! {
     /// The shell's name for a request that waits for its answer.
     #[derive(Hash, PartialOrd, Ord)]
-    pub struct Token(pub u64);
+    pub struct RequestToken(pub u64);
 }
 
 /// One thing that happened.
@@ -31,7 +31,7 @@
     /// A caller, or this node's own backend server, asks for something.
     Request {
         /// To answer to.
-        token: Token,
+        token: RequestToken,
         /// Who asks.
         caller: Arc<str>,
         /// The context header, if the request has one.
@@ -44,12 +44,12 @@
         /// The key of an organisation that the caller presents.
         credential: Option<KeyDigest>,
         /// How long the caller will wait, if it says so.
-        patience: Option<Duration>,
+        caller_timeout: Option<Duration>,
         /// What is asked.
         request: Request,
     },
     /// Whoever asked has gone.
-    CallerGone(Token),
+    CallerGone(RequestToken),
     /// A frame from another node.
     Frame {
         /// From whom.
@@ -88,18 +88,18 @@
     /// Values of the topic of views in their order, by offset.
     Records(Vec<(u64, Bytes)>),
     /// The newest value of each key of the topic, by offset.
-    Newest {
+    TopicSnapshot {
         /// Offsets and values, in any order.
         values: Vec<(u64, Bytes)>,
         /// Where to read on.
         end: u64,
     },
     /// The topic was read to its end.
-    LogRead,
+    LogCaughtUp,
     /// A peer's state; answers [`Output::FetchState`].
-    PeerState(Bytes),
+    StateFetched(Bytes),
     /// The operators' newest rules file, from a service that gives out versions itself.
-    Published {
+    RulesPublished {
         /// Its version; only rises.
         version: u64,
         /// The file.
@@ -124,7 +124,7 @@
         version: u64,
     },
     /// The store did not answer [`Output::CheckRules`].
-    RulesUnchecked,
+    RulesCheckFailed,
     /// The store did not answer.
     LogUnreachable,
     /// The append with this number was done.
@@ -195,11 +195,11 @@
     /// Answer a request.
     Answer {
         /// Which.
-        token: Token,
+        token: RequestToken,
         /// How it ended.
         outcome: Outcome,
         /// The key that this node made for it, if its caller sent none.
-        made_key: Option<Arc<str>>,
+        generated_key: Option<Arc<str>>,
     },
     /// Send a frame.
     Send {
@@ -222,7 +222,7 @@
         /// What.
         request: Request,
         /// The incarnation of the server that it is meant for, if servers announce themselves.
-        expect: Option<Arc<str>>,
+        expected_server: Option<Arc<str>>,
         /// The time the server has.
         remaining: Duration,
         /// The run may not start after this much time, because the right to start it ends then.
@@ -247,7 +247,7 @@
         /// Keys and values.
         entries: Vec<Entry>,
     },
-    /// Ask a node for [`crate::Engine::state_beyond`]; ends with an [`Input::PeerState`] if it has
+    /// Ask a node for [`crate::Engine::state_beyond`]; ends with an [`Input::StateFetched`] if it has
     /// any. No answer is no fault.
     FetchState {
         /// Its address.
@@ -256,14 +256,14 @@
         known: Progress,
     },
     /// Find out at once whether the store has newer rules; ends with an [`Input::RulesChecked`] or
-    /// [`Input::RulesUnchecked`].
+    /// [`Input::RulesCheckFailed`].
     CheckRules,
     /// Read the topic at once, because something is missing.
     ReadLog,
     /// Count something.
     Count(Counter),
     /// Write down a decision.
-    Note(Note),
+    Diagnostic(Diagnostic),
     /// Nothing is in flight any more; the process may end.
     Stopped,
 }
--- a/crates/engine/src/job.rs
+++ b/crates/engine/src/job.rs
@@ -1,8 +1,8 @@
 //! Work for the own backend server: what a job is, and what its run tells.
 
 use crate::operation_key::OperationKey;
+use crate::RequestToken;
 use crate::RunEnd;
-use crate::Token;
 use indexmap::IndexMap;
 use policy::Account;
 use policy::Ended;
@@ -54,9 +54,9 @@
     pub(crate) passed_level: u16,
     pub(crate) started: Option<Time>,
     /// The incarnation of the server that it was given to.
-    pub(crate) expect: Option<Arc<str>>,
+    pub(crate) expected_server: Option<Arc<str>>,
     /// Child calls in flight, since when there are any, and how long there were some.
-    pub(crate) waiting: Vec<Token>,
+    pub(crate) waiting: Vec<RequestToken>,
     pub(crate) waiting_since: Time,
     pub(crate) waited: Duration,
     pub(crate) request: Request,
@@ -81,7 +81,7 @@
         }
     }
 
-    pub(crate) fn child_began(&mut self, now: Time, child: Token) {
+    pub(crate) fn child_began(&mut self, now: Time, child: RequestToken) {
         if self.waiting.is_empty() {
             self.waiting_since = now;
         }
@@ -97,7 +97,7 @@
         }
     }
 
-    pub(crate) fn child_ended(&mut self, now: Time, child: Token) {
+    pub(crate) fn child_ended(&mut self, now: Time, child: RequestToken) {
         self.waiting.retain(|waiting| *waiting != child);
         if self.waiting.is_empty() {
             self.waited += now.since(self.waiting_since);
--- a/crates/engine/src/outgoing.rs
+++ b/crates/engine/src/outgoing.rs
@@ -1,7 +1,7 @@
 //! A call of this node to another, or to itself.
 
 use crate::operation_key::OperationKey;
-use crate::Token;
+use crate::RequestToken;
 use policy::Account;
 use proto::ActionId;
 use proto::CallId;
@@ -17,7 +17,7 @@
 /// A call in flight.
 #[derive(Debug)]
 pub(crate) struct Outgoing {
-    pub(crate) token: Token,
+    pub(crate) token: RequestToken,
     pub(crate) target: Instance,
     pub(crate) action: ActionId,
     pub(crate) dice: u16,
--- a/crates/engine/src/own_server.rs
+++ b/crates/engine/src/own_server.rs
@@ -3,9 +3,9 @@
 
 use crate::Announcement;
 use crate::Counter;
+use crate::Diagnostic;
 use crate::Engine;
 use crate::Heartbeat;
-use crate::Note;
 use crate::Output;
 use proto::Reason;
 use proto::RunId;
@@ -153,7 +153,7 @@
 
     fn note_own_server(&mut self, open: bool) {
         if let Some(known) = &self.own_server {
-            self.out.push(Output::Note(Note::OwnServer {
+            self.out.push(Output::Diagnostic(Diagnostic::OwnServer {
                 id: known.heartbeat.id.clone(),
                 open,
                 sequence: known.heartbeat.sequence,
--- a/crates/engine/src/peer_notes.rs
+++ b/crates/engine/src/peer_notes.rs
@@ -5,9 +5,9 @@
 //! first ones of a second are told one by one, which is enough for the story of a single failure; the
 //! rest are counted.
 
-use crate::note::PeerCounts;
+use crate::diagnostic::PeerCounts;
+use crate::Diagnostic;
 use crate::Engine;
-use crate::Note;
 use crate::Output;
 use proto::Incarnation;
 use proto::PeerState;
@@ -50,7 +50,7 @@
             return self.peer_notes.counted.add(state);
         }
         self.peer_notes.told += 1;
-        self.out.push(Output::Note(Note::Peer {
+        self.out.push(Output::Diagnostic(Diagnostic::Peer {
             incarnation,
             addr: peer.instance.addr,
             state,
@@ -68,6 +68,7 @@
         for peer in self.members.peers() {
             known.add(peer.state);
         }
-        self.out.push(Output::Note(Note::Peers { changed, known }));
+        self.out
+            .push(Output::Diagnostic(Diagnostic::Peers { changed, known }));
     }
 }
--- a/crates/engine/src/quota.rs
+++ b/crates/engine/src/quota.rs
@@ -4,7 +4,7 @@
 use crate::request::Refused;
 use crate::Engine;
 use crate::Output;
-use crate::Token;
+use crate::RequestToken;
 use indexmap::IndexMap;
 use organisation::group_of;
 use organisation::Borrower;
@@ -52,7 +52,7 @@
     pub(crate) borrower: Borrower,
     lender: Lender,
     /// Requests that wait for a token, the oldest first.
-    waiting: IndexMap<Token, (OrganisationId, Arrival)>,
+    waiting: IndexMap<RequestToken, (OrganisationId, Arrival)>,
     /// Organisations that were given tokens back, which may admit requests that wait.
     returned: Vec<OrganisationId>,
     /// The lender of each group, and the number of nodes that vote.
@@ -291,7 +291,7 @@
     fn serve_waiting(&mut self, now: Time, id: OrganisationId) {
         let waiting = self.quota.waiting.iter();
         let waiting = waiting.filter(|(_, (organisation, _))| *organisation == id);
-        let tokens: Vec<Token> = waiting.map(|(token, _)| *token).collect();
+        let tokens: Vec<RequestToken> = waiting.map(|(token, _)| *token).collect();
         for token in tokens {
             match self.quota.borrower.take_waiting(now, id) {
                 Some(credit) => {
@@ -331,7 +331,7 @@
     }
 
     /// Whether a request waited whose caller has gone.
-    pub(crate) fn stop_waiting_for_quota(&mut self, token: Token) -> bool {
+    pub(crate) fn stop_waiting_for_quota(&mut self, token: RequestToken) -> bool {
         let Some((organisation, _)) = self.quota.waiting.shift_remove(&token) else {
             return false;
         };
@@ -349,7 +349,7 @@
         }
     }
 
-    fn refuse_waiting(&mut self, token: Token) {
+    fn refuse_waiting(&mut self, token: RequestToken) {
         if let Some((organisation, arrival)) = self.quota.waiting.shift_remove(&token) {
             let reason = match self.quota.borrower.was_short(organisation) {
                 true => Reason::QuotaExceeded,
--- a/crates/engine/src/request.rs
+++ b/crates/engine/src/request.rs
@@ -1,6 +1,6 @@
 //! A request from a caller or from the own backend server, as its entry holds it.
 
-use crate::Token;
+use crate::RequestToken;
 use organisation::Credit;
 use policy::Account;
 use proto::ActionId;
@@ -29,33 +29,33 @@
     /// The retries that the parent lent.
     pub(crate) lent: u16,
     /// The key that this node made.
-    pub(crate) made_key: Option<Arc<str>>,
+    pub(crate) generated_key: Option<Arc<str>>,
     pub(crate) operation: Operation,
     /// The token of its organisation's quota that it was admitted with.
     pub(crate) credit: Option<Credit>,
     /// What was sent, for a request whose re-sends may wait for it.
     pub(crate) sent: Option<Sent>,
     /// Requests that wait for this one's answer.
-    pub(crate) followers: Vec<Token>,
+    pub(crate) followers: Vec<RequestToken>,
 }
 
 /// A request as it came.
 #[derive(Debug)]
 pub(crate) struct Arrival {
-    pub(crate) token: Token,
+    pub(crate) token: RequestToken,
     pub(crate) at: Time,
     pub(crate) caller: Arc<str>,
     pub(crate) parents: Parents,
     pub(crate) key: Option<Arc<str>>,
     pub(crate) credential: Option<KeyDigest>,
-    pub(crate) patience: Option<Duration>,
+    pub(crate) caller_timeout: Option<Duration>,
     pub(crate) request: Request,
 }
 
 /// What is written down and answered of a request that is refused before it was opened.
 #[derive(Debug)]
 pub(crate) struct Refused {
-    pub(crate) token: Token,
+    pub(crate) token: RequestToken,
     pub(crate) request: Arc<str>,
     pub(crate) organisation: Arc<str>,
     /// Its caller sent an idempotency key.
@@ -63,7 +63,7 @@
 }
 
 impl Refused {
-    pub(crate) fn new(token: Token, keyed: bool, request: &Request) -> Self {
+    pub(crate) fn new(token: RequestToken, keyed: bool, request: &Request) -> Self {
         Self {
             token,
             request: request.id.clone(),
@@ -88,7 +88,7 @@
 
 /// What the filters have found out about a request.
 pub(crate) struct Draft {
-    pub(crate) token: Token,
+    pub(crate) token: RequestToken,
     pub(crate) request: Request,
     pub(crate) operation: Operation,
     pub(crate) action: ActionId,
@@ -106,7 +106,7 @@
     pub(crate) key: Option<(KeyHash, Fingerprint)>,
     /// No attempt with this key can have been made before.
     pub(crate) fresh: bool,
-    pub(crate) made_key: Option<Arc<str>>,
+    pub(crate) generated_key: Option<Arc<str>>,
     /// Each attempt below counts as a retry.
     pub(crate) again: bool,
     pub(crate) credit: Option<Credit>,
--- a/crates/engine/src/resends.rs
+++ b/crates/engine/src/resends.rs
@@ -11,7 +11,7 @@
 use crate::Counter;
 use crate::Engine;
 use crate::Output;
-use crate::Token;
+use crate::RequestToken;
 use indexmap::IndexMap;
 use policy::Bounds;
 use policy::Budgets;
@@ -33,7 +33,7 @@
 /// Requests in flight and refused, by what was sent.
 #[derive(Debug)]
 pub(crate) struct Resends {
-    in_flight: IndexMap<Sent, Token>,
+    in_flight: IndexMap<Sent, RequestToken>,
     /// When a refused caller may come back.
     refused: Bounded<Sent, Time>,
     budgets: Budgets,
@@ -107,14 +107,14 @@
 
     /// The request in flight that is the same in every byte; a hash alone might be another's. Its
     /// answer must come before the re-send's own deadline.
-    fn leader(&self, sent: Sent, draft: &Draft) -> Option<Token> {
+    fn leader(&self, sent: Sent, draft: &Draft) -> Option<RequestToken> {
         let token = self.resends.in_flight.get(&sent)?;
         let call = self.calls.get(&self.open.get(token)?.call)?;
         let fits = call.request == draft.request && call.deadline <= draft.deadline;
         fits.then_some(*token)
     }
 
-    fn follow(&mut self, leader: Token, draft: Draft) {
+    fn follow(&mut self, leader: RequestToken, draft: Draft) {
         let Some(open) = self.open.get_mut(&leader) else {
             return;
         };
@@ -129,7 +129,7 @@
 
     /// A caller has gone that waited for another request's answer, or for whose request others
     /// wait. Gives whether the work is still wanted.
-    pub(crate) fn unfollow(&mut self, token: Token) -> bool {
+    pub(crate) fn unfollow(&mut self, token: RequestToken) -> bool {
         if let Some(leader) = self.followers.swap_remove(&token) {
             if let Some(open) = self.open.get_mut(&leader) {
                 open.followers.retain(|follower| *follower != token);
@@ -138,7 +138,7 @@
             self.out.push(Output::Answer {
                 token,
                 outcome: Outcome::Unknown(Reason::CallerGone),
-                made_key: None,
+                generated_key: None,
             });
             return true;
         }
--- a/crates/engine/src/serve.rs
+++ b/crates/engine/src/serve.rs
@@ -7,9 +7,9 @@
 use crate::operation_key::operation_key;
 use crate::timers::Timer;
 use crate::Counter;
-use crate::Ending;
+use crate::Diagnostic;
 use crate::Engine;
-use crate::Note;
+use crate::OutcomeSummary;
 use crate::Output;
 use crate::RunEnd;
 use crate::ServerState;
@@ -129,7 +129,7 @@
             priority: call.priority,
             passed_level: call.passed_level,
             started: None,
-            expect: None,
+            expected_server: None,
             waiting: Vec::new(),
             waiting_since: now,
             waited: Duration::ZERO,
@@ -229,18 +229,18 @@
                 return self.end_job(now, run, self.not_run(reason));
             }
         };
-        let expect = self.expected_server();
+        let expected_server = self.expected_server();
         let Some(job) = self.jobs.get_mut(&run) else {
             return;
         };
         job.started = Some(now);
-        job.expect = expect.clone();
+        job.expected_server = expected_server.clone();
         let request = job.request.clone();
         let remaining = now.until(job.deadline);
         self.out.push(Output::Run {
             run,
             request,
-            expect,
+            expected_server,
             remaining,
             start_within,
         });
@@ -254,7 +254,7 @@
         };
         let (class, fingerprint) = (job.class, job.fingerprint);
         let cancelled = job.cancelled;
-        let expect = job.expect.clone();
+        let expected_server = job.expected_server.clone();
         let made_calls = matches!(job.owner, JobOwner::Key(_)) && !job.children.is_empty();
         let ended = job.ended(now, &end);
         self.learn_run(now, run, ended);
@@ -273,7 +273,7 @@
             }
             RunEnd::NeverSent => self.not_run(Reason::ServerLost),
             RunEnd::Misdirected => {
-                self.on_misdirected(now, expect);
+                self.on_misdirected(now, expected_server);
                 self.not_run(Reason::Draining)
             }
             RunEnd::TimedOut => Outcome::Unknown(Reason::Deadline),
@@ -296,11 +296,11 @@
         if let Some(at) = job.late_at {
             self.timers.clear(at, Timer::LateRun(run));
         }
-        self.out.push(Output::Note(Note::Ran {
+        self.out.push(Output::Diagnostic(Diagnostic::Ran {
             request: job.request.id.clone(),
             class: job.class,
             depth: job.depth,
-            ending: Ending::of(&outcome),
+            outcome: OutcomeSummary::of(&outcome),
             started: job.started.is_some(),
             left_ms: now.until(job.deadline).as_millis() as u64,
             server: self.server_state(),
--- a/crates/engine/tests/allowance.rs
+++ b/crates/engine/tests/allowance.rs
@@ -5,8 +5,8 @@
 use bilberry_engine::Engine;
 use bilberry_engine::Input;
 use bilberry_engine::Output;
+use bilberry_engine::RequestToken;
 use bilberry_engine::RunEnd;
-use bilberry_engine::Token;
 use bytes::Bytes;
 use indexmap::IndexMap;
 use indexmap::IndexSet;
@@ -99,7 +99,7 @@
     now: Time,
     inputs: VecDeque<(usize, Input)>,
     runs: IndexMap<RunId, Run>,
-    tokens: IndexMap<Token, RunId>,
+    tokens: IndexMap<RequestToken, RunId>,
     runs_of: IndexMap<usize, usize>,
     /// What happens to each attempt at the network.
     faults: IndexMap<CallId, Fault>,
@@ -158,7 +158,7 @@
             world
                 .inputs
                 .push_back((at, Input::Records(records.clone())));
-            world.inputs.push_back((at, Input::LogRead));
+            world.inputs.push_back((at, Input::LogCaughtUp));
         }
         world
     }
@@ -184,7 +184,7 @@
 
     fn request(&mut self, at: usize, parent: Option<RunId>, call: usize) {
         self.next_token += 1;
-        let token = Token(self.next_token);
+        let token = RequestToken(self.next_token);
         if let Some(run) = parent {
             self.tokens.insert(token, run);
         }
@@ -203,7 +203,7 @@
                 context: parent.map(|run| run.to_string().into()),
                 parent: None,
                 key: None,
-                patience: None,
+                caller_timeout: None,
                 request: Request::new(&service, method, &format!("/{call}"), Bytes::new()),
             },
         ));
--- a/crates/engine/tests/announced.rs
+++ b/crates/engine/tests/announced.rs
@@ -7,8 +7,8 @@
 use bilberry_engine::Input;
 use bilberry_engine::Keyless;
 use bilberry_engine::Output;
+use bilberry_engine::RequestToken;
 use bilberry_engine::RunEnd;
-use bilberry_engine::Token;
 use bytes::Bytes;
 use proto::Class;
 use proto::Instance;
@@ -109,7 +109,7 @@
 
 fn publish(engine: &mut Engine, version: u64, file: &str) {
     let file = file.into();
-    engine.handle(at(0), Input::Published { version, file });
+    engine.handle(at(0), Input::RulesPublished { version, file });
 }
 
 fn heartbeat(id: &str, started_ms: u64, sequence: u64, draining: bool) -> Input {
@@ -130,12 +130,12 @@
 fn request(token: u64, path: &str) -> Input {
     Input::Request {
         credential: None,
-        token: Token(token),
+        token: RequestToken(token),
         caller: "shop".into(),
         context: None,
         parent: None,
         key: None,
-        patience: None,
+        caller_timeout: None,
         request: Request {
             id: format!("id-{token}").into(),
             host: HOST.into(),
@@ -152,7 +152,11 @@
 
 fn outcome(outputs: Vec<Output>) -> Result<(RunId, Arc<str>), Reason> {
     let ends = outputs.into_iter().find_map(|output| match output {
-        Output::Run { run, expect, .. } => Some(Ok((run, expect.unwrap()))),
+        Output::Run {
+            run,
+            expected_server,
+            ..
+        } => Some(Ok((run, expected_server.unwrap()))),
         Output::Answer {
             outcome: Outcome::NotRun(refusal),
             ..
@@ -310,12 +314,12 @@
     book(&mut engine, at(2), 1).unwrap();
     let call = Input::Request {
         credential: None,
-        token: Token(2),
+        token: RequestToken(2),
         caller: "press".into(),
         context: None,
         parent: Some("id-1".into()),
         key: None,
-        patience: None,
+        caller_timeout: None,
         request: Request {
             id: "id-1.x".into(),
             host: HOST.into(),
@@ -323,7 +327,7 @@
         },
     };
     let (run, _) = outcome(engine.handle(at(3), call)).unwrap();
-    let outputs = engine.handle(at(4), Input::CallerGone(Token(1)));
+    let outputs = engine.handle(at(4), Input::CallerGone(RequestToken(1)));
     assert!(outputs.contains(&Output::CancelRun(run)));
 }
 
@@ -385,7 +389,7 @@
         checks(engine.handle(at(0), heartbeat("a", 1, 1, false))),
         [""; 0]
     );
-    let version = Input::Published {
+    let version = Input::RulesPublished {
         version: 3,
         file: "/slots/".into(),
     };
--- a/crates/engine/tests/duplicates.rs
+++ b/crates/engine/tests/duplicates.rs
@@ -50,7 +50,7 @@
     let records = (0..).zip(records.map(|record| Bytes::from(proto::encode(&record))));
     let mut engine = Engine::new(Config::default(), instance(1));
     engine.handle(Time::ZERO, Input::Records(records.collect()));
-    engine.handle(Time::ZERO, Input::LogRead);
+    engine.handle(Time::ZERO, Input::LogCaughtUp);
     engine
 }
 
--- a/crates/engine/tests/levels.rs
+++ b/crates/engine/tests/levels.rs
@@ -4,8 +4,8 @@
 use bilberry_engine::Engine;
 use bilberry_engine::Input;
 use bilberry_engine::Output;
+use bilberry_engine::RequestToken;
 use bilberry_engine::RunEnd;
-use bilberry_engine::Token;
 use bytes::Bytes;
 use journal::Record;
 use proto::ActionId;
@@ -78,7 +78,7 @@
             calls: 0,
         };
         node.input(Input::Records(records.collect()));
-        node.input(Input::LogRead);
+        node.input(Input::LogCaughtUp);
         node
     }
 
@@ -123,12 +123,12 @@
     fn read(&mut self, run: RunId) -> Call {
         let outputs = self.input(Input::Request {
             credential: None,
-            token: Token(self.calls),
+            token: RequestToken(self.calls),
             caller: "status".into(),
             context: Some(run.to_string().into()),
             parent: None,
             key: None,
-            patience: None,
+            caller_timeout: None,
             request: Request::new("stock", "GET", "/shirts", Bytes::new()),
         });
         let sent = outputs.into_iter().find_map(|output| match output {
--- a/crates/engine/tests/load.rs
+++ b/crates/engine/tests/load.rs
@@ -4,7 +4,7 @@
 use bilberry_engine::Engine;
 use bilberry_engine::Input;
 use bilberry_engine::Output;
-use bilberry_engine::Token;
+use bilberry_engine::RequestToken;
 use bilberry_engine::TreeRetries;
 use bytes::Bytes;
 use journal::Record;
@@ -37,7 +37,7 @@
     tokens: u64,
     /// Calls that were sent and not answered yet.
     calls: Vec<(Incarnation, Call)>,
-    answers: Vec<(Token, Outcome)>,
+    answers: Vec<(RequestToken, Outcome)>,
 }
 
 fn instance(n: u64, service: &str) -> Instance {
@@ -77,7 +77,7 @@
             answers: Vec::new(),
         };
         entry.input(Input::Records((0..).zip(records).collect()));
-        entry.input(Input::LogRead);
+        entry.input(Input::LogCaughtUp);
         entry
     }
 
@@ -99,9 +99,9 @@
         self.input(Input::Tick);
     }
 
-    fn send(&mut self, caller: &str, path: &str) -> Token {
+    fn send(&mut self, caller: &str, path: &str) -> RequestToken {
         self.tokens += 1;
-        let token = Token(self.tokens);
+        let token = RequestToken(self.tokens);
         self.input(Input::Request {
             credential: None,
             token,
@@ -109,7 +109,7 @@
             context: None,
             parent: None,
             key: None,
-            patience: None,
+            caller_timeout: None,
             request: Request::new("patterns", "GET", path, Bytes::new()),
         });
         token
--- a/crates/engine/tests/log/appends.rs
+++ b/crates/engine/tests/log/appends.rs
@@ -15,7 +15,7 @@
 #[test]
 fn leave_follows_a_join_in_flight() {
     let mut d = Driver::new();
-    d.feed(Input::LogRead);
+    d.feed(Input::LogCaughtUp);
     let (join, record) = d.one_append();
     assert_eq!(record, Record::Join(instance(1)));
 
@@ -72,7 +72,7 @@
 #[test]
 fn a_lost_answer_is_settled_by_the_stream() {
     let mut d = Driver::new();
-    d.feed(Input::LogRead);
+    d.feed(Input::LogCaughtUp);
     let (number, record) = d.one_append();
     d.feed(Input::AppendLost(number));
     d.show(&record);
@@ -85,7 +85,7 @@
 #[test]
 fn lost_appends_are_tried_again_ever_more_slowly() {
     let mut d = Driver::new();
-    d.feed(Input::LogRead);
+    d.feed(Input::LogCaughtUp);
     let mut gaps = Vec::new();
     for _ in 0..8 {
         let (number, _) = d.one_append();
@@ -108,7 +108,7 @@
 #[test]
 fn an_append_that_came_second_is_made_anew() {
     let mut d = Driver::new();
-    d.feed(Input::LogRead);
+    d.feed(Input::LogCaughtUp);
     let mut gaps = Vec::new();
     for n in 2..8 {
         let (join, record) = d.one_append();
@@ -148,7 +148,7 @@
 #[test]
 fn an_overtaken_append_waits_for_what_came_first() {
     let mut d = Driver::new();
-    d.feed(Input::LogRead);
+    d.feed(Input::LogCaughtUp);
     let (join, _) = d.one_append();
     d.feed(Input::AppendConflict(join));
     d.pass(Duration::from_secs(60));
--- a/crates/engine/tests/log/driver.rs
+++ b/crates/engine/tests/log/driver.rs
@@ -115,7 +115,7 @@
             self.offset += 1;
             self.feed(Input::Records(vec![(offset, value)]));
         }
-        self.feed(Input::LogRead);
+        self.feed(Input::LogCaughtUp);
     }
 
     pub fn count(&self, counter: Counter) -> usize {
--- a/crates/engine/tests/log/newest.rs
+++ b/crates/engine/tests/log/newest.rs
@@ -17,8 +17,8 @@
 
 fn newest(d: &mut Driver, values: Vec<(u64, Bytes)>, end: u64) {
     d.offset = end;
-    d.feed(Input::Newest { values, end });
-    d.feed(Input::LogRead);
+    d.feed(Input::TopicSnapshot { values, end });
+    d.feed(Input::LogCaughtUp);
 }
 
 fn evict(n: u16, by: u16) -> Record {
@@ -49,7 +49,7 @@
     let records = [Record::Join(instance(2)), Record::Join(instance(3))];
     let mut values = values(&records, 7);
     values.reverse();
-    d.feed(Input::Newest { values, end: 8 });
+    d.feed(Input::TopicSnapshot { values, end: 8 });
     assert_eq!(d.engine.journal().instances().count(), 1);
     assert_eq!(d.engine.next_offset(), 8);
 }
@@ -106,7 +106,7 @@
         let left: Vec<Record> = gone.map(|n| Record::Leave(Incarnation(1000 + n))).collect();
         d.offset += left.len() as u64;
         d.feed(Input::Records(values(&left, 2)));
-        d.feed(Input::LogRead);
+        d.feed(Input::LogCaughtUp);
         let forget = Record::Forget {
             incarnation: Incarnation(1000),
             departed: 2,
--- a/crates/engine/tests/log/outage.rs
+++ b/crates/engine/tests/log/outage.rs
@@ -5,7 +5,7 @@
 use bilberry_engine::Config;
 use bilberry_engine::Counter;
 use bilberry_engine::Input;
-use bilberry_engine::Token;
+use bilberry_engine::RequestToken;
 use bytes::Bytes;
 use journal::Record;
 use proto::Datagram;
@@ -54,12 +54,12 @@
     d.answers.clear();
     d.feed(Input::Request {
         credential: None,
-        token: Token(9),
+        token: RequestToken(9),
         caller: "shop".into(),
         context: None,
         parent: None,
         key: None,
-        patience: None,
+        caller_timeout: None,
         request: Request::new("press", "GET", "/slots", Bytes::new()),
     });
     match d.answers.pop()? {
@@ -91,7 +91,7 @@
     assert_eq!(d.fetches, [(instance(2).addr, Progress::default())]);
 
     let state = peer.engine.state_beyond(Progress::default()).unwrap();
-    d.feed(Input::PeerState(state));
+    d.feed(Input::StateFetched(state));
     assert_eq!(d.engine.rules_version(), 3);
     assert!(!d.engine.is_listed());
     assert_eq!(refusal(&mut d), None);
@@ -116,7 +116,7 @@
     d.feed(Input::Records(vec![(0, proto::encode(&publish(1)).into())]));
     assert_eq!(d.engine.rules_version(), 1);
     assert_eq!(refusal(&mut d), Some(Reason::NoRules));
-    d.feed(Input::LogRead);
+    d.feed(Input::LogCaughtUp);
     assert_eq!(refusal(&mut d), None);
 }
 
@@ -131,7 +131,9 @@
     d.pass(Duration::from_secs(1));
     let known = d.engine.journal().progress();
     assert_eq!(d.fetches, [(instance(2).addr, known)]);
-    d.feed(Input::PeerState(peer.engine.state_beyond(known).unwrap()));
+    d.feed(Input::StateFetched(
+        peer.engine.state_beyond(known).unwrap(),
+    ));
     assert_eq!(d.engine.rules_version(), 2);
 
     // In an outage that it knows of, it does not wait.
@@ -149,8 +151,8 @@
         .state_beyond(Progress::default())
         .unwrap();
     let mut d = reader(1, 2);
-    d.feed(Input::PeerState(old.slice(..old.len() / 2)));
-    d.feed(Input::PeerState(old));
+    d.feed(Input::StateFetched(old.slice(..old.len() / 2)));
+    d.feed(Input::StateFetched(old));
     assert_eq!(d.engine.rules_version(), 2);
     assert_eq!(d.count(Counter::BrokenRecord), 1);
     assert_eq!(d.count(Counter::Restored), 0);
@@ -167,7 +169,9 @@
     for n in 3..6 {
         peer.show(&Record::Join(instance(n)));
     }
-    d.feed(Input::PeerState(peer.engine.state_beyond(known).unwrap()));
+    d.feed(Input::StateFetched(
+        peer.engine.state_beyond(known).unwrap(),
+    ));
     assert_eq!(d.engine.next_offset(), peer.engine.next_offset());
     d.pass(Duration::from_secs(60));
     assert_eq!(d.count(Counter::Expelled), 0);
--- a/crates/engine/tests/log/shared_reads.rs
+++ b/crates/engine/tests/log/shared_reads.rs
@@ -43,7 +43,7 @@
 }
 
 fn published(version: u64) -> Input {
-    Input::Published {
+    Input::RulesPublished {
         version,
         file: RULES.into(),
     }
--- a/crates/engine/tests/log/spread.rs
+++ b/crates/engine/tests/log/spread.rs
@@ -2,9 +2,9 @@
 
 use crate::driver::instance;
 use bilberry_engine::Config;
+use bilberry_engine::Diagnostic;
 use bilberry_engine::Engine;
 use bilberry_engine::Input;
-use bilberry_engine::Note;
 use bilberry_engine::Output;
 use bytes::Bytes;
 use journal::Record;
@@ -55,7 +55,7 @@
         let mut fleet = Self::of((1..=size).map(member).collect(), Config::default);
         for node in 0..usize::from(size) {
             fleet.feed(node, Input::Records(stream.clone()));
-            fleet.feed(node, Input::LogRead);
+            fleet.feed(node, Input::LogCaughtUp);
         }
         (fleet, stream)
     }
@@ -106,10 +106,10 @@
                     let peer = usize::from(from.port()) - 7001;
                     let state = self.engines[peer].state_beyond(known);
                     if let Some(state) = state.filter(|_| self.reaches(node, peer)) {
-                        self.post(node, LATENCY * 4, Input::PeerState(state));
+                        self.post(node, LATENCY * 4, Input::StateFetched(state));
                     }
                 }
-                Output::Note(Note::Peer { .. } | Note::Peers { .. }) => {
+                Output::Diagnostic(Diagnostic::Peer { .. } | Diagnostic::Peers { .. }) => {
                     self.peer_lines[node] += 1;
                 }
                 _ => {}
--- a/crates/engine/tests/organisations.rs
+++ b/crates/engine/tests/organisations.rs
@@ -7,8 +7,8 @@
 use bilberry_engine::Input;
 use bilberry_engine::Keyless;
 use bilberry_engine::Output;
+use bilberry_engine::RequestToken;
 use bilberry_engine::RunEnd;
-use bilberry_engine::Token;
 use bytes::Bytes;
 use proto::Incarnation;
 use proto::Instance;
@@ -89,7 +89,7 @@
     fn publish(&mut self, organisations: &[(&str, &str, &str)]) {
         self.version += 1;
         let (version, file) = (self.version, rules(organisations).into());
-        self.feed(Input::Published { version, file });
+        self.feed(Input::RulesPublished { version, file });
     }
 
     fn confirm(&mut self) {
@@ -112,7 +112,7 @@
 
     fn request(&mut self, path: &str, key: Option<&str>, parent: Option<&str>) -> Vec<Output> {
         self.token += 1;
-        let token = Token(self.token);
+        let token = RequestToken(self.token);
         let method = if path == "/days" { "GET" } else { "POST" };
         let request = Request {
             id: format!("id-{}", self.token).into(),
@@ -126,7 +126,7 @@
             parent: parent.map(Arc::from),
             key: None,
             credential: key.map(KeyDigest::of),
-            patience: None,
+            caller_timeout: None,
             request,
         })
     }
--- a/crates/engine/tests/refusals.rs
+++ b/crates/engine/tests/refusals.rs
@@ -4,7 +4,7 @@
 use bilberry_engine::Engine;
 use bilberry_engine::Input;
 use bilberry_engine::Output;
-use bilberry_engine::Token;
+use bilberry_engine::RequestToken;
 use bytes::Bytes;
 use journal::Record;
 use proto::Answer;
@@ -45,19 +45,19 @@
     let records = (0..).zip(records.map(|record| Bytes::from(proto::encode(&record))));
     let mut engine = Engine::new(Config::default(), instance(1, "order"));
     engine.handle(Time::ZERO, Input::Records(records.collect()));
-    engine.handle(Time::ZERO, Input::LogRead);
+    engine.handle(Time::ZERO, Input::LogCaughtUp);
     engine
 }
 
 fn booking(key: Option<&str>) -> Input {
     Input::Request {
         credential: None,
-        token: Token(1),
+        token: RequestToken(1),
         caller: "shop".into(),
         context: None,
         parent: None,
         key: key.map(Into::into),
-        patience: None,
+        caller_timeout: None,
         request: Request::new("press", "POST", "/slots", Bytes::new()),
     }
 }
--- a/crates/node/src/attached.rs
+++ b/crates/node/src/attached.rs
@@ -172,7 +172,7 @@
             Ok(version) => Input::RulesChecked { asked, version },
             Err(e) => {
                 log::debug!("event=rules_unchecked error=\"{e}\"");
-                Input::RulesUnchecked
+                Input::RulesCheckFailed
             }
         };
         shell.feed(input);
@@ -216,7 +216,7 @@
         let newest = shell.newest_rules.get().max((*offset, version));
         shell.newest_rules.set(newest);
         match config {
-            Ok((version, file)) => shell.feed(Input::Published { version, file }),
+            Ok((version, file)) => shell.feed(Input::RulesPublished { version, file }),
             Err(e) => {
                 log::warn!("event=config_refused error=\"{e}\"");
                 shell.count(Counter::RejectedPublication);
--- a/crates/node/src/caller.rs
+++ b/crates/node/src/caller.rs
@@ -15,7 +15,7 @@
 use actix_http::ServiceConfig;
 use actix_http::StatusCode;
 use engine::Input;
-use engine::Token;
+use engine::RequestToken;
 use proto::Outcome;
 use proto::Reason;
 use proto::Request;
@@ -77,7 +77,7 @@
 /// Tells the engine that nobody waits any more, unless the answer was delivered.
 struct Waiting {
     shell: Rc<Shell>,
-    token: Option<Token>,
+    token: Option<RequestToken>,
 }
 
 impl Drop for Waiting {
@@ -118,7 +118,7 @@
         parent: head.parent,
         key: head.key,
         credential: head.credential,
-        patience: head
+        caller_timeout: head
             .patience
             .map(|patience| patience.saturating_sub(began.elapsed())),
         request: head.request,
--- a/crates/node/src/events.rs
+++ b/crates/node/src/events.rs
@@ -3,8 +3,8 @@
 
 use crate::shell::Shell;
 use engine::Counter;
-use engine::Ending;
-use engine::Note;
+use engine::Diagnostic;
+use engine::OutcomeSummary;
 use engine::Output;
 use std::cell::Cell;
 use std::time::Duration;
@@ -53,23 +53,24 @@
 /// Writes down what the engine asks for, where an operator would want to know.
 pub(crate) fn note(shell: &Shell, output: &Output) {
     match output {
-        Output::Note(note) => write_note(shell, note),
+        Output::Diagnostic(note) => write_note(shell, note),
         Output::Count(counter) => note_change(shell, *counter),
         Output::Stopped => log::info!("event=stopped"),
         _ => {}
     }
 }
 
-fn write_note(shell: &Shell, note: &Note) {
+fn write_note(shell: &Shell, note: &Diagnostic) {
     let whole = match note {
-        Note::Answered { ending, .. } | Note::Ran { ending, .. } => {
-            matches!(ending, Ending::Whole(status) if *status < 500)
+        Diagnostic::Answered { outcome, .. } | Diagnostic::Ran { outcome, .. } => {
+            matches!(outcome, OutcomeSummary::Whole(status) if *status < 500)
         }
-        Note::Refused { .. } => false,
+        Diagnostic::Refused { .. } => false,
         // Changes of belief are rare.
-        Note::Peer { .. } | Note::Peers { .. } | Note::OwnServer { .. } | Note::Keys { .. } => {
-            return log::info!("{note}")
-        }
+        Diagnostic::Peer { .. }
+        | Diagnostic::Peers { .. }
+        | Diagnostic::OwnServer { .. }
+        | Diagnostic::Keys { .. } => return log::info!("{note}"),
     };
     if whole {
         log::debug!("{note}");
--- a/crates/node/src/fetch.rs
+++ b/crates/node/src/fetch.rs
@@ -23,7 +23,7 @@
     let shell = shell.clone();
     actix_rt::spawn(async move {
         match timeout(PATIENCE, exchange(&shell, addr, known)).await {
-            Ok(Some(state)) => shell.feed(Input::PeerState(state)),
+            Ok(Some(state)) => shell.feed(Input::StateFetched(state)),
             _ => log::debug!("event=no_state_from_peer addr={addr}"),
         }
     });
--- a/crates/node/src/shell.rs
+++ b/crates/node/src/shell.rs
@@ -24,7 +24,7 @@
 use engine::Engine;
 use engine::Input;
 use engine::Output;
-use engine::Token;
+use engine::RequestToken;
 use indexmap::IndexMap;
 use journal::Entry;
 use platform::Store;
@@ -138,7 +138,7 @@
     pub(crate) lines: Cap,
     pub(crate) bodies: Budget,
     clock: Clock,
-    waiting: RefCell<IndexMap<Token, oneshot::Sender<Reply>>>,
+    waiting: RefCell<IndexMap<RequestToken, oneshot::Sender<Reply>>>,
     next_token: Cell<u64>,
     peers: Peers,
     backend: Backend,
@@ -306,9 +306,9 @@
     /// Enters a request; the receiver gets its answer.
     pub(crate) fn request(
         self: &Rc<Self>,
-        input: impl FnOnce(Token) -> Input,
-    ) -> (Token, oneshot::Receiver<Reply>) {
-        let token = Token(self.next_token.get());
+        input: impl FnOnce(RequestToken) -> Input,
+    ) -> (RequestToken, oneshot::Receiver<Reply>) {
+        let token = RequestToken(self.next_token.get());
         self.next_token.set(token.0 + 1);
         let (tx, rx) = oneshot::channel();
         self.waiting.borrow_mut().insert(token, tx);
@@ -345,11 +345,14 @@
             Output::Answer {
                 token,
                 outcome,
-                made_key,
+                generated_key,
             } => {
                 if let Some(tx) = self.waiting.borrow_mut().swap_remove(&token) {
                     // The caller may have gone meanwhile.
-                    let _ = tx.send(Reply { outcome, made_key });
+                    let _ = tx.send(Reply {
+                        outcome,
+                        made_key: generated_key,
+                    });
                 }
             }
             Output::Send { to, frame } => self.peers.send(self, to, frame),
@@ -357,7 +360,7 @@
             Output::Run {
                 run,
                 request,
-                expect,
+                expected_server,
                 remaining,
                 start_within,
             } => {
@@ -367,7 +370,7 @@
                 let work = Work {
                     run,
                     request,
-                    expect,
+                    expect: expected_server,
                     remaining,
                     start_by,
                 };
@@ -387,7 +390,7 @@
             },
             Output::ReadLog => self.read_store.notify_one(),
             Output::Count(counter) => self.count(counter),
-            Output::Note(_) => {}
+            Output::Diagnostic(_) => {}
             Output::Stopped => self.stopped.notify_one(),
         }
     }
--- a/crates/node/src/store_reader.rs
+++ b/crates/node/src/store_reader.rs
@@ -158,10 +158,10 @@
                 let version = shell.engine.borrow().rules_version();
                 match is_whole {
                     true => Input::RulesChecked { asked, version },
-                    false => Input::RulesUnchecked,
+                    false => Input::RulesCheckFailed,
                 }
             }
-            Ok(None) | Err(_) => Input::RulesUnchecked,
+            Ok(None) | Err(_) => Input::RulesCheckFailed,
         };
         shell.feed(input);
     });
@@ -172,14 +172,14 @@
         Batch::Newest(newest) => {
             let end = newest.end;
             let values = values(shell, newest.items);
-            shell.feed(Input::Newest { values, end });
-            shell.feed(Input::LogRead);
+            shell.feed(Input::TopicSnapshot { values, end });
+            shell.feed(Input::LogCaughtUp);
         }
         Batch::Records { items, at_end } => {
             let records = values(shell, items);
             shell.feed(Input::Records(records));
             if at_end {
-                shell.feed(Input::LogRead);
+                shell.feed(Input::LogCaughtUp);
             }
         }
     }
--- a/crates/trial/src/caller.rs
+++ b/crates/trial/src/caller.rs
@@ -4,7 +4,7 @@
 use crate::World;
 use bytes::Bytes;
 use engine::Input;
-use engine::Token;
+use engine::RequestToken;
 use proto::Incarnation;
 use proto::Outcome;
 use proto::Reason;
@@ -197,7 +197,7 @@
         key: Option<Arc<str>>,
         travel: Duration,
     ) {
-        let token = Token(self.next_token);
+        let token = RequestToken(self.next_token);
         self.next_token += 1;
         let from = self.nodes[node].incarnation;
         self.nodes[node].waiting.insert(token, waiter.clone());
@@ -221,7 +221,7 @@
             context,
             parent: None,
             key,
-            patience,
+            caller_timeout: patience,
             request,
         };
         // The deadline counts from when the node takes the request, which may be frozen now.
@@ -239,7 +239,7 @@
     pub(crate) fn on_answer(
         &mut self,
         node: usize,
-        token: Token,
+        token: RequestToken,
         outcome: Outcome,
         made_key: Option<Arc<str>>,
     ) {
@@ -354,7 +354,7 @@
     }
 
     /// The node that had the request is gone, and the connection with it.
-    pub(crate) fn on_node_gone(&mut self, _token: Token, waiter: Waiter) {
+    pub(crate) fn on_node_gone(&mut self, _token: RequestToken, waiter: Waiter) {
         match waiter {
             Waiter::Caller { action, attempt } if self.actions[action].attempts == attempt => {
                 if self.actions[action].end.is_none() {
@@ -366,7 +366,7 @@
         }
     }
 
-    pub(crate) fn on_due(&mut self, node: usize, from: Incarnation, token: Token) {
+    pub(crate) fn on_due(&mut self, node: usize, from: Incarnation, token: RequestToken) {
         let place = &self.nodes[node];
         if place.incarnation != from || !place.waiting.contains_key(&token) {
             return;
--- a/crates/trial/src/log.rs
+++ b/crates/trial/src/log.rs
@@ -146,7 +146,7 @@
             let lost = world.log.is_down_for(node) || world.log.slow >= PATIENCE;
             let version = world.log.said.version;
             let (wait, input) = match lost {
-                true => (PATIENCE, Input::RulesUnchecked),
+                true => (PATIENCE, Input::RulesCheckFailed),
                 false => (world.log.latency(), Input::RulesChecked { asked, version }),
             };
             world.after_in(node, wait, move |world| world.feed(node, from, input));
@@ -181,7 +181,7 @@
             let values = self.log.newest();
             let from = self.nodes[node].incarnation;
             let latency = self.log.latency();
-            self.input(node, latency, Input::Newest { values, end });
+            self.input(node, latency, Input::TopicSnapshot { values, end });
             self.after_in(node, latency, move |world| world.on_end(node, from, end));
             return self.after(latency, move |world| world.read(node, number));
         }
@@ -211,7 +211,7 @@
     fn on_end(&mut self, node: usize, from: Incarnation, end: u64) {
         let engine = self.nodes[node].engine.as_ref();
         if engine.is_some_and(|engine| engine.next_offset() >= end) {
-            self.feed(node, from, Input::LogRead);
+            self.feed(node, from, Input::LogCaughtUp);
         }
     }
 
--- a/crates/trial/src/net.rs
+++ b/crates/trial/src/net.rs
@@ -364,7 +364,7 @@
             };
             world.after_in(node, back, move |world| {
                 let incarnation = world.nodes[node].incarnation;
-                world.feed(node, incarnation, Input::PeerState(state));
+                world.feed(node, incarnation, Input::StateFetched(state));
             });
         });
     }
--- a/crates/trial/src/node.rs
+++ b/crates/trial/src/node.rs
@@ -5,7 +5,7 @@
 use crate::Layout;
 use crate::Server;
 use engine::Engine;
-use engine::Token;
+use engine::RequestToken;
 use indexmap::IndexMap;
 use indexmap::IndexSet;
 use proto::Incarnation;
@@ -42,9 +42,9 @@
     /// Its backend server.
     pub server: Server,
     /// Requests without an answer.
-    pub waiting: IndexMap<Token, Waiter>,
+    pub waiting: IndexMap<RequestToken, Waiter>,
     /// Those of them that the process has taken.
-    pub taken: IndexSet<Token>,
+    pub taken: IndexSet<RequestToken>,
     /// Runs handed to the backend server, by the name that the engine gave: the server's number.
     pub runs: IndexMap<RunId, Option<u64>>,
     pub(crate) pause_at_run: Option<Duration>,
--- a/crates/trial/src/world.rs
+++ b/crates/trial/src/world.rs
@@ -250,9 +250,9 @@
             Output::Answer {
                 token,
                 outcome,
-                made_key,
+                generated_key,
             } => {
-                self.on_answer(node, token, outcome, made_key);
+                self.on_answer(node, token, outcome, generated_key);
             }
             Output::Send { to, frame } => {
                 self.note_answer(node, &frame);
@@ -262,7 +262,7 @@
             Output::Run {
                 run,
                 request,
-                expect: _,
+                expected_server: _,
                 remaining,
                 start_within,
             } => {
@@ -295,7 +295,7 @@
             Output::CheckRules => self.check_rules(node),
             Output::ReadLog => self.read_now(node),
             Output::Count(counter) => *self.counters.entry(counter.name()).or_insert(0) += 1,
-            Output::Note(_) | Output::CheckServer { .. } => {}
+            Output::Diagnostic(_) | Output::CheckServer { .. } => {}
             Output::Stopped => self.after_in(node, EXIT, move |world| world.on_exit(node, from)),
         }
     }
