--- a/crates/engine/src/admission.rs
+++ b/crates/engine/src/admission.rs
@@ -1,7 +1,7 @@
 //! What this node has heard of others' admission levels, and whether a call passes them.
 
 use crate::operation_key::OperationKey;
-use crate::outgoing::Outgoing;
+use crate::outgoing::OutgoingCall;
 use crate::Engine;
 use policy::admission_value;
 use policy::come_back;
@@ -131,10 +131,17 @@
     /// would work for nothing, and their load would not fall though little gets done. A call whose
     /// key may have been sent before goes to the key's home all the same, because only the home
     /// knows whether it ran; the home sheds it.
-    pub(crate) fn admit(&mut self, now: Time, call: &mut Outgoing) -> Result<Instance, Refusal> {
+    pub(crate) fn admit(
+        &mut self,
+        now: Time,
+        call: &mut OutgoingCall,
+    ) -> Result<Instance, Refusal> {
         // The home of a key that may have been sent before knows whether it ran.
         let unknown = call.key.is_none() || call.fresh;
-        if let Some(refusal) = self.quarantined(now, &call.request).filter(|_| unknown) {
+        if let Some(refusal) = self
+            .quarantine_refusal(now, &call.request)
+            .filter(|_| unknown)
+        {
             return Err(refusal);
         }
         let value = admission_value(call.class, call.dice);
@@ -155,7 +162,7 @@
                 (home, level.filter(|level| sheds && value < *level))
             }
             None if begins_here => self.choose_admitting(now, call, value),
-            None if self.cfg.policy.by_load => (self.choose_server(now, call), None),
+            None if self.cfg.policy.by_load => (self.choose_instance(now, call), None),
             None => (self.in_turn(call), None),
         };
         match (target, level) {
@@ -170,14 +177,14 @@
     fn choose_admitting(
         &mut self,
         now: Time,
-        call: &mut Outgoing,
+        call: &mut OutgoingCall,
         value: u16,
     ) -> (Option<Instance>, Option<u16>) {
         if !self.cfg.policy.by_load {
             return (self.in_turn(call), None);
         }
         if !self.cfg.policy.levels {
-            return (self.choose_server(now, call), None);
+            return (self.choose_instance(now, call), None);
         }
         let avoided = call.avoid.len();
         let mut passed = None;
@@ -194,7 +201,7 @@
             };
             *least = Some(least.map_or(level, |least: u16| least.min(level)));
         }
-        let chosen = self.choose_server(now, call);
+        let chosen = self.choose_instance(now, call);
         call.avoid.truncate(avoided);
         call.passed_level = call.passed_level.max(passed.unwrap_or(0));
         let level = sheds.filter(|_| chosen.is_none());
@@ -202,7 +209,7 @@
     }
 
     /// All instances of a service in turn, whatever their load.
-    fn in_turn(&mut self, call: &Outgoing) -> Option<Instance> {
+    fn in_turn(&mut self, call: &OutgoingCall) -> Option<Instance> {
         let turn = self.number() as usize;
         let peers = self.members.usable(&call.request.service);
         let peers = peers.map(|peer| &peer.instance);
@@ -218,7 +225,7 @@
     /// The highest level that a call meets: below its operation, or at the instance that it went
     /// to. Others may have room, but mostly nothing is known of those that are far away, and a call
     /// that finds the near ones full goes there by itself.
-    pub(crate) fn level_met(&self, now: Time, call: &Outgoing) -> u16 {
+    pub(crate) fn level_met(&self, now: Time, call: &OutgoingCall) -> u16 {
         let below = self.admission.path(now, &call.operation);
         below.max(self.level_of(now, &call.target))
     }
--- a/crates/engine/src/calls.rs
+++ b/crates/engine/src/calls.rs
@@ -2,8 +2,8 @@
 
 use crate::job::Job;
 use crate::operation_key::operation_key;
-use crate::outgoing::Outgoing;
-use crate::request::Draft;
+use crate::outgoing::OutgoingCall;
+use crate::request::RequestDraft;
 use crate::timers::Timer;
 use crate::Counter;
 use crate::Diagnostic;
@@ -33,8 +33,8 @@
 
 impl Engine {
     /// Sends a new request's first attempt.
-    pub(crate) fn route_first(&mut self, now: Time, draft: Draft) {
-        let call = Outgoing {
+    pub(crate) fn route_first(&mut self, now: Time, draft: RequestDraft) {
+        let call = OutgoingCall {
             token: draft.token,
             target: self.me.clone(),
             action: draft.action,
@@ -51,10 +51,10 @@
             account: draft.account,
             lent: 0,
             again: draft.again,
-            maybe_ran: false,
+            may_have_run: false,
             calls_below: 0,
             attempts: 0,
-            own_retries: match self.cfg.tree_retries {
+            retries_left: match self.cfg.tree_retries {
                 TreeRetries::OfOperation => u16::MAX,
                 TreeRetries::ByCalls(_) => draft.operation.retries,
             },
@@ -73,22 +73,22 @@
     }
 
     /// Chooses a target and sends one attempt.
-    fn route(&mut self, now: Time, mut call: Outgoing) {
+    fn route(&mut self, now: Time, mut call: OutgoingCall) {
         if now >= call.deadline {
-            let refusal = call.unjudged(self.refusal(Reason::Deadline));
+            let refusal = call.scope_refusal(self.refusal(Reason::Deadline));
             return self.conclude(now, call, Outcome::NotRun(refusal));
         }
         match self.admit(now, &mut call) {
             Ok(target) => self.send_to_target(now, call, target),
             Err(refusal) => {
-                let refusal = call.unjudged(refusal);
+                let refusal = call.scope_refusal(refusal);
                 self.conclude(now, call, Outcome::NotRun(refusal));
             }
         }
     }
 
     /// Sends one attempt.
-    pub(crate) fn send_to_target(&mut self, now: Time, mut call: Outgoing, target: Instance) {
+    pub(crate) fn send_to_target(&mut self, now: Time, mut call: OutgoingCall, target: Instance) {
         call.target = target;
         call.lent = if self.keeps_a_retry(&call) {
             call.account.lend_all_but_one()
@@ -106,7 +106,7 @@
             self.earlier.insert(earlier.id, id);
         }
         call.attempts += 1;
-        self.timers.set(call.deadline, Timer::Deadline(id));
+        self.timers.set(call.deadline, Timer::CallDeadline(id));
         self.selector.on_sent(call.target.incarnation);
         self.send_attempt(now, id, &call);
         self.calls.insert(id, call);
@@ -115,12 +115,12 @@
     /// What is lent is gone if the answer is lost, so one retry stays where alone it can be spent then.
     /// A second run needs all for the calls below it, and where one would not be enough for those, it
     /// is of use only farther down: kept at each hop, no read of a deep tree would ever be tried again.
-    fn keeps_a_retry(&self, call: &Outgoing) -> bool {
+    fn keeps_a_retry(&self, call: &OutgoingCall) -> bool {
         let below = self.admission.calls_below(&call.operation);
         call.idempotent && !call.again && call.account.left() > below
     }
 
-    pub(crate) fn send_attempt(&mut self, now: Time, id: CallId, call: &Outgoing) {
+    pub(crate) fn send_attempt(&mut self, now: Time, id: CallId, call: &OutgoingCall) {
         let leg = if call.key.is_some() {
             Leg::Home
         } else {
@@ -147,7 +147,7 @@
     }
 
     /// What is left for the callee: its answer has to travel back.
-    fn remaining_ms(&self, now: Time, call: &Outgoing) -> u32 {
+    fn remaining_ms(&self, now: Time, call: &OutgoingCall) -> u32 {
         let travel = match self.place(&call.target) {
             Place::SameDomain => Duration::from_millis(1),
             Place::SameRegion => Duration::from_millis(2),
@@ -158,7 +158,7 @@
     }
 
     pub(crate) fn on_answer(&mut self, now: Time, from: Incarnation, id: CallId, answer: Answer) {
-        self.hear_load(now, from, answer.load);
+        self.record_load(now, from, answer.load);
         self.admission.hear_instance(now, from, answer.load.level);
         if self.drops_answer_of_earlier(id, &answer) {
             return;
@@ -186,19 +186,19 @@
             }
             Outcome::Unknown(reason @ (Reason::ServerLost | Reason::PeerLost)) => {
                 if reason == Reason::ServerLost {
-                    self.call_lost(now, &call.request, call.target.incarnation);
+                    self.record_call_crash(now, &call.request, call.target.incarnation);
                 }
                 self.after_lost(now, call, reason);
             }
             outcome => {
-                self.call_whole(now, &call.request);
+                self.record_call_completed(now, &call.request);
                 self.conclude(now, call, outcome);
             }
         }
     }
 
     /// A call that did not run goes elsewhere, if that may help.
-    pub(crate) fn after_not_run(&mut self, now: Time, mut call: Outgoing, refusal: Refusal) {
+    pub(crate) fn after_not_run(&mut self, now: Time, mut call: OutgoingCall, refusal: Refusal) {
         let reason = refusal.reason;
         let elsewhere = match reason {
             Reason::Moving | Reason::Draining => self.has_elsewhere(&call),
@@ -224,7 +224,7 @@
         // These come from a node that did not look for the key's record.
         let refusal = match reason {
             Reason::Moving | Reason::NoLease | Reason::Draining | Reason::PeerLost => {
-                call.unjudged(refusal)
+                call.scope_refusal(refusal)
             }
             _ => refusal,
         };
@@ -233,7 +233,7 @@
 
     /// A call with a key goes to the key's home only. While this node knows no other home, sending
     /// the call there again would get the same refusal a few times over, within milliseconds.
-    fn has_elsewhere(&self, call: &Outgoing) -> bool {
+    fn has_elsewhere(&self, call: &OutgoingCall) -> bool {
         let Some((key, _)) = call.key else {
             return true;
         };
@@ -244,8 +244,8 @@
     /// Nobody will tell how the attempt ended. Only an idempotent call may be tried again.
     /// The calls below count as retries then, so there must be enough for all of them: with less
     /// the second run could not end, and would be wasted.
-    pub(crate) fn after_lost(&mut self, now: Time, mut call: Outgoing, reason: Reason) {
-        call.maybe_ran = true;
+    pub(crate) fn after_lost(&mut self, now: Time, mut call: OutgoingCall, reason: Reason) {
+        call.may_have_run = true;
         let below = self.admission.calls_below(&call.operation);
         let needed = 1 + below.max(call.calls_below);
         let allowed = call.account.left() >= needed || call.hop_retries > 0;
@@ -260,7 +260,7 @@
 
     /// Takes a retry from the action and from this node's part of the fleet's retries at the service,
     /// which keeps them a small share of the calls to it even if every action has some left.
-    pub(crate) fn may_retry(&mut self, now: Time, call: &mut Outgoing) -> bool {
+    pub(crate) fn may_retry(&mut self, now: Time, call: &mut OutgoingCall) -> bool {
         if now >= call.deadline {
             return false;
         }
@@ -268,7 +268,7 @@
             call.hop_retries -= 1;
             return true;
         }
-        if call.account.left() == 0 || call.own_retries == 0 {
+        if call.account.left() == 0 || call.retries_left == 0 {
             return false;
         }
         let limited = self.cfg.policy.retry_budget;
@@ -278,7 +278,7 @@
             self.count(Counter::RetryBudgetSpent);
             return false;
         }
-        call.own_retries -= 1;
+        call.retries_left -= 1;
         call.account.spend()
     }
 
@@ -298,7 +298,7 @@
         self.conclude(now, call, Outcome::Unknown(Reason::CallerGone));
     }
 
-    fn conclude(&mut self, now: Time, mut call: Outgoing, outcome: Outcome) {
+    fn conclude(&mut self, now: Time, mut call: OutgoingCall, outcome: Outcome) {
         if let Some(earlier) = call.earlier.take() {
             if self.waits_for_earlier(now, &call, &outcome) {
                 return self.resume_earlier(call, earlier);
@@ -315,7 +315,7 @@
         self.tell_parent(now, &call, met);
         // A later attempt that did not run says nothing of an earlier one that may have.
         let outcome = match outcome {
-            Outcome::NotRun(refusal) if call.maybe_ran => Outcome::Unknown(refusal.reason),
+            Outcome::NotRun(refusal) if call.may_have_run => Outcome::Unknown(refusal.reason),
             outcome => outcome,
         };
         self.note_answered(now, &call, met.level, &outcome);
@@ -324,12 +324,12 @@
 
     /// A run's own first hop hears at once what the run meets. Heard of only at the end of the run,
     /// a level below would let in too much for the time of a whole call tree.
-    fn tell_parent(&mut self, now: Time, call: &Outgoing, met: Below) {
+    fn tell_parent(&mut self, now: Time, call: &OutgoingCall, met: Below) {
         let operation = call.operation.clone();
         let Some(job) = self.parent_of(call.token) else {
             return;
         };
-        job.met.insert(operation, met.level);
+        job.child_levels.insert(operation, met.level);
         job.calls_below = job.calls_below.saturating_add(met.calls);
         let level = job.below().level;
         if let Some(parent) = job.operation.clone() {
@@ -337,7 +337,7 @@
         }
     }
 
-    fn note_answered(&mut self, now: Time, call: &Outgoing, level: u16, outcome: &Outcome) {
+    fn note_answered(&mut self, now: Time, call: &OutgoingCall, level: u16, outcome: &Outcome) {
         self.out.push(Output::Diagnostic(Diagnostic::Answered {
             request: call.request.id.clone(),
             service: call.request.service.clone(),
@@ -357,10 +357,10 @@
         self.jobs.get_mut(&parent)
     }
 
-    pub(crate) fn take_call(&mut self, id: CallId) -> Option<Outgoing> {
+    pub(crate) fn take_call(&mut self, id: CallId) -> Option<OutgoingCall> {
         let call = self.calls.swap_remove(&id)?;
         self.selector.on_ended(call.target.incarnation);
-        self.timers.clear(call.deadline, Timer::Deadline(id));
+        self.timers.clear(call.deadline, Timer::CallDeadline(id));
         Some(call)
     }
 
--- a/crates/engine/src/diagnostic.rs
+++ b/crates/engine/src/diagnostic.rs
@@ -123,7 +123,7 @@
         /// Its state.
         state: PeerState,
         /// Whether its backend server takes new work.
-        open: bool,
+        accepts_work: bool,
     },
     /// More nodes than are told one by one are taken for something else than before.
     Peers {
@@ -137,7 +137,7 @@
         /// The incarnation.
         id: Arc<str>,
         /// Whether it takes new work.
-        open: bool,
+        accepts_work: bool,
         /// The heartbeat that decided, by its count.
         sequence: u64,
     },
@@ -234,10 +234,10 @@
                 incarnation,
                 addr,
                 state,
-                open,
+                accepts_work,
             } => write!(
                 f,
-                "event=peer incarnation={incarnation} addr={addr} state={state:?} open={open}"
+                "event=peer incarnation={incarnation} addr={addr} state={state:?} open={accepts_work}"
             ),
             Diagnostic::Peers { changed, known } => write!(
                 f,
@@ -252,10 +252,10 @@
                 known.leaving,
                 known.dead
             ),
-            Diagnostic::OwnServer { id, open, sequence } => {
+            Diagnostic::OwnServer { id, accepts_work, sequence } => {
                 write!(
                     f,
-                    "event=own_server id={id} open={open} sequence={sequence}"
+                    "event=own_server id={id} open={accepts_work} sequence={sequence}"
                 )
             }
             Diagnostic::Ran {
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -6,17 +6,17 @@
 use crate::homes::HeldCalls;
 use crate::homes::KeyWork;
 use crate::job::Job;
-use crate::log::LogLink;
-use crate::outgoing::Outgoing;
+use crate::log::LogController;
+use crate::outgoing::OutgoingCall;
 use crate::own_server::OwnServer;
-use crate::peer_notes::PeerNotes;
-use crate::quarantine::Suspects;
-use crate::quota::QuotaLink;
+use crate::peer_diagnostics::PeerDiagnostics;
+use crate::quarantine::CrashSuspects;
+use crate::quota::QuotaController;
 use crate::request::Arrival;
 use crate::request::OpenRequest;
-use crate::request::Parents;
+use crate::request::ParentInfo;
 use crate::resends::Resends;
-use crate::serve::Inbound;
+use crate::serve::InboundCall;
 use crate::timers::Timer;
 use crate::timers::Timers;
 use crate::Config;
@@ -73,11 +73,11 @@
     pub(crate) rng: StdRng,
     /// What nodes share through the store.
     pub(crate) journal: State,
-    pub(crate) log: LogLink,
+    pub(crate) log: LogController,
     pub(crate) fetch: FetchLink,
     pub(crate) members: Membership,
     pub(crate) selector: Selector,
-    pub(crate) peer_notes: PeerNotes,
+    pub(crate) peer_notes: PeerDiagnostics,
     /// The views have changed since the members were told.
     pub(crate) roster_changed: bool,
     pub(crate) home: Home,
@@ -89,11 +89,11 @@
     /// Requests that wait for the answer to another one.
     pub(crate) followers: IndexMap<RequestToken, RequestToken>,
     /// Calls to nodes (this one included), by the id of the present attempt.
-    pub(crate) calls: IndexMap<CallId, Outgoing>,
+    pub(crate) calls: IndexMap<CallId, OutgoingCall>,
     /// Attempts whose answers are late, and those that were sent after them.
     pub(crate) earlier: IndexMap<CallId, CallId>,
     /// Calls from nodes (this one included) that are not answered yet.
-    pub(crate) inbound: IndexMap<CallId, Inbound>,
+    pub(crate) inbound: IndexMap<CallId, InboundCall>,
     /// Answers given lately, for calls that attach again.
     pub(crate) answered: Answered,
     /// Work for the own backend server, queued or running.
@@ -106,7 +106,7 @@
     pub(crate) run_below: Below,
     pub(crate) admission: Admission,
     pub(crate) resends: Resends,
-    pub(crate) suspects: Suspects,
+    pub(crate) suspects: CrashSuspects,
     /// This node's part of the fleet's retries at each service.
     pub(crate) retries: Retries,
     /// Whether the rules here are the newest, as far as keys of organisations go.
@@ -116,7 +116,7 @@
     /// Whether keys were trusted when that was last looked at.
     pub(crate) trusts_keys: bool,
     /// What is lent and borrowed of the quotas of organisations.
-    pub(crate) quota: QuotaLink,
+    pub(crate) quota: QuotaController,
     /// Calls that wait for a slot on its way here.
     pub(crate) held: HeldCalls,
     /// When a stop no longer waits for its slots to be taken.
@@ -159,11 +159,11 @@
         Self {
             rng: StdRng::seed_from_u64(cfg.seed),
             journal: State::default(),
-            log: LogLink::default(),
+            log: LogController::default(),
             fetch: FetchLink::default(),
             members,
             selector: Selector::with_switches(cfg.policy),
-            peer_notes: PeerNotes::default(),
+            peer_notes: PeerDiagnostics::default(),
             roster_changed: false,
             home: Home::new(cfg.once.clone(), incarnation),
             server: Server::new(
@@ -185,12 +185,12 @@
             run_below: Below::default(),
             admission: Admission::default(),
             resends: Resends::new(),
-            suspects: Suspects::new(),
+            suspects: CrashSuspects::new(),
             retries: Retries::new(cfg.retries, incarnation.0),
             freshness: Freshness::new(cfg.revocation),
             leads: false,
             trusts_keys: false,
-            quota: QuotaLink::new(cfg.quotas),
+            quota: QuotaController::new(cfg.quotas),
             held: HeldCalls::new(),
             handover_ends: None,
             timers: Timers::default(),
@@ -222,7 +222,7 @@
                     token,
                     at: now,
                     caller,
-                    parents: Parents { context, parent },
+                    parents: ParentInfo { context, parent },
                     key,
                     credential,
                     caller_timeout,
@@ -240,18 +240,18 @@
                 }
             }
             Input::PeerBack(peer) => self.selector.on_answered(peer),
-            Input::PeerUnreachable { peer, unsent } => self.on_unsent(now, peer, unsent),
+            Input::PeerUnreachable { peer, unsent } => self.on_peer_unreachable(now, peer, unsent),
             Input::Datagram { from, datagram } => self.on_datagram(now, from, datagram),
             Input::RunEnded { run, end } => self.on_run_ended(now, run, end),
             Input::Records(records) => self.on_records(now, records),
-            Input::TopicSnapshot { values, end } => self.on_newest(now, values, end),
-            Input::LogCaughtUp => self.on_log_read(now),
-            Input::RulesPublished { version, file } => self.on_published(now, version, &file),
+            Input::TopicSnapshot { values, end } => self.on_topic_snapshot(now, values, end),
+            Input::LogCaughtUp => self.on_log_caught_up(now),
+            Input::RulesPublished { version, file } => self.on_rules_published(now, version, &file),
             Input::Directory(addrs) => {
                 let effects = self.members.meet(&addrs);
-                self.apply_members(now, effects);
+                self.apply_membership_effects(now, effects);
             }
-            Input::Server(announcement) => self.on_announcement(now, announcement),
+            Input::Server(announcement) => self.on_server_announcement(now, announcement),
             Input::ServerChecked { id, healthy } => self.on_server_checked(now, &id, healthy),
             Input::RulesChecked { asked, version } => self.on_rules_checked(now, asked, version),
             Input::RulesCheckFailed => self.on_rules_unchecked(now),
@@ -266,10 +266,10 @@
         self.run_due(now);
         self.drain_loopback(now);
         // What came from this node itself may have freed a place, or have to leave the queue.
-        self.pump_server(now);
+        self.start_queued_jobs(now);
         self.drain_loopback(now);
         self.run_fetch(now);
-        self.pump_appends(now);
+        self.start_due_append(now);
         self.check_stopped(now);
         std::mem::take(&mut self.out)
     }
@@ -338,12 +338,12 @@
     fn run_due(&mut self, now: Time) {
         while let Some(timer) = self.timers.pop(now) {
             match timer {
-                Timer::Deadline(call) => self.on_deadline(now, call),
+                Timer::CallDeadline(call) => self.on_deadline(now, call),
                 Timer::LateRun(run) => self.on_late_run(run),
-                Timer::Suspects => self.repeat_reports(now),
-                Timer::Run(run) => self.on_run_deadline(now, run),
-                Timer::Held(call) => self.on_held_too_long(call),
-                Timer::Handover | Timer::Linger => {}
+                Timer::CrashReports => self.resend_crash_reports(now),
+                Timer::RunDeadline(run) => self.on_run_deadline(now, run),
+                Timer::HeldCallTimeout(call) => self.on_held_too_long(call),
+                Timer::HandoverTimeout | Timer::StopGracePeriod => {}
                 Timer::Reattach(call) => self.on_reattach_timer(now, call),
             }
         }
@@ -351,7 +351,7 @@
         self.tick_home(now);
         self.tick_freshness(now);
         self.tick_quotas(now);
-        self.pump_server(now);
+        self.start_queued_jobs(now);
     }
 
     /// Handles what this node sent itself, as if it had come from another.
@@ -372,7 +372,7 @@
                 service,
                 request,
                 crashes,
-            } => self.on_suspect(now, from, &service, request, crashes),
+            } => self.on_suspect_report(now, from, &service, request, crashes),
             // The shell answers the frames that are about the connection itself.
             frame => {
                 if !self.on_home_frame(now, from, frame) {
@@ -407,11 +407,11 @@
         self.stopping = true;
         self.closed_at = now + CLOSE_AFTER;
         self.lingers_until = now + self.cfg.linger;
-        self.timers.set(self.lingers_until, Timer::Linger);
+        self.timers.set(self.lingers_until, Timer::StopGracePeriod);
         self.leave_home(now);
         self.resign_lender(now);
-        self.leave_members(now);
-        self.leave_log(now);
+        self.announce_leave(now);
+        self.queue_leave(now);
     }
 
     fn check_stopped(&mut self, now: Time) {
@@ -422,7 +422,7 @@
         if self.stopping
             && now >= self.lingers_until
             && idle
-            && self.log.left()
+            && self.log.leave_settled()
             && self.has_handed_over(now)
         {
             self.out.push(Output::Stopped);
--- a/crates/engine/src/entry.rs
+++ b/crates/engine/src/entry.rs
@@ -3,10 +3,10 @@
 use crate::job::JobOwner;
 use crate::operation_key::operation_key;
 use crate::request::Arrival;
-use crate::request::Draft;
 use crate::request::OpenRequest;
-use crate::request::Parents;
-use crate::request::Refused;
+use crate::request::ParentInfo;
+use crate::request::RefusedRequest;
+use crate::request::RequestDraft;
 use crate::Counter;
 use crate::Diagnostic;
 use crate::Engine;
@@ -84,7 +84,7 @@
             ..
         } = arrival;
         self.count(Counter::Request(operation.class));
-        let refused = Refused::new(token, key.is_some(), &request);
+        let refused = RefusedRequest::new(token, key.is_some(), &request);
         let latest = at + operation.deadline;
         let patience = caller_timeout.map(|patience| patience.saturating_sub(now.since(at)));
         let draft = self
@@ -93,7 +93,7 @@
             .and_then(|draft| self.filter_key(draft, &caller, key));
         match draft {
             Ok(draft) => {
-                let draft = Draft { credit, ..draft };
+                let draft = RequestDraft { credit, ..draft };
                 match self.filter_resend(now, &caller, draft) {
                     Some(draft) => self.open_request(now, draft),
                     // It has its answer, or waits for that to another request.
@@ -108,12 +108,12 @@
     }
 
     fn refuse_arrival(&mut self, arrival: &Arrival, reason: Reason) {
-        self.refuse_unopened(Refused::from(arrival), self.refusal(reason));
+        self.refuse_unopened(RefusedRequest::from(arrival), self.refusal(reason));
     }
 
     /// Refuses a request that no record was looked at for.
-    pub(crate) fn refuse_unopened(&mut self, refused: Refused, refusal: Refusal) {
-        let Refused {
+    pub(crate) fn refuse_unopened(&mut self, refused: RefusedRequest, refusal: Refusal) {
+        let RefusedRequest {
             token,
             request,
             organisation,
@@ -161,17 +161,17 @@
         &mut self,
         now: Time,
         token: RequestToken,
-        parents: Parents,
+        parents: ParentInfo,
         dice: u16,
         operation: Operation,
         request: Request,
-    ) -> Result<Draft, Reason> {
+    ) -> Result<RequestDraft, Reason> {
         let run = match parents {
-            Parents {
+            ParentInfo {
                 context: Some(context),
                 ..
             } => Some(RunId::parse(&context).ok_or(Reason::BadRequest)?),
-            Parents { parent, .. } => parent.and_then(|id| self.jobs_by_id.get(&id).copied()),
+            ParentInfo { parent, .. } => parent.and_then(|id| self.jobs_by_id.get(&id).copied()),
         };
         let Some(run) = run else {
             return self.root(now, token, dice, operation, request);
@@ -184,8 +184,8 @@
             return Err(Reason::AllowanceSpent);
         }
         let lent = job.account.lend();
-        let (class, priority) = job.standing_of_child(&operation);
-        Ok(Draft {
+        let (class, priority) = job.child_class_and_priority(&operation);
+        Ok(RequestDraft {
             token,
             action: job.action,
             dice: job.dice,
@@ -202,7 +202,7 @@
             generated_key: None,
             again: job.again,
             credit: None,
-            sent: None,
+            request_hash: None,
             operation,
             request,
         })
@@ -215,12 +215,12 @@
         dice: u16,
         operation: Operation,
         request: Request,
-    ) -> Result<Draft, Reason> {
+    ) -> Result<RequestDraft, Reason> {
         // A planned stop still finishes its runs, whose child calls come with a context.
         if self.stopping && now >= self.lingers_until {
             return Err(Reason::Draining);
         }
-        Ok(Draft {
+        Ok(RequestDraft {
             token,
             action: ActionId(self.rng.random()),
             dice: self.admission.dice(&operation, dice),
@@ -237,7 +237,7 @@
             generated_key: None,
             again: false,
             credit: None,
-            sent: None,
+            request_hash: None,
             operation,
             request,
         })
@@ -257,10 +257,10 @@
     /// Gives a non-idempotent call its key.
     fn filter_key(
         &mut self,
-        mut draft: Draft,
+        mut draft: RequestDraft,
         caller: &str,
         key: Option<Arc<str>>,
-    ) -> Result<Draft, Reason> {
+    ) -> Result<RequestDraft, Reason> {
         if draft.operation.idempotent {
             return Ok(draft);
         }
@@ -332,7 +332,7 @@
             Some(key) => key,
             None => {
                 let nth = job
-                    .children
+                    .child_counts
                     .entry((service.clone(), fingerprint))
                     .or_insert(0);
                 *nth += 1;
@@ -340,13 +340,13 @@
             }
         };
         IdempotencyKey {
-            caller: job.path.clone(),
+            caller: job.child_key_scope.clone(),
             service,
             text,
         }
     }
 
-    fn open_request(&mut self, now: Time, draft: Draft) {
+    fn open_request(&mut self, now: Time, draft: RequestDraft) {
         let token = draft.token;
         let open = OpenRequest {
             call: CallId {
@@ -358,12 +358,12 @@
             generated_key: draft.generated_key.clone(),
             operation: draft.operation.clone(),
             credit: draft.credit,
-            sent: draft.sent,
+            request_hash: draft.request_hash,
             followers: Vec::new(),
         };
         self.open.insert(token, open);
         if let Some(job) = draft.parent.and_then(|run| self.jobs.get_mut(&run)) {
-            job.child_began(now, token);
+            job.on_child_started(now, token);
         }
         self.route_first(now, draft);
     }
@@ -381,13 +381,13 @@
         };
         if let Some(job) = open.parent.and_then(|run| self.jobs.get_mut(&run)) {
             job.account.give_back(open.lent, unspent);
-            job.child_ended(now, token);
+            job.on_child_ended(now, token);
         }
         if matches!(outcome, Outcome::NotRun(_)) {
             self.return_credit(now, open.credit);
         }
-        if let Some(sent) = open.sent {
-            self.resends.ended(now, sent, &outcome);
+        if let Some(sent) = open.request_hash {
+            self.resends.record_end(now, sent, &outcome);
         }
         for follower in open.followers {
             self.followers.swap_remove(&follower);
@@ -421,7 +421,7 @@
     }
 
     pub(crate) fn on_caller_gone(&mut self, now: Time, token: RequestToken) {
-        if self.unfollow(token) || self.stop_waiting_for_quota(token) {
+        if self.unfollow(token) || self.cancel_quota_wait(token) {
             return;
         }
         if let Some(open) = self.open.get(&token) {
@@ -431,7 +431,12 @@
 }
 
 /// The time that a request has waited for a token is part of what it has.
-fn shorten(mut draft: Draft, now: Time, patience: Option<Duration>, latest: Time) -> Draft {
+fn shorten(
+    mut draft: RequestDraft,
+    now: Time,
+    patience: Option<Duration>,
+    latest: Time,
+) -> RequestDraft {
     draft.deadline = draft.deadline.min(latest);
     if let Some(patience) = patience {
         draft.deadline = draft.deadline.min(now + patience);
--- a/crates/engine/src/fetch.rs
+++ b/crates/engine/src/fetch.rs
@@ -54,7 +54,7 @@
 impl Engine {
     /// This node's state for a peer that knows so much; nothing if this node knows no more itself.
     pub fn state_beyond(&self, theirs: Progress) -> Option<Bytes> {
-        let has_more = self.log.ready && self.journal.progress().has_more_than(theirs);
+        let has_more = self.log.synced && self.journal.progress().has_more_than(theirs);
         has_more.then(|| Bytes::from(proto::encode(&self.journal)))
     }
 
@@ -88,7 +88,7 @@
 
     fn waits_for_store(&self, now: Time) -> bool {
         let starts = self.cfg.shares_reads && !self.has_rules();
-        !self.log.down && !starts && self.reads_store(now)
+        !self.log.unreachable && !starts && self.reads_store(now)
     }
 
     fn is_in_own_domain(&self, addr: SocketAddr) -> bool {
@@ -127,8 +127,8 @@
     }
 
     pub(crate) fn on_log_unreachable(&mut self, now: Time) {
-        self.log.down = true;
-        if !self.log.ready {
+        self.log.unreachable = true;
+        if !self.log.synced {
             self.schedule_fetch(now, Duration::ZERO);
         }
     }
@@ -146,11 +146,11 @@
         let known = self.journal.progress();
         let ahead = self.fetch.ahead;
         let ahead = ahead.filter(|(_, theirs)| theirs.has_more_than(known));
-        if ahead.is_none() && self.log.ready {
+        if ahead.is_none() && self.log.synced {
             self.fetch = FetchLink::default();
             return;
         }
-        let in_vain = self.fetch.asked >= MAX_ASKED && self.log.ready;
+        let in_vain = self.fetch.asked >= MAX_ASKED && self.log.synced;
         if in_vain {
             self.fetch = FetchLink::default();
             return;
@@ -166,7 +166,7 @@
             self.count(Counter::StateFetch);
             self.out.push(Output::FetchState { from, known });
         }
-        if !self.log.ready {
+        if !self.log.synced {
             let wait = INTERVAL.mul_f64(self.rng.random_range(0.5..1.0));
             self.schedule_fetch(now, wait);
         } else if self.cfg.shares_reads {
@@ -203,8 +203,8 @@
         };
         match change {
             Change::Restored => {
-                self.log.ready = true;
-                self.on_restored(now);
+                self.log.synced = true;
+                self.on_state_restored(now);
                 self.spread_progress(false);
                 // A node that leaves reading to others has all that there is.
                 if !self.cfg.shares_reads {
--- a/crates/engine/src/hedge.rs
+++ b/crates/engine/src/hedge.rs
@@ -5,8 +5,8 @@
 //! delivered. A second attempt is a retry and takes its place in all bounds of retries.
 
 use crate::job::JobOwner;
-use crate::outgoing::Earlier;
-use crate::outgoing::Outgoing;
+use crate::outgoing::EarlierAttempt;
+use crate::outgoing::OutgoingCall;
 use crate::timers::Timer;
 use crate::Counter;
 use crate::Engine;
@@ -47,7 +47,7 @@
             return;
         };
         if let JobOwner::Call(id) = job.owner {
-            if !job.cancelled && job.waiting.is_empty() {
+            if !job.cancelled && job.pending_children.is_empty() {
                 self.send_to(id.from, Frame::Late(id));
             }
         }
@@ -80,8 +80,8 @@
             return;
         };
         self.count(Counter::Hedge);
-        self.timers.clear(call.deadline, Timer::Deadline(id));
-        call.earlier = Some(Earlier {
+        self.timers.clear(call.deadline, Timer::CallDeadline(id));
+        call.earlier = Some(EarlierAttempt {
             id,
             target: call.target.clone(),
             lent: call.lent,
@@ -115,7 +115,12 @@
     }
 
     /// Whether the earlier attempt may still bring what the later one did not.
-    pub(crate) fn waits_for_earlier(&self, now: Time, call: &Outgoing, outcome: &Outcome) -> bool {
+    pub(crate) fn waits_for_earlier(
+        &self,
+        now: Time,
+        call: &OutgoingCall,
+        outcome: &Outcome,
+    ) -> bool {
         let is_over = match outcome {
             Outcome::Whole(_) => true,
             Outcome::Unknown(reason) => matches!(reason, Reason::Deadline | Reason::CallerGone),
@@ -125,24 +130,25 @@
     }
 
     /// The later attempt has failed: the call waits for the earlier one again.
-    pub(crate) fn resume_earlier(&mut self, mut call: Outgoing, earlier: Earlier) {
+    pub(crate) fn resume_earlier(&mut self, mut call: OutgoingCall, earlier: EarlierAttempt) {
         self.earlier.swap_remove(&earlier.id);
-        call.maybe_ran = true;
+        call.may_have_run = true;
         self.await_earlier(call, earlier);
     }
 
-    fn await_earlier(&mut self, mut call: Outgoing, earlier: Earlier) {
+    fn await_earlier(&mut self, mut call: OutgoingCall, earlier: EarlierAttempt) {
         call.target = earlier.target;
         call.lent = earlier.lent;
         if let Some(open) = self.open.get_mut(&call.token) {
             open.call = earlier.id;
         }
-        self.timers.set(call.deadline, Timer::Deadline(earlier.id));
+        self.timers
+            .set(call.deadline, Timer::CallDeadline(earlier.id));
         self.calls.insert(earlier.id, call);
     }
 
     /// Nobody waits for the earlier attempt any more.
-    pub(crate) fn drop_earlier(&mut self, earlier: Earlier) {
+    pub(crate) fn drop_earlier(&mut self, earlier: EarlierAttempt) {
         self.earlier.swap_remove(&earlier.id);
         self.selector.on_ended(earlier.target.incarnation);
         self.send(&earlier.target, Frame::Cancel(earlier.id));
--- a/crates/engine/src/homes.rs
+++ b/crates/engine/src/homes.rs
@@ -1,8 +1,8 @@
 //! Calls with a key, at the key's home.
 
 use crate::job::JobOwner;
-use crate::serve::Inbound;
-use crate::serve::Work;
+use crate::serve::InboundCall;
+use crate::serve::InboundWork;
 use crate::timers::Timer;
 use crate::Counter;
 use crate::Engine;
@@ -99,8 +99,8 @@
     }
 
     fn wait_for_key(&mut self, key: KeyHash, id: CallId) {
-        let work = Work::Key(key);
-        self.inbound.insert(id, Inbound { work });
+        let work = InboundWork::Key(key);
+        self.inbound.insert(id, InboundCall { work });
     }
 
     /// The slot is on its way. A refusal would send the call round the nodes while the records are
@@ -111,14 +111,19 @@
             return self.answer_call(id, allowance, self.not_run(Reason::Moving));
         }
         let until = now + HOLD.min(Duration::from_millis(u64::from(call.remaining_ms)));
-        self.timers.set(until, Timer::Held(id));
-        self.inbound.insert(id, Inbound { work: Work::Held });
+        self.timers.set(until, Timer::HeldCallTimeout(id));
+        self.inbound.insert(
+            id,
+            InboundCall {
+                work: InboundWork::Held,
+            },
+        );
         self.held.insert(id, HeldCall { call, key, until });
     }
 
     fn take_held(&mut self, id: CallId) -> Option<HeldCall> {
         let held = self.held.swap_remove(&id)?;
-        self.timers.clear(held.until, Timer::Held(id));
+        self.timers.clear(held.until, Timer::HeldCallTimeout(id));
         self.inbound.swap_remove(&id);
         Some(held)
     }
@@ -185,7 +190,7 @@
         }
         let run = work.run;
         match run {
-            Some(run) if self.withdraw(run) => self.withdraw_job(now, run),
+            Some(run) if self.withdraw(run) => self.end_withdrawn_job(now, run),
             Some(_) => {}
             None => {
                 self.keys.swap_remove(&key);
@@ -265,13 +270,13 @@
 
     /// Whether all slots have been taken by other homes, or have been offered for long enough.
     pub(crate) fn has_handed_over(&mut self, now: Time) -> bool {
-        let unheard = self.is_listed() && self.log.has_given_up();
+        let unheard = self.is_listed() && self.log.leave_wait_ended();
         if unheard || (!self.is_listed() && self.home.is_handed_over()) {
             return true;
         }
         let ends = *self.handover_ends.get_or_insert_with(|| {
             let ends = now + self.cfg.leave_patience;
-            self.timers.set(ends, Timer::Handover);
+            self.timers.set(ends, Timer::HandoverTimeout);
             ends
         });
         ends <= now
--- a/crates/engine/src/identity.rs
+++ b/crates/engine/src/identity.rs
@@ -1,7 +1,7 @@
 //! Who a request is from: the organisation whose key its caller holds.
 
 use crate::request::Arrival;
-use crate::request::Parents;
+use crate::request::ParentInfo;
 use crate::Engine;
 use organisation::Freshness;
 use proto::OrganisationId;
@@ -42,7 +42,7 @@
     }
 
     /// Whether a run of the own backend server makes this call. It is part of a request that was admitted.
-    fn is_child(&self, parents: &Parents) -> bool {
+    fn is_child(&self, parents: &ParentInfo) -> bool {
         let known = |id| self.jobs_by_id.contains_key(id);
         parents.context.is_some() || parents.parent.as_ref().is_some_and(known)
     }
--- a/crates/engine/src/job.rs
+++ b/crates/engine/src/job.rs
@@ -42,11 +42,11 @@
     pub(crate) calls_below: u16,
     /// The levels that its child calls met last, by operation. The highest that any met would be as
     /// old as the run.
-    pub(crate) met: IndexMap<OperationKey, u16>,
+    pub(crate) child_levels: IndexMap<OperationKey, u16>,
     /// Stands for the place in the call tree, as the scope of child keys.
-    pub(crate) path: Arc<str>,
+    pub(crate) child_key_scope: Arc<str>,
     /// Child calls of each kind so far.
-    pub(crate) children: IndexMap<(Arc<str>, Fingerprint), u32>,
+    pub(crate) child_counts: IndexMap<(Arc<str>, Fingerprint), u32>,
     /// What the whole action is for.
     pub(crate) class: Class,
     pub(crate) priority: u8,
@@ -56,9 +56,9 @@
     /// The incarnation of the server that it was given to.
     pub(crate) expected_server: Option<Arc<str>>,
     /// Child calls in flight, since when there are any, and how long there were some.
-    pub(crate) waiting: Vec<RequestToken>,
-    pub(crate) waiting_since: Time,
-    pub(crate) waited: Duration,
+    pub(crate) pending_children: Vec<RequestToken>,
+    pub(crate) children_pending_since: Time,
+    pub(crate) child_wait: Duration,
     pub(crate) request: Request,
 }
 
@@ -73,7 +73,7 @@
 
 impl Job {
     /// What a child call is for, and how urgent: a lookup that an order makes is part of the order.
-    pub(crate) fn standing_of_child(&self, own: &Operation) -> (Class, u8) {
+    pub(crate) fn child_class_and_priority(&self, own: &Operation) -> (Class, u8) {
         if own.class.is_protected() {
             (own.class, own.priority)
         } else {
@@ -81,26 +81,26 @@
         }
     }
 
-    pub(crate) fn child_began(&mut self, now: Time, child: RequestToken) {
-        if self.waiting.is_empty() {
-            self.waiting_since = now;
+    pub(crate) fn on_child_started(&mut self, now: Time, child: RequestToken) {
+        if self.pending_children.is_empty() {
+            self.children_pending_since = now;
         }
-        self.waiting.push(child);
+        self.pending_children.push(child);
         self.calls_below = self.calls_below.saturating_add(1);
     }
 
     /// What the run has met so far in the calls that it made.
     pub(crate) fn below(&self) -> Below {
         Below {
-            level: self.met.values().copied().max().unwrap_or(0),
+            level: self.child_levels.values().copied().max().unwrap_or(0),
             calls: self.calls_below,
         }
     }
 
-    pub(crate) fn child_ended(&mut self, now: Time, child: RequestToken) {
-        self.waiting.retain(|waiting| *waiting != child);
-        if self.waiting.is_empty() {
-            self.waited += now.since(self.waiting_since);
+    pub(crate) fn on_child_ended(&mut self, now: Time, child: RequestToken) {
+        self.pending_children.retain(|pending| *pending != child);
+        if self.pending_children.is_empty() {
+            self.child_wait += now.since(self.children_pending_since);
         }
     }
 
@@ -112,13 +112,13 @@
             RunEnd::Response(response) if response.status >= 500 => Ended::Failed,
             RunEnd::Response(_) => Ended::Whole {
                 took,
-                own: took.saturating_sub(self.waited),
+                own: took.saturating_sub(self.child_wait),
             },
             RunEnd::Refused { .. } => Ended::Refused,
             RunEnd::NeverSent => Ended::NeverSent,
-            RunEnd::TimedOut if self.waiting.is_empty() => Ended::GivenUp {
+            RunEnd::TimedOut if self.pending_children.is_empty() => Ended::GivenUp {
                 took,
-                own: took.saturating_sub(self.waited),
+                own: took.saturating_sub(self.child_wait),
             },
             RunEnd::Misdirected | RunEnd::TimedOut => Ended::Failed,
             RunEnd::Lost => Ended::Lost,
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -26,7 +26,7 @@
 mod operation_key;
 mod outgoing;
 mod own_server;
-mod peer_notes;
+mod peer_diagnostics;
 mod quarantine;
 mod quota;
 mod reattach;
--- a/crates/engine/src/log.rs
+++ b/crates/engine/src/log.rs
@@ -29,12 +29,12 @@
 
 /// What this node has to say to the log and whether it got through.
 #[derive(Debug, Default)]
-pub(crate) struct LogLink {
+pub(crate) struct LogController {
     /// The last read got no answer.
-    pub(crate) down: bool,
+    pub(crate) unreachable: bool,
     /// The log was read to its end once, or its state came from a peer. Before that the rules and
     /// views may be older than what this address had in force when it was last up.
-    pub(crate) ready: bool,
+    pub(crate) synced: bool,
     pub(crate) appends: AppendQueue,
     /// Where the append in flight is to stand, or the last one was.
     append_at: u64,
@@ -47,14 +47,14 @@
     give_up: Option<Time>,
 }
 
-impl LogLink {
+impl LogController {
     /// Whether nothing is left to say before the process ends.
-    pub(crate) fn left(&self) -> bool {
+    pub(crate) fn leave_settled(&self) -> bool {
         !self.appends.contains(AppendKey::Leave)
     }
 
     /// Whether a stop no longer waits for its `Leave`.
-    pub(crate) fn has_given_up(&self) -> bool {
+    pub(crate) fn leave_wait_ended(&self) -> bool {
         self.give_up.is_none()
     }
 
@@ -86,14 +86,14 @@
             }
         }
         // What is read at the start is no news to anybody.
-        if self.log.ready && self.journal.version > before {
+        if self.log.synced && self.journal.version > before {
             self.spread_progress(true);
         }
     }
 
     /// Takes the newest record of each key, at a start or after records that this node lacks have
     /// expired.
-    pub(crate) fn on_newest(&mut self, now: Time, values: Vec<(u64, Bytes)>, end: u64) {
+    pub(crate) fn on_topic_snapshot(&mut self, now: Time, values: Vec<(u64, Bytes)>, end: u64) {
         let values = journal::in_order(values, end);
         let newest = State::from_newest(&values, end);
         if !newest.is_whole_since(self.journal.next) {
@@ -139,24 +139,24 @@
         };
         self.server.set_ranks(ranks.clone());
         self.admission.set_ranks(ranks);
-        self.set_quotas();
+        self.update_quotas();
         let longest = longest.unwrap_or(limit.key_retention);
         self.home.set_times(limit.key_retention, longest);
-        self.set_server_bounds();
+        self.update_concurrency_bounds();
         self.check_server(now);
-        self.update_roster(now);
+        self.mark_roster_changed(now);
     }
 
     /// Takes a rules file that was given its version elsewhere.
-    pub(crate) fn on_published(&mut self, now: Time, version: u64, file: &str) {
-        self.log.down = false;
+    pub(crate) fn on_rules_published(&mut self, now: Time, version: u64, file: &str) {
+        self.log.unreachable = false;
         match self
             .journal
             .take_version(version, file, self.cfg.parse_rules)
         {
             Change::Rules => {
                 self.count(Counter::RulesInForce);
-                self.log.ready = true;
+                self.log.synced = true;
                 self.on_rules(now);
                 self.spread_progress(true);
             }
@@ -165,7 +165,7 @@
         }
     }
 
-    pub(crate) fn on_restored(&mut self, now: Time) {
+    pub(crate) fn on_state_restored(&mut self, now: Time) {
         self.count(Counter::Restored);
         self.on_rules(now);
         // Views before the one in the state may have been missed.
@@ -173,13 +173,13 @@
     }
 
     fn on_view_change(&mut self, now: Time) {
-        self.update_roster(now);
+        self.mark_roster_changed(now);
         self.update_home(now);
     }
 
-    pub(crate) fn on_log_read(&mut self, now: Time) {
-        self.log.down = false;
-        self.log.ready = true;
+    pub(crate) fn on_log_caught_up(&mut self, now: Time) {
+        self.log.unreachable = false;
+        self.log.synced = true;
         self.home.on_log_read(now);
         self.check_departed(now);
         // An incarnation that the views have dropped never comes back: it ends, and its next start
@@ -225,7 +225,7 @@
     }
 
     /// Drops what the topic shows by now, and starts the next append that is due.
-    pub(crate) fn pump_appends(&mut self, now: Time) {
+    pub(crate) fn start_due_append(&mut self, now: Time) {
         let mine = self.me.incarnation;
         let journal = &self.journal;
         // A record that would change nothing must not land: it would take the key of one that did.
@@ -237,7 +237,7 @@
         });
         if self.log.give_up.is_some_and(|give_up| give_up <= now) {
             self.log.give_up = None;
-            if !self.log.left() {
+            if !self.log.leave_settled() {
                 self.log.appends.remove(AppendKey::Leave);
                 self.count(Counter::LeaveUnsaid);
             }
@@ -308,7 +308,7 @@
 
     /// Says in the topic that this node leaves. A `Join` that may be on its way makes no difference:
     /// of the two, the one that is appended first keeps the other out or comes before it.
-    pub(crate) fn leave_log(&mut self, now: Time) {
+    pub(crate) fn queue_leave(&mut self, now: Time) {
         self.log.appends.remove(AppendKey::Join);
         let gone = self.journal.departed.contains_key(&self.me.incarnation);
         if !gone && (self.log.join_sent || self.is_listed()) {
@@ -321,7 +321,7 @@
 
     /// Whether rules are in force here that are as new as the log's, or as a peer's.
     pub(crate) fn has_rules(&self) -> bool {
-        self.log.ready && self.journal.version > 0
+        self.log.synced && self.journal.version > 0
     }
 
     /// Whether the log's views name this incarnation.
--- a/crates/engine/src/members.rs
+++ b/crates/engine/src/members.rs
@@ -57,14 +57,14 @@
             _ => None,
         };
         let effects = self.members.on_message(now, from, message);
-        self.apply_members(now, effects);
+        self.apply_membership_effects(now, effects);
         if let Some((peer, load)) = report {
             self.selector.on_report(now, peer, load);
         }
     }
 
     /// Takes a report that came with an answer.
-    pub(crate) fn hear_load(&mut self, now: Time, from: Incarnation, load: LoadReport) {
+    pub(crate) fn record_load(&mut self, now: Time, from: Incarnation, load: LoadReport) {
         self.members.heard_load(now, from, load);
         self.selector.on_report(now, from, load);
         self.selector.on_answered(from);
@@ -73,24 +73,24 @@
     pub(crate) fn tick_members(&mut self, now: Time) {
         if std::mem::take(&mut self.roster_changed) {
             let effects = self.members.set_roster(now, self.journal.instances());
-            self.apply_members(now, effects);
+            self.apply_membership_effects(now, effects);
         }
         self.server.tick(now);
         let load = self.load_report();
         self.members.set_load(load);
         let effects = self.members.tick(now);
-        self.apply_members(now, effects);
+        self.apply_membership_effects(now, effects);
         self.count_peers(now);
     }
 
-    pub(crate) fn leave_members(&mut self, now: Time) {
+    pub(crate) fn announce_leave(&mut self, now: Time) {
         let effects = self.members.leave(now);
-        self.apply_members(now, effects);
+        self.apply_membership_effects(now, effects);
     }
 
     /// The log's views name instances that this node has perhaps not heard of yet. The members are
     /// told once for a batch of records, because a start reads the views' whole history.
-    pub(crate) fn update_roster(&mut self, _now: Time) {
+    pub(crate) fn mark_roster_changed(&mut self, _now: Time) {
         self.roster_changed = true;
     }
 
@@ -116,7 +116,7 @@
         }
     }
 
-    pub(crate) fn apply_members(&mut self, now: Time, effects: Vec<Effect>) {
+    pub(crate) fn apply_membership_effects(&mut self, now: Time, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
                 Effect::Send { to, message } => {
@@ -130,8 +130,8 @@
                 Effect::Changed { incarnation, state } => {
                     self.count(Counter::PeerChanged);
                     self.note_peer(now, incarnation, state);
-                    self.set_standing(now, incarnation, state);
-                    self.quota.forget_election();
+                    self.update_standing(now, incarnation, state);
+                    self.quota.invalidate_election();
                     // An eviction may have waited for the log through an outage; by now it would
                     // take out a live instance, and its share of the keys with it.
                     if state != PeerState::Dead {
--- a/crates/engine/src/outgoing.rs
+++ b/crates/engine/src/outgoing.rs
@@ -16,7 +16,7 @@
 
 /// A call in flight.
 #[derive(Debug)]
-pub(crate) struct Outgoing {
+pub(crate) struct OutgoingCall {
     pub(crate) token: RequestToken,
     pub(crate) target: Instance,
     pub(crate) action: ActionId,
@@ -36,17 +36,17 @@
     /// Each attempt below counts as a retry.
     pub(crate) again: bool,
     /// An attempt may have run whose answer was lost.
-    pub(crate) maybe_ran: bool,
+    pub(crate) may_have_run: bool,
     /// Attempts below, as far as answers told.
     pub(crate) calls_below: u16,
     /// Attempts of this call itself.
     pub(crate) attempts: u16,
     /// How often this call itself may be tried again, whatever its action has left.
-    pub(crate) own_retries: u16,
+    pub(crate) retries_left: u16,
     /// Left of [`policy::Switches::hop_retries`].
     pub(crate) hop_retries: u8,
     /// The attempt before this one, while both are awaited.
-    pub(crate) earlier: Option<Earlier>,
+    pub(crate) earlier: Option<EarlierAttempt>,
     pub(crate) redirects: u8,
     pub(crate) reattaches: u8,
     /// Nodes that this call shall not go to again.
@@ -56,17 +56,17 @@
 
 /// An attempt whose answer is late.
 #[derive(Debug)]
-pub(crate) struct Earlier {
+pub(crate) struct EarlierAttempt {
     pub(crate) id: CallId,
     pub(crate) target: Instance,
     pub(crate) lent: u16,
 }
 
-impl Outgoing {
+impl OutgoingCall {
     /// A refusal by somebody who does not know the key's record. An earlier attempt with a key that
     /// a caller sent may have run; saying "not run" of it, the caller might order again with
     /// another key, and get two.
-    pub(crate) fn unjudged(&self, refusal: Refusal) -> Refusal {
+    pub(crate) fn scope_refusal(&self, refusal: Refusal) -> Refusal {
         if self.key.is_some() && !self.fresh {
             refusal.of_this_attempt()
         } else {
--- a/crates/engine/src/own_server.rs
+++ b/crates/engine/src/own_server.rs
@@ -54,7 +54,7 @@
 }
 
 impl Engine {
-    pub(crate) fn on_announcement(&mut self, now: Time, announcement: Announcement) {
+    pub(crate) fn on_server_announcement(&mut self, now: Time, announcement: Announcement) {
         match announcement {
             Announcement::Alive(heartbeat) => self.on_heartbeat(now, heartbeat),
             Announcement::Leaves { id } => self.on_leaves(now, &id),
@@ -141,21 +141,21 @@
     }
 
     fn on_server_changed(&mut self, now: Time, another: bool) {
-        self.set_server_bounds();
-        let open = self.server_is_open();
-        if self.members.set_open(open) || another {
-            self.note_own_server(open);
+        self.update_concurrency_bounds();
+        let accepts_work = self.server_accepts_work();
+        if self.members.set_open(accepts_work) || another {
+            self.note_own_server(accepts_work);
         }
-        if !open {
-            self.turn_away_waiting(now);
+        if !accepts_work {
+            self.refuse_queued_jobs(now);
         }
     }
 
-    fn note_own_server(&mut self, open: bool) {
+    fn note_own_server(&mut self, accepts_work: bool) {
         if let Some(known) = &self.own_server {
             self.out.push(Output::Diagnostic(Diagnostic::OwnServer {
                 id: known.heartbeat.id.clone(),
-                open,
+                accepts_work,
                 sequence: known.heartbeat.sequence,
             }));
         }
@@ -163,7 +163,7 @@
 
     /// Work that waits for a server that leaves would reach it when it has stopped listening. Its
     /// entry gives it to another node at once.
-    fn turn_away_waiting(&mut self, now: Time) {
+    fn refuse_queued_jobs(&mut self, now: Time) {
         let waiting = self.jobs.iter().filter(|(_, job)| job.started.is_none());
         let waiting: Vec<RunId> = waiting.map(|(run, _)| *run).collect();
         for run in waiting {
@@ -174,7 +174,7 @@
     }
 
     /// Whether the own backend server may be given new work.
-    pub(crate) fn server_is_open(&self) -> bool {
+    pub(crate) fn server_accepts_work(&self) -> bool {
         !self.cfg.announced || self.own_server.as_ref().is_some_and(OwnServer::is_open)
     }
 
@@ -195,7 +195,7 @@
 
     /// The bounds of the rules; a server that tells its slots is never given more than those,
     /// because what it has to queue, or can't, it may never answer.
-    pub(crate) fn set_server_bounds(&mut self) {
+    pub(crate) fn update_concurrency_bounds(&mut self) {
         let limit = self.journal.rules.limit(&self.me.service);
         let slots = self.own_server.as_ref().map(|known| known.heartbeat.slots);
         let most = slots.map_or(limit.max_concurrency, |slots| {
--- a/crates/engine/src/peer_notes.rs
+++ b/crates/engine/src/peer_diagnostics.rs
@@ -22,14 +22,14 @@
 
 /// Changes since the last line that counts them.
 #[derive(Debug, Default)]
-pub(crate) struct PeerNotes {
+pub(crate) struct PeerDiagnostics {
     /// When the present span ends.
     until: Time,
     told: u32,
     counted: PeerCounts,
 }
 
-impl PeerNotes {
+impl PeerDiagnostics {
     /// When [`Engine::count_peers`] has something to say.
     pub(crate) fn next_timer(&self) -> Option<Time> {
         (!self.counted.is_empty()).then_some(self.until)
@@ -54,7 +54,7 @@
             incarnation,
             addr: peer.instance.addr,
             state,
-            open: peer.open,
+            accepts_work: peer.open,
         }));
     }
 
--- a/crates/engine/src/quarantine.rs
+++ b/crates/engine/src/quarantine.rs
@@ -41,7 +41,7 @@
 
 /// Suspects of this node's service.
 #[derive(Debug)]
-pub(crate) struct Suspects {
+pub(crate) struct CrashSuspects {
     known: Quarantine<Fingerprint>,
     /// The same of calls that this node made, of all services, by a hash.
     called: Quarantine<u64>,
@@ -53,7 +53,7 @@
     reports_since: Time,
 }
 
-impl Suspects {
+impl CrashSuspects {
     pub(crate) fn new() -> Self {
         Self {
             known: Quarantine::new(),
@@ -128,7 +128,7 @@
         self.report_suspect(request, crashes);
         for wait in REPEATS {
             let at = now + wait;
-            self.timers.set(at, Timer::Suspects);
+            self.timers.set(at, Timer::CrashReports);
             self.suspects.repeats.push(Report {
                 at,
                 request,
@@ -137,7 +137,7 @@
         }
     }
 
-    pub(crate) fn repeat_reports(&mut self, now: Time) {
+    pub(crate) fn resend_crash_reports(&mut self, now: Time) {
         let repeats = std::mem::take(&mut self.suspects.repeats);
         let (due, later) = repeats.into_iter().partition(|report| report.at <= now);
         self.suspects.repeats = later;
@@ -161,7 +161,7 @@
         }
     }
 
-    pub(crate) fn on_suspect(
+    pub(crate) fn on_suspect_report(
         &mut self,
         now: Time,
         from: Incarnation,
@@ -176,7 +176,7 @@
 
     /// A call of this node ended with its server breaking off at `target`. The word of that server's
     /// node may reach the next one later than the retry does.
-    pub(crate) fn call_lost(&mut self, now: Time, request: &Request, target: Incarnation) {
+    pub(crate) fn record_call_crash(&mut self, now: Time, request: &Request, target: Incarnation) {
         if self.cfg.policy.quarantine {
             let called = &mut self.suspects.called;
             called.crashed(now, called_hash(request), target);
@@ -184,14 +184,14 @@
     }
 
     /// A call of this node was answered whole.
-    pub(crate) fn call_whole(&mut self, now: Time, request: &Request) {
+    pub(crate) fn record_call_completed(&mut self, now: Time, request: &Request) {
         if !self.suspects.called.is_empty() {
             self.suspects.called.answered(now, called_hash(request));
         }
     }
 
     /// Refuses a call that broke off two servers.
-    pub(crate) fn quarantined(&self, now: Time, request: &Request) -> Option<Refusal> {
+    pub(crate) fn quarantine_refusal(&self, now: Time, request: &Request) -> Option<Refusal> {
         if self.suspects.called.is_empty() {
             return None;
         }
--- a/crates/engine/src/quota.rs
+++ b/crates/engine/src/quota.rs
@@ -1,7 +1,7 @@
 //! The controller of quotas: who lends, and requests that wait for a token.
 
 use crate::request::Arrival;
-use crate::request::Refused;
+use crate::request::RefusedRequest;
 use crate::Engine;
 use crate::Output;
 use crate::RequestToken;
@@ -48,7 +48,7 @@
 
 /// What is lent and borrowed here.
 #[derive(Debug)]
-pub(crate) struct QuotaLink {
+pub(crate) struct QuotaController {
     pub(crate) borrower: Borrower,
     lender: Lender,
     /// Requests that wait for a token, the oldest first.
@@ -61,7 +61,7 @@
     elected_at: Option<Time>,
 }
 
-impl QuotaLink {
+impl QuotaController {
     pub(crate) fn new(bounds: QuotaBounds) -> Self {
         Self {
             borrower: Borrower::new(bounds),
@@ -80,7 +80,7 @@
     }
 
     /// The peers have changed.
-    pub(crate) fn forget_election(&mut self) {
+    pub(crate) fn invalidate_election(&mut self) {
         self.elected_at = None;
     }
 }
@@ -92,7 +92,7 @@
     }
 
     /// New rules are in force.
-    pub(crate) fn set_quotas(&mut self) {
+    pub(crate) fn update_quotas(&mut self) {
         let organisations = self.journal.rules.organisations.as_ref();
         let quota_of = |id| organisations.and_then(|all| all.get(id)?.quota);
         let mut all = organisations.into_iter().flat_map(Organisations::iter);
@@ -331,7 +331,7 @@
     }
 
     /// Whether a request waited whose caller has gone.
-    pub(crate) fn stop_waiting_for_quota(&mut self, token: RequestToken) -> bool {
+    pub(crate) fn cancel_quota_wait(&mut self, token: RequestToken) -> bool {
         let Some((organisation, _)) = self.quota.waiting.shift_remove(&token) else {
             return false;
         };
@@ -365,14 +365,17 @@
             Reason::QuotaExceeded => RETRY_EXCEEDED.mul_f64(self.rng.random_range(1.0..2.0)),
             _ => RETRY_UNKNOWN,
         };
-        self.refuse_unopened(Refused::from(&arrival), Refusal::new(reason, retry_after));
+        self.refuse_unopened(
+            RefusedRequest::from(&arrival),
+            Refusal::new(reason, retry_after),
+        );
     }
 
     /// A node that stops lends no more, and says so to whoever asks.
     pub(crate) fn resign_lender(&mut self, now: Time) {
         let voters = self.quota.voters;
         self.quota.lender.resign(now, voters);
-        self.quota.forget_election();
+        self.quota.invalidate_election();
     }
 
     fn send_quota(&mut self, to: SocketAddr, message: QuotaMessage) {
--- a/crates/engine/src/reattach.rs
+++ b/crates/engine/src/reattach.rs
@@ -1,6 +1,6 @@
 //! Calls whose connection is lost.
 
-use crate::outgoing::Outgoing;
+use crate::outgoing::OutgoingCall;
 use crate::timers::Timer;
 use crate::Counter;
 use crate::Engine;
@@ -35,14 +35,14 @@
                 self.calls.insert(id, call);
             } else {
                 self.selector.on_ended(peer);
-                self.timers.clear(call.deadline, Timer::Deadline(id));
+                self.timers.clear(call.deadline, Timer::CallDeadline(id));
                 self.after_lost(now, call, Reason::PeerLost);
             }
         }
     }
 
     /// Frames could not be sent. A call's first sending certainly did not run.
-    pub(crate) fn on_unsent(&mut self, now: Time, peer: Incarnation, unsent: Vec<Frame>) {
+    pub(crate) fn on_peer_unreachable(&mut self, now: Time, peer: Incarnation, unsent: Vec<Frame>) {
         self.selector.on_failed(now, peer, &mut self.rng);
         for frame in unsent {
             let Frame::Call(frame) = frame else {
@@ -64,7 +64,7 @@
     /// A call that may have been sent before could not be sent again. Whether it ran is known only
     /// over there, so it is tried until the other end is known to be gone; what may just as well
     /// run elsewhere does not wait for that.
-    fn reattach_later(&mut self, now: Time, id: CallId, mut call: Outgoing) {
+    fn reattach_later(&mut self, now: Time, id: CallId, mut call: OutgoingCall) {
         let target = call.target.incarnation;
         let gone = self
             .members
@@ -76,7 +76,7 @@
         }
         let wait = REATTACH_WAIT * (1 << call.reattaches);
         call.reattaches += 1;
-        self.timers.set(call.deadline, Timer::Deadline(id));
+        self.timers.set(call.deadline, Timer::CallDeadline(id));
         self.timers.set(now + wait, Timer::Reattach(id));
         self.selector.on_sent(target);
         self.calls.insert(id, call);
--- a/crates/engine/src/request.rs
+++ b/crates/engine/src/request.rs
@@ -17,7 +17,7 @@
 use stdx::Time;
 
 /// Stands for a caller and its request, whole.
-pub(crate) type Sent = u64;
+pub(crate) type RequestHash = u64;
 
 /// A request in flight at this node.
 #[derive(Debug)]
@@ -34,7 +34,7 @@
     /// The token of its organisation's quota that it was admitted with.
     pub(crate) credit: Option<Credit>,
     /// What was sent, for a request whose re-sends may wait for it.
-    pub(crate) sent: Option<Sent>,
+    pub(crate) request_hash: Option<RequestHash>,
     /// Requests that wait for this one's answer.
     pub(crate) followers: Vec<RequestToken>,
 }
@@ -45,7 +45,7 @@
     pub(crate) token: RequestToken,
     pub(crate) at: Time,
     pub(crate) caller: Arc<str>,
-    pub(crate) parents: Parents,
+    pub(crate) parents: ParentInfo,
     pub(crate) key: Option<Arc<str>>,
     pub(crate) credential: Option<KeyDigest>,
     pub(crate) caller_timeout: Option<Duration>,
@@ -54,7 +54,7 @@
 
 /// What is written down and answered of a request that is refused before it was opened.
 #[derive(Debug)]
-pub(crate) struct Refused {
+pub(crate) struct RefusedRequest {
     pub(crate) token: RequestToken,
     pub(crate) request: Arc<str>,
     pub(crate) organisation: Arc<str>,
@@ -62,7 +62,7 @@
     pub(crate) keyed: bool,
 }
 
-impl Refused {
+impl RefusedRequest {
     pub(crate) fn new(token: RequestToken, keyed: bool, request: &Request) -> Self {
         Self {
             token,
@@ -73,7 +73,7 @@
     }
 }
 
-impl From<&Arrival> for Refused {
+impl From<&Arrival> for RefusedRequest {
     fn from(arrival: &Arrival) -> Self {
         Self::new(arrival.token, arrival.key.is_some(), &arrival.request)
     }
@@ -81,13 +81,13 @@
 
 /// What a request says of the run that it is part of.
 #[derive(Debug, Clone)]
-pub(crate) struct Parents {
+pub(crate) struct ParentInfo {
     pub(crate) context: Option<Arc<str>>,
     pub(crate) parent: Option<Arc<str>>,
 }
 
 /// What the filters have found out about a request.
-pub(crate) struct Draft {
+pub(crate) struct RequestDraft {
     pub(crate) token: RequestToken,
     pub(crate) request: Request,
     pub(crate) operation: Operation,
@@ -110,5 +110,5 @@
     /// Each attempt below counts as a retry.
     pub(crate) again: bool,
     pub(crate) credit: Option<Credit>,
-    pub(crate) sent: Option<Sent>,
+    pub(crate) request_hash: Option<RequestHash>,
 }
--- a/crates/engine/src/resends.rs
+++ b/crates/engine/src/resends.rs
@@ -6,8 +6,8 @@
 //! a share of first sends that the rules set. A call with a key is never counted: only the key's
 //! home knows whether it ran, and the caller may be asking just that.
 
-use crate::request::Draft;
-use crate::request::Sent;
+use crate::request::RequestDraft;
+use crate::request::RequestHash;
 use crate::Counter;
 use crate::Engine;
 use crate::Output;
@@ -33,9 +33,9 @@
 /// Requests in flight and refused, by what was sent.
 #[derive(Debug)]
 pub(crate) struct Resends {
-    in_flight: IndexMap<Sent, RequestToken>,
+    in_flight: IndexMap<RequestHash, RequestToken>,
     /// When a refused caller may come back.
-    refused: Bounded<Sent, Time>,
+    refused: Bounded<RequestHash, Time>,
     budgets: Budgets,
 }
 
@@ -48,22 +48,28 @@
         }
     }
 
-    pub(crate) fn sent(caller: &str, request: &Request) -> Sent {
+    pub(crate) fn hash_of(caller: &str, request: &Request) -> RequestHash {
         hash64(&(caller, request))
     }
 
     /// Notes how a request ended.
-    pub(crate) fn ended(&mut self, now: Time, sent: Sent, outcome: &Outcome) {
-        self.in_flight.swap_remove(&sent);
+    pub(crate) fn record_end(&mut self, now: Time, request_hash: RequestHash, outcome: &Outcome) {
+        self.in_flight.swap_remove(&request_hash);
         if let Outcome::NotRun(refusal) = outcome {
             let wait = std::time::Duration::from_millis(u64::from(refusal.retry_after_ms));
-            self.refused.insert(sent, now + wait);
+            self.refused.insert(request_hash, now + wait);
         }
     }
 
     /// Takes one from the ratio if the request comes back too early, and tells when it may.
-    fn draw(&mut self, now: Time, sent: Sent, service: &Arc<str>, ratio: f64) -> Option<Time> {
-        let not_before = self.refused.get(&sent).copied();
+    fn draw(
+        &mut self,
+        now: Time,
+        request_hash: RequestHash,
+        service: &Arc<str>,
+        ratio: f64,
+    ) -> Option<Time> {
+        let not_before = self.refused.get(&request_hash).copied();
         match not_before.filter(|at| now < *at) {
             Some(at) => Some(at).filter(|_| !self.budgets.spend(now, service)),
             None => {
@@ -80,41 +86,41 @@
         &mut self,
         now: Time,
         caller: &str,
-        mut draft: Draft,
-    ) -> Option<Draft> {
+        mut draft: RequestDraft,
+    ) -> Option<RequestDraft> {
         // Two non-idempotent requests without a key may be two orders, however alike they are.
         let alike = draft.operation.idempotent && draft.key.is_none();
         let counts = draft.parent.is_none() && alike;
         if !self.cfg.policy.resend_limit || !counts {
             return Some(draft);
         }
-        let sent = Resends::sent(caller, &draft.request);
-        if let Some(leader) = self.leader(sent, &draft) {
+        let request_hash = Resends::hash_of(caller, &draft.request);
+        if let Some(leader) = self.leader(request_hash, &draft) {
             self.follow(leader, draft);
             return None;
         }
         let service = &draft.request.service;
         let ratio = f64::from(self.journal.rules.resend_percent(service)) / 100.0;
-        if let Some(not_before) = self.resends.draw(now, sent, service, ratio) {
+        if let Some(not_before) = self.resends.draw(now, request_hash, service, ratio) {
             let refusal = Refusal::new(Reason::ResendLimit, now.until(not_before));
             self.refuse(draft.token, refusal);
             return None;
         }
-        self.resends.in_flight.insert(sent, draft.token);
-        draft.sent = Some(sent);
+        self.resends.in_flight.insert(request_hash, draft.token);
+        draft.request_hash = Some(request_hash);
         Some(draft)
     }
 
     /// The request in flight that is the same in every byte; a hash alone might be another's. Its
     /// answer must come before the re-send's own deadline.
-    fn leader(&self, sent: Sent, draft: &Draft) -> Option<RequestToken> {
-        let token = self.resends.in_flight.get(&sent)?;
+    fn leader(&self, request_hash: RequestHash, draft: &RequestDraft) -> Option<RequestToken> {
+        let token = self.resends.in_flight.get(&request_hash)?;
         let call = self.calls.get(&self.open.get(token)?.call)?;
         let fits = call.request == draft.request && call.deadline <= draft.deadline;
         fits.then_some(*token)
     }
 
-    fn follow(&mut self, leader: RequestToken, draft: Draft) {
+    fn follow(&mut self, leader: RequestToken, draft: RequestDraft) {
         let Some(open) = self.open.get_mut(&leader) else {
             return;
         };
--- a/crates/engine/src/routing.rs
+++ b/crates/engine/src/routing.rs
@@ -1,6 +1,6 @@
 //! Whom a call goes to.
 
-use crate::outgoing::Outgoing;
+use crate::outgoing::OutgoingCall;
 use crate::Engine;
 use policy::Place;
 use policy::Standing;
@@ -16,11 +16,11 @@
         once::owner(&view.members, key.slot()).cloned()
     }
 
-    pub(crate) fn choose_server(&mut self, now: Time, call: &Outgoing) -> Option<Instance> {
+    pub(crate) fn choose_instance(&mut self, now: Time, call: &OutgoingCall) -> Option<Instance> {
         let service = &call.request.service;
         let mine = self.me.incarnation;
         if self.me.service == *service {
-            self.enter_self(now);
+            self.update_own_standing(now);
         }
         let chosen = self
             .selector
@@ -32,7 +32,7 @@
     }
 
     /// This node's own backend server is one to choose among, and its load is known exactly.
-    fn enter_self(&mut self, now: Time) {
+    fn update_own_standing(&mut self, now: Time) {
         let standing = if self.stopping {
             Standing::Closed
         } else {
@@ -45,7 +45,7 @@
     }
 
     /// Takes a peer's new state over into the choice of instances.
-    pub(crate) fn set_standing(&mut self, now: Time, peer: Incarnation, state: PeerState) {
+    pub(crate) fn update_standing(&mut self, now: Time, peer: Incarnation, state: PeerState) {
         let Some(peer) = self.members.get(peer) else {
             return;
         };
--- a/crates/engine/src/serve.rs
+++ b/crates/engine/src/serve.rs
@@ -39,14 +39,14 @@
 
 /// A call from another node that has no answer yet.
 #[derive(Debug)]
-pub(crate) struct Inbound {
+pub(crate) struct InboundCall {
     /// What it waits for.
-    pub(crate) work: Work,
+    pub(crate) work: InboundWork,
 }
 
 /// What an inbound call waits for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Work {
+pub(crate) enum InboundWork {
     /// A run of its own.
     Run(RunId),
     /// The run of a key, perhaps together with others.
@@ -70,17 +70,17 @@
             Seen::Never => {}
         }
         match call.leg {
-            Leg::Serve => self.serve(now, call),
+            Leg::Serve => self.on_serve_call(now, call),
             Leg::Home => self.on_home_call(now, call),
         }
     }
 
-    fn serve(&mut self, now: Time, call: Call) {
+    fn on_serve_call(&mut self, now: Time, call: Call) {
         if self.stopping {
             let outcome = self.not_run(Reason::Draining);
             return self.answer_call(call.id, call.allowance, outcome);
         }
-        if !self.server_is_open() {
+        if !self.server_accepts_work() {
             let outcome = self.not_run(Reason::Draining);
             return self.answer_call(call.id, call.allowance, outcome);
         }
@@ -91,8 +91,8 @@
         let run = self.new_job(now, JobOwner::Call(id), call);
         self.inbound.insert(
             id,
-            Inbound {
-                work: Work::Run(run),
+            InboundCall {
+                work: InboundWork::Run(run),
             },
         );
         self.offer(now, run);
@@ -122,21 +122,21 @@
             late_at: None,
             cancelled: false,
             calls_below: 0,
-            met: IndexMap::new(),
-            path: child_scope(call.action, call.key.map(|(key, _)| key)),
-            children: IndexMap::new(),
+            child_levels: IndexMap::new(),
+            child_key_scope: child_key_scope(call.action, call.key.map(|(key, _)| key)),
+            child_counts: IndexMap::new(),
             class: call.class,
             priority: call.priority,
             passed_level: call.passed_level,
             started: None,
             expected_server: None,
-            waiting: Vec::new(),
-            waiting_since: now,
-            waited: Duration::ZERO,
+            pending_children: Vec::new(),
+            children_pending_since: now,
+            child_wait: Duration::ZERO,
             request,
         };
         if !job.keyed {
-            self.timers.set(job.deadline, Timer::Run(run));
+            self.timers.set(job.deadline, Timer::RunDeadline(run));
         }
         if !job.request.id.is_empty() {
             self.jobs_by_id.insert(job.request.id.clone(), run);
@@ -175,7 +175,7 @@
                 self.server.refused_before(now, ticket.class);
                 let refusal = shed(level, ticket.class, ticket.dice);
                 if let Some(job) = self.jobs.get_mut(&run) {
-                    job.met
+                    job.child_levels
                         .extend(job.operation.clone().map(|own| (own, level)));
                 }
                 return self.after_offer(now, run, Offer::Refused(refusal));
@@ -200,7 +200,7 @@
     }
 
     /// Lets the queue move.
-    pub(crate) fn pump_server(&mut self, now: Time) {
+    pub(crate) fn start_queued_jobs(&mut self, now: Time) {
         while let Some((ticket, offer)) = self.server.next(now) {
             let run = RunId {
                 at: self.me.incarnation,
@@ -255,7 +255,7 @@
         let (class, fingerprint) = (job.class, job.fingerprint);
         let cancelled = job.cancelled;
         let expected_server = job.expected_server.clone();
-        let made_calls = matches!(job.owner, JobOwner::Key(_)) && !job.children.is_empty();
+        let made_calls = matches!(job.owner, JobOwner::Key(_)) && !job.child_counts.is_empty();
         let ended = job.ended(now, &end);
         self.learn_run(now, run, ended);
         self.server.finished(now, class, ended);
@@ -292,7 +292,7 @@
         let Some(job) = self.jobs.swap_remove(&run) else {
             return;
         };
-        self.timers.clear(job.deadline, Timer::Run(run));
+        self.timers.clear(job.deadline, Timer::RunDeadline(run));
         if let Some(at) = job.late_at {
             self.timers.clear(at, Timer::LateRun(run));
         }
@@ -327,9 +327,9 @@
             return;
         };
         match inbound.work {
-            Work::Run(run) => self.cancel_run(now, run),
-            Work::Key(key) => self.cancel_key(now, key, id),
-            Work::Held => self.cancel_held(id),
+            InboundWork::Run(run) => self.cancel_run(now, run),
+            InboundWork::Key(key) => self.cancel_key(now, key, id),
+            InboundWork::Held => self.cancel_held(id),
         }
     }
 
@@ -337,14 +337,14 @@
     /// its child calls would give.
     pub(crate) fn cancel_run(&mut self, now: Time, run: RunId) {
         if self.withdraw(run) {
-            return self.withdraw_job(now, run);
+            return self.end_withdrawn_job(now, run);
         }
         self.out.push(Output::CancelRun(run));
         let Some(job) = self.jobs.get_mut(&run) else {
             return;
         };
         job.cancelled = true;
-        for child in job.waiting.clone() {
+        for child in job.pending_children.clone() {
             self.on_caller_gone(now, child);
         }
     }
@@ -362,7 +362,7 @@
     }
 
     /// Ends a job that was taken out of the queue.
-    pub(crate) fn withdraw_job(&mut self, now: Time, run: RunId) {
+    pub(crate) fn end_withdrawn_job(&mut self, now: Time, run: RunId) {
         self.end_job(now, run, self.not_run(Reason::CallerGone));
     }
 
@@ -402,7 +402,7 @@
 }
 
 /// The scope of the keys of child calls: the same for every run of the same call of the action.
-fn child_scope(action: ActionId, key: Option<KeyHash>) -> Arc<str> {
+fn child_key_scope(action: ActionId, key: Option<KeyHash>) -> Arc<str> {
     match key {
         Some(key) => format!("{action}/{:032x}", key.0).into(),
         None => action.to_string().into(),
--- a/crates/engine/src/timers.rs
+++ b/crates/engine/src/timers.rs
@@ -11,19 +11,19 @@
     #[derive(PartialOrd, Ord)]
     pub(crate) enum Timer {
         /// A call's deadline.
-        Deadline(CallId),
+        CallDeadline(CallId),
         /// A run takes longer than others.
         LateRun(RunId),
         /// Reports of suspects are due again.
-        Suspects,
+        CrashReports,
         /// The deadline of work for the own backend server.
-        Run(RunId),
+        RunDeadline(RunId),
         /// A call has waited for its slot for long enough.
-        Held(CallId),
+        HeldCallTimeout(CallId),
         /// A stopping node has waited long enough for its slots to be taken.
-        Handover,
+        HandoverTimeout,
         /// A stopping node takes no new requests any more.
-        Linger,
+        StopGracePeriod,
         /// A call is to be sent again over a new connection.
         Reattach(CallId),
     }
