--- a/crates/engine/src/fetch.rs
+++ b/crates/engine/src/fetch.rs
@@ -87,7 +87,7 @@
 
     fn waits_for_store(&self, now: Time) -> bool {
         let starts = self.cfg.shares_reads && !self.has_rules();
-        !self.log.down && !starts && self.reads_store(now)
+        !self.log.unreachable && !starts && self.reads_store(now)
     }
 
     fn is_in_own_domain(&self, addr: SocketAddr) -> bool {
@@ -126,8 +126,8 @@
     }
 
     pub(crate) fn on_log_unreachable(&mut self, now: Time) {
-        self.log.down = true;
-        if !self.log.ready {
+        self.log.unreachable = true;
+        if !self.log.synced {
             self.schedule_fetch(now, Duration::ZERO);
         }
     }
@@ -149,7 +149,7 @@
             self.fetch = FetchLink::default();
             return;
         }
-        let in_vain = self.fetch.asked >= MAX_ASKED && self.log.ready;
+        let in_vain = self.fetch.asked >= MAX_ASKED && self.log.synced;
         if in_vain {
             self.fetch = FetchLink::default();
             return;
@@ -165,7 +165,7 @@
             self.count(Counter::StateFetch);
             self.out.push(Output::FetchState { from, known });
         }
-        if !self.log.ready {
+        if !self.log.synced {
             let wait = INTERVAL.mul_f64(self.rng.random_range(0.5..1.0));
             self.schedule_fetch(now, wait);
         } else if self.cfg.shares_reads {
@@ -202,8 +202,8 @@
         };
         match change {
             Change::Restored => {
-                self.log.ready = true;
-                self.on_restored(now);
+                self.log.synced = true;
+                self.on_state_restored(now);
                 self.spread_progress(false);
                 // A node that leaves reading to others has all that there is.
                 if !self.cfg.shares_reads {
--- a/crates/engine/src/job.rs
+++ b/crates/engine/src/job.rs
@@ -1,8 +1,8 @@
 //! Work for the own backend server: what a job is, and what its run tells.
 
 use crate::operation_key::OperationKey;
+use crate::RequestToken;
 use crate::RunEnd;
-use crate::Token;
 use indexmap::IndexMap;
 use policy::RetryAllowance;
 use policy::WorkOutcome;
@@ -42,11 +42,11 @@
     pub(crate) calls_below: u16,
     /// The levels that its child calls met last, by operation. The highest that any met would be as
     /// old as the run.
-    pub(crate) met: IndexMap<OperationKey, u16>,
+    pub(crate) child_levels: IndexMap<OperationKey, u16>,
     /// Stands for the place in the call tree, as the scope of child keys.
-    pub(crate) path: Arc<str>,
+    pub(crate) child_key_scope: Arc<str>,
     /// Child calls of each kind so far.
-    pub(crate) children: IndexMap<(Arc<str>, Fingerprint), u32>,
+    pub(crate) child_counts: IndexMap<(Arc<str>, Fingerprint), u32>,
     /// What the whole action is for.
     pub(crate) class: Class,
     pub(crate) priority: u8,
@@ -54,11 +54,11 @@
     pub(crate) passed_level: u16,
     pub(crate) started: Option<Time>,
     /// The incarnation of the server that it was given to.
-    pub(crate) expect: Option<Arc<str>>,
+    pub(crate) expected_server: Option<Arc<str>>,
     /// Child calls in flight, since when there are any, and how long there were some.
-    pub(crate) waiting: Vec<Token>,
-    pub(crate) waiting_since: Time,
-    pub(crate) waited: Duration,
+    pub(crate) pending_children: Vec<RequestToken>,
+    pub(crate) children_pending_since: Time,
+    pub(crate) child_wait: Duration,
     pub(crate) request: Request,
 }
 
@@ -73,7 +73,7 @@
 
 impl Job {
     /// What a child call is for, and how urgent: a lookup that an order makes is part of the order.
-    pub(crate) fn standing_of_child(&self, own: &Operation) -> (Class, u8) {
+    pub(crate) fn child_class_and_priority(&self, own: &Operation) -> (Class, u8) {
         if own.class.is_protected() {
             (own.class, own.priority)
         } else {
@@ -81,11 +81,11 @@
         }
     }
 
-    pub(crate) fn child_began(&mut self, now: Time, child: Token) {
-        if self.waiting.is_empty() {
-            self.waiting_since = now;
+    pub(crate) fn on_child_started(&mut self, now: Time, child: RequestToken) {
+        if self.pending_children.is_empty() {
+            self.children_pending_since = now;
         }
-        self.waiting.push(child);
+        self.pending_children.push(child);
         self.calls_below = self.calls_below.saturating_add(1);
     }
 
@@ -97,10 +97,10 @@
         }
     }
 
-    pub(crate) fn child_ended(&mut self, now: Time, child: Token) {
-        self.waiting.retain(|waiting| *waiting != child);
-        if self.waiting.is_empty() {
-            self.waited += now.since(self.waiting_since);
+    pub(crate) fn on_child_ended(&mut self, now: Time, child: RequestToken) {
+        self.pending_children.retain(|pending| *pending != child);
+        if self.pending_children.is_empty() {
+            self.child_wait += now.since(self.children_pending_since);
         }
     }
 
--- a/crates/engine/src/quota.rs
+++ b/crates/engine/src/quota.rs
@@ -1,10 +1,10 @@
 //! The controller of quotas: who lends, and requests that wait for a token.
 
 use crate::request::Arrival;
-use crate::request::Refused;
+use crate::request::RefusedRequest;
 use crate::Engine;
 use crate::Output;
-use crate::Token;
+use crate::RequestToken;
 use indexmap::IndexMap;
 use organisation::group_of;
 use organisation::Borrower;
@@ -48,11 +48,11 @@
 
 /// What is lent and borrowed here.
 #[derive(Debug)]
-pub(crate) struct QuotaLink {
+pub(crate) struct QuotaController {
     pub(crate) borrower: Borrower,
     lender: Lender,
     /// Requests that wait for a token, the oldest first.
-    waiting: IndexMap<Token, (OrganisationId, Arrival)>,
+    waiting: IndexMap<RequestToken, (OrganisationId, Arrival)>,
     /// Organisations that were given tokens back, which may admit requests that wait.
     returned: Vec<OrganisationId>,
     /// The lender of each group, and the number of nodes that vote.
@@ -80,7 +80,7 @@
     }
 
     /// The peers have changed.
-    pub(crate) fn forget_election(&mut self) {
+    pub(crate) fn invalidate_election(&mut self) {
         self.elected_at = None;
     }
 }
@@ -92,7 +92,7 @@
     }
 
     /// New rules are in force.
-    pub(crate) fn set_quotas(&mut self) {
+    pub(crate) fn update_quotas(&mut self) {
         let organisations = self.journal.rules.organisations.as_ref();
         let quota_of = |id| organisations.and_then(|all| all.get(id)?.quota);
         let mut all = organisations.into_iter().flat_map(Organisations::iter);
@@ -291,7 +291,7 @@
     fn serve_waiting(&mut self, now: Time, id: OrganisationId) {
         let waiting = self.quota.waiting.iter();
         let waiting = waiting.filter(|(_, (organisation, _))| *organisation == id);
-        let tokens: Vec<Token> = waiting.map(|(token, _)| *token).collect();
+        let tokens: Vec<RequestToken> = waiting.map(|(token, _)| *token).collect();
         for token in tokens {
             match self.quota.borrower.try_spend_waiting(now, id) {
                 Some(credit) => {
@@ -331,7 +331,7 @@
     }
 
     /// Whether a request waited whose caller has gone.
-    pub(crate) fn stop_waiting_for_quota(&mut self, token: Token) -> bool {
+    pub(crate) fn cancel_quota_wait(&mut self, token: RequestToken) -> bool {
         let Some((organisation, _)) = self.quota.waiting.shift_remove(&token) else {
             return false;
         };
@@ -349,7 +349,7 @@
         }
     }
 
-    fn refuse_waiting(&mut self, token: Token) {
+    fn refuse_waiting(&mut self, token: RequestToken) {
         if let Some((organisation, arrival)) = self.quota.waiting.shift_remove(&token) {
             let reason = match self.quota.borrower.lender_was_short(organisation) {
                 true => Reason::QuotaExceeded,
@@ -365,7 +365,10 @@
             Reason::QuotaExceeded => RETRY_EXCEEDED.mul_f64(self.rng.random_range(1.0..2.0)),
             _ => RETRY_UNKNOWN,
         };
-        self.refuse_unopened(Refused::from(&arrival), Refusal::new(reason, retry_after));
+        self.refuse_unopened(
+            RefusedRequest::from(&arrival),
+            Refusal::new(reason, retry_after),
+        );
     }
 
     /// A node that stops lends no more, and says so to whoever asks.
--- a/crates/engine/src/request.rs
+++ b/crates/engine/src/request.rs
@@ -1,6 +1,6 @@
 //! A request from a caller or from the own backend server, as its entry holds it.
 
-use crate::Token;
+use crate::RequestToken;
 use organisation::Credit;
 use policy::RetryAllowance;
 use proto::ActionId;
@@ -17,7 +17,7 @@
 use stdx::Time;
 
 /// Stands for a caller and its request, whole.
-pub(crate) type Sent = u64;
+pub(crate) type RequestHash = u64;
 
 /// A request in flight at this node.
 #[derive(Debug)]
@@ -29,41 +29,41 @@
     /// The retries that the parent lent.
     pub(crate) lent: u16,
     /// The key that this node made.
-    pub(crate) made_key: Option<Arc<str>>,
+    pub(crate) generated_key: Option<Arc<str>>,
     pub(crate) operation: Operation,
     /// The token of its organisation's quota that it was admitted with.
     pub(crate) credit: Option<QuotaToken>,
     /// What was sent, for a request whose re-sends may wait for it.
-    pub(crate) sent: Option<Sent>,
+    pub(crate) request_hash: Option<RequestHash>,
     /// Requests that wait for this one's answer.
-    pub(crate) followers: Vec<Token>,
+    pub(crate) followers: Vec<RequestToken>,
 }
 
 /// A request as it came.
 #[derive(Debug)]
 pub(crate) struct Arrival {
-    pub(crate) token: Token,
+    pub(crate) token: RequestToken,
     pub(crate) at: Time,
     pub(crate) caller: Arc<str>,
-    pub(crate) parents: Parents,
+    pub(crate) parents: ParentInfo,
     pub(crate) key: Option<Arc<str>>,
     pub(crate) credential: Option<KeyDigest>,
-    pub(crate) patience: Option<Duration>,
+    pub(crate) caller_timeout: Option<Duration>,
     pub(crate) request: Request,
 }
 
 /// What is written down and answered of a request that is refused before it was opened.
 #[derive(Debug)]
-pub(crate) struct Refused {
-    pub(crate) token: Token,
+pub(crate) struct RefusedRequest {
+    pub(crate) token: RequestToken,
     pub(crate) request: Arc<str>,
     pub(crate) organisation: Arc<str>,
     /// Its caller sent an idempotency key.
     pub(crate) keyed: bool,
 }
 
-impl Refused {
-    pub(crate) fn new(token: Token, keyed: bool, request: &Request) -> Self {
+impl RefusedRequest {
+    pub(crate) fn new(token: RequestToken, keyed: bool, request: &Request) -> Self {
         Self {
             token,
             request: request.id.clone(),
@@ -73,7 +73,7 @@
     }
 }
 
-impl From<&Arrival> for Refused {
+impl From<&Arrival> for RefusedRequest {
     fn from(arrival: &Arrival) -> Self {
         Self::new(arrival.token, arrival.key.is_some(), &arrival.request)
     }
@@ -81,14 +81,14 @@
 
 /// What a request says of the run that it is part of.
 #[derive(Debug, Clone)]
-pub(crate) struct Parents {
+pub(crate) struct ParentInfo {
     pub(crate) context: Option<Arc<str>>,
     pub(crate) parent: Option<Arc<str>>,
 }
 
 /// What the filters have found out about a request.
-pub(crate) struct Draft {
-    pub(crate) token: Token,
+pub(crate) struct RequestDraft {
+    pub(crate) token: RequestToken,
     pub(crate) request: Request,
     pub(crate) operation: Operation,
     pub(crate) action: ActionId,
@@ -106,7 +106,7 @@
     pub(crate) key: Option<(KeyHash, Fingerprint)>,
     /// No attempt with this key can have been made before.
     pub(crate) fresh: bool,
-    pub(crate) made_key: Option<Arc<str>>,
+    pub(crate) generated_key: Option<Arc<str>>,
     /// Each attempt below counts as a retry.
     pub(crate) again: bool,
     pub(crate) credit: Option<QuotaToken>,
--- a/crates/engine/src/resends.rs
+++ b/crates/engine/src/resends.rs
@@ -6,12 +6,12 @@
 //! a share of first sends that the rules set. A call with a key is never counted: only the key's
 //! home knows whether it ran, and the caller may be asking just that.
 
-use crate::request::Draft;
-use crate::request::Sent;
+use crate::request::RequestDraft;
+use crate::request::RequestHash;
 use crate::Counter;
 use crate::Engine;
 use crate::Output;
-use crate::Token;
+use crate::RequestToken;
 use indexmap::IndexMap;
 use policy::BudgetConfig;
 use policy::ResendBudgets;
@@ -33,7 +33,7 @@
 /// Requests in flight and refused, by what was sent.
 #[derive(Debug)]
 pub(crate) struct Resends {
-    in_flight: IndexMap<Sent, Token>,
+    in_flight: IndexMap<RequestHash, RequestToken>,
     /// When a refused caller may come back.
     refused: BoundedMap<Sent, Time>,
     budgets: ResendBudgets,
@@ -48,22 +48,28 @@
         }
     }
 
-    pub(crate) fn sent(caller: &str, request: &Request) -> Sent {
+    pub(crate) fn hash_of(caller: &str, request: &Request) -> RequestHash {
         hash64(&(caller, request))
     }
 
     /// Notes how a request ended.
-    pub(crate) fn ended(&mut self, now: Time, sent: Sent, outcome: &Outcome) {
-        self.in_flight.swap_remove(&sent);
+    pub(crate) fn record_end(&mut self, now: Time, request_hash: RequestHash, outcome: &Outcome) {
+        self.in_flight.swap_remove(&request_hash);
         if let Outcome::NotRun(refusal) = outcome {
             let wait = std::time::Duration::from_millis(u64::from(refusal.retry_after_ms));
-            self.refused.insert(sent, now + wait);
+            self.refused.insert(request_hash, now + wait);
         }
     }
 
     /// Takes one from the ratio if the request comes back too early, and tells when it may.
-    fn draw(&mut self, now: Time, sent: Sent, service: &Arc<str>, ratio: f64) -> Option<Time> {
-        let not_before = self.refused.get(&sent).copied();
+    fn draw(
+        &mut self,
+        now: Time,
+        request_hash: RequestHash,
+        service: &Arc<str>,
+        ratio: f64,
+    ) -> Option<Time> {
+        let not_before = self.refused.get(&request_hash).copied();
         match not_before.filter(|at| now < *at) {
             Some(at) => Some(at).filter(|_| !self.budgets.try_withdraw(now, service)),
             None => {
@@ -80,41 +86,41 @@
         &mut self,
         now: Time,
         caller: &str,
-        mut draft: Draft,
-    ) -> Option<Draft> {
+        mut draft: RequestDraft,
+    ) -> Option<RequestDraft> {
         // Two non-idempotent requests without a key may be two orders, however alike they are.
         let alike = draft.operation.idempotent && draft.key.is_none();
         let counts = draft.parent.is_none() && alike;
         if !self.cfg.policy.resend_limit || !counts {
             return Some(draft);
         }
-        let sent = Resends::sent(caller, &draft.request);
-        if let Some(leader) = self.leader(sent, &draft) {
+        let request_hash = Resends::hash_of(caller, &draft.request);
+        if let Some(leader) = self.leader(request_hash, &draft) {
             self.follow(leader, draft);
             return None;
         }
         let service = &draft.request.service;
         let ratio = f64::from(self.journal.rules.resend_percent(service)) / 100.0;
-        if let Some(not_before) = self.resends.draw(now, sent, service, ratio) {
+        if let Some(not_before) = self.resends.draw(now, request_hash, service, ratio) {
             let refusal = Refusal::new(Reason::ResendLimit, now.until(not_before));
             self.refuse(draft.token, refusal);
             return None;
         }
-        self.resends.in_flight.insert(sent, draft.token);
-        draft.sent = Some(sent);
+        self.resends.in_flight.insert(request_hash, draft.token);
+        draft.request_hash = Some(request_hash);
         Some(draft)
     }
 
     /// The request in flight that is the same in every byte; a hash alone might be another's. Its
     /// answer must come before the re-send's own deadline.
-    fn leader(&self, sent: Sent, draft: &Draft) -> Option<Token> {
-        let token = self.resends.in_flight.get(&sent)?;
+    fn leader(&self, request_hash: RequestHash, draft: &RequestDraft) -> Option<RequestToken> {
+        let token = self.resends.in_flight.get(&request_hash)?;
         let call = self.calls.get(&self.open.get(token)?.call)?;
         let fits = call.request == draft.request && call.deadline <= draft.deadline;
         fits.then_some(*token)
     }
 
-    fn follow(&mut self, leader: Token, draft: Draft) {
+    fn follow(&mut self, leader: RequestToken, draft: RequestDraft) {
         let Some(open) = self.open.get_mut(&leader) else {
             return;
         };
@@ -129,7 +135,7 @@
 
     /// A caller has gone that waited for another request's answer, or for whose request others
     /// wait. Gives whether the work is still wanted.
-    pub(crate) fn unfollow(&mut self, token: Token) -> bool {
+    pub(crate) fn unfollow(&mut self, token: RequestToken) -> bool {
         if let Some(leader) = self.followers.swap_remove(&token) {
             if let Some(open) = self.open.get_mut(&leader) {
                 open.followers.retain(|follower| *follower != token);
@@ -138,7 +144,7 @@
             self.out.push(Output::Answer {
                 token,
                 outcome: Outcome::Unknown(Reason::CallerGone),
-                made_key: None,
+                generated_key: None,
             });
             return true;
         }
--- a/crates/engine/src/serve.rs
+++ b/crates/engine/src/serve.rs
@@ -7,9 +7,9 @@
 use crate::operation_key::operation_key;
 use crate::timers::Timer;
 use crate::Counter;
-use crate::Ending;
+use crate::Diagnostic;
 use crate::Engine;
-use crate::Note;
+use crate::OutcomeSummary;
 use crate::Output;
 use crate::RunEnd;
 use crate::ServerState;
@@ -39,14 +39,14 @@
 
 /// A call from another node that has no answer yet.
 #[derive(Debug)]
-pub(crate) struct Inbound {
+pub(crate) struct InboundCall {
     /// What it waits for.
-    pub(crate) work: Work,
+    pub(crate) work: InboundWork,
 }
 
 /// What an inbound call waits for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Work {
+pub(crate) enum InboundWork {
     /// A run of its own.
     Run(RunId),
     /// The run of a key, perhaps together with others.
@@ -75,12 +75,12 @@
         }
     }
 
-    fn serve(&mut self, now: Time, call: Call) {
+    fn on_serve_call(&mut self, now: Time, call: Call) {
         if self.stopping {
             let outcome = self.not_run(Reason::Draining);
             return self.answer_call(call.id, call.retry_allowance, outcome);
         }
-        if !self.server_is_open() {
+        if !self.server_accepts_work() {
             let outcome = self.not_run(Reason::Draining);
             return self.answer_call(call.id, call.retry_allowance, outcome);
         }
@@ -91,8 +91,8 @@
         let run = self.new_job(now, JobOwner::Call(id), call);
         self.inbound.insert(
             id,
-            Inbound {
-                work: Work::Run(run),
+            InboundCall {
+                work: InboundWork::Run(run),
             },
         );
         self.offer(now, run);
@@ -122,21 +122,21 @@
             late_at: None,
             cancelled: false,
             calls_below: 0,
-            met: IndexMap::new(),
-            path: child_scope(call.action, call.key.map(|(key, _)| key)),
-            children: IndexMap::new(),
+            child_levels: IndexMap::new(),
+            child_key_scope: child_key_scope(call.action, call.key.map(|(key, _)| key)),
+            child_counts: IndexMap::new(),
             class: call.class,
             priority: call.priority,
             passed_level: call.passed_level,
             started: None,
-            expect: None,
-            waiting: Vec::new(),
-            waiting_since: now,
-            waited: Duration::ZERO,
+            expected_server: None,
+            pending_children: Vec::new(),
+            children_pending_since: now,
+            child_wait: Duration::ZERO,
             request,
         };
         if !job.keyed {
-            self.timers.set(job.deadline, Timer::Run(run));
+            self.timers.set(job.deadline, Timer::RunDeadline(run));
         }
         if !job.request.id.is_empty() {
             self.jobs_by_id.insert(job.request.id.clone(), run);
@@ -175,7 +175,7 @@
                 self.server.on_refused_before_offer(now, ticket.class);
                 let refusal = shed(level, ticket.class, ticket.random_value);
                 if let Some(job) = self.jobs.get_mut(&run) {
-                    job.met
+                    job.child_levels
                         .extend(job.operation.clone().map(|own| (own, level)));
                 }
                 return self.after_offer(now, run, AdmissionDecision::Refused(refusal));
@@ -230,18 +230,18 @@
                 return self.end_job(now, run, self.not_run(reason));
             }
         };
-        let expect = self.expected_server();
+        let expected_server = self.expected_server();
         let Some(job) = self.jobs.get_mut(&run) else {
             return;
         };
         job.started = Some(now);
-        job.expect = expect.clone();
+        job.expected_server = expected_server.clone();
         let request = job.request.clone();
         let remaining = now.until(job.deadline);
         self.out.push(Output::Run {
             run,
             request,
-            expect,
+            expected_server,
             remaining,
             start_within,
         });
@@ -255,8 +255,8 @@
         };
         let (class, fingerprint) = (job.class, job.fingerprint);
         let cancelled = job.cancelled;
-        let expect = job.expect.clone();
-        let made_calls = matches!(job.owner, JobOwner::Key(_)) && !job.children.is_empty();
+        let expected_server = job.expected_server.clone();
+        let made_calls = matches!(job.owner, JobOwner::Key(_)) && !job.child_counts.is_empty();
         let ended = job.ended(now, &end);
         self.learn_run(now, run, ended);
         self.server.on_finished(now, class, ended);
@@ -274,7 +274,7 @@
             }
             RunEnd::NeverSent => self.not_run(Reason::ServerLost),
             RunEnd::Misdirected => {
-                self.on_misdirected(now, expect);
+                self.on_misdirected(now, expected_server);
                 self.not_run(Reason::Draining)
             }
             RunEnd::TimedOut => Outcome::Unknown(Reason::Deadline),
@@ -293,15 +293,15 @@
         let Some(job) = self.jobs.swap_remove(&run) else {
             return;
         };
-        self.timers.clear(job.deadline, Timer::Run(run));
+        self.timers.clear(job.deadline, Timer::RunDeadline(run));
         if let Some(at) = job.late_at {
             self.timers.clear(at, Timer::LateRun(run));
         }
-        self.out.push(Output::Note(Note::Ran {
+        self.out.push(Output::Diagnostic(Diagnostic::Ran {
             request: job.request.id.clone(),
             class: job.class,
             depth: job.depth,
-            ending: Ending::of(&outcome),
+            outcome: OutcomeSummary::of(&outcome),
             started: job.started.is_some(),
             left_ms: now.until(job.deadline).as_millis() as u64,
             server: self.server_state(),
@@ -328,9 +328,9 @@
             return;
         };
         match inbound.work {
-            Work::Run(run) => self.cancel_run(now, run),
-            Work::Key(key) => self.cancel_key(now, key, id),
-            Work::Held => self.cancel_held(id),
+            InboundWork::Run(run) => self.cancel_run(now, run),
+            InboundWork::Key(key) => self.cancel_key(now, key, id),
+            InboundWork::Held => self.cancel_held(id),
         }
     }
 
@@ -338,14 +338,14 @@
     /// its child calls would give.
     pub(crate) fn cancel_run(&mut self, now: Time, run: RunId) {
         if self.withdraw(run) {
-            return self.withdraw_job(now, run);
+            return self.end_withdrawn_job(now, run);
         }
         self.out.push(Output::CancelRun(run));
         let Some(job) = self.jobs.get_mut(&run) else {
             return;
         };
         job.cancelled = true;
-        for child in job.waiting.clone() {
+        for child in job.pending_children.clone() {
             self.on_caller_gone(now, child);
         }
     }
@@ -363,7 +363,7 @@
     }
 
     /// Ends a job that was taken out of the queue.
-    pub(crate) fn withdraw_job(&mut self, now: Time, run: RunId) {
+    pub(crate) fn end_withdrawn_job(&mut self, now: Time, run: RunId) {
         self.end_job(now, run, self.not_run(Reason::CallerGone));
     }
 
@@ -403,7 +403,7 @@
 }
 
 /// The scope of the keys of child calls: the same for every run of the same call of the action.
-fn child_scope(action: ActionId, key: Option<KeyHash>) -> Arc<str> {
+fn child_key_scope(action: ActionId, key: Option<KeyHash>) -> Arc<str> {
     match key {
         Some(key) => format!("{action}/{:032x}", key.0).into(),
         None => action.to_string().into(),
