--- a/crates/engine/src/calls.rs
+++ b/crates/engine/src/calls.rs
@@ -55,8 +55,8 @@
             calls_below: 0,
             attempts: 0,
             own_retries: match self.cfg.tree_retries {
-                TreeRetries::OfOperation => u16::MAX,
-                TreeRetries::ByCalls(_) => draft.operation.retries,
+                TreeRetries::PerOperation => u16::MAX,
+                TreeRetries::ScaledByCalls(_) => draft.operation.retries,
             },
             hop_retries: self.cfg.policy.hop_retries,
             earlier: None,
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -48,7 +48,7 @@
 
 /// How many entries the tables of what is in flight have.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Tables {
+pub struct TableSizes {
     /// Requests of callers and of the own backend server.
     pub requests: usize,
     /// Calls to nodes.
@@ -155,7 +155,7 @@
         let defaults = rules::Limit::default();
         let incarnation = me.incarnation;
         let mut members = Membership::new(cfg.membership.clone(), me.clone(), cfg.contacts.clone());
-        members.set_open(!cfg.announced);
+        members.set_open(!cfg.server_announces);
         Self {
             rng: StdRng::seed_from_u64(cfg.seed),
             journal: State::default(),
@@ -186,11 +186,11 @@
             admission: Admission::default(),
             resends: Resends::new(),
             suspects: Suspects::new(),
-            retries: Retries::new(cfg.retries, incarnation.0),
-            freshness: Freshness::new(cfg.revocation),
+            retries: Retries::new(cfg.retry_budget, incarnation.0),
+            freshness: Freshness::new(cfg.revocation_bound),
             leads: false,
             trusts_keys: false,
-            quota: QuotaLink::new(cfg.quotas),
+            quota: QuotaLink::new(cfg.quota_bounds),
             held: HeldCalls::new(),
             handover_ends: None,
             timers: Timers::default(),
@@ -325,8 +325,8 @@
     }
 
     /// How much is in flight.
-    pub fn tables(&self) -> Tables {
-        Tables {
+    pub fn table_sizes(&self) -> TableSizes {
+        TableSizes {
             requests: self.open.len(),
             calls: self.calls.len(),
             inbound: self.inbound.len(),
@@ -376,7 +376,7 @@
             // The shell answers the frames that are about the connection itself.
             frame => {
                 if !self.on_home_frame(now, from, frame) {
-                    self.count(Counter::Unexpected);
+                    self.count(Counter::UnexpectedMessage);
                 }
             }
         }
@@ -406,7 +406,7 @@
     pub(crate) fn on_stop(&mut self, now: Time) {
         self.stopping = true;
         self.closed_at = now + CLOSE_AFTER;
-        self.lingers_until = now + self.cfg.linger;
+        self.lingers_until = now + self.cfg.stop_grace_period;
         self.timers.set(self.lingers_until, Timer::Linger);
         self.leave_home(now);
         self.resign_lender(now);
--- a/crates/engine/src/entry.rs
+++ b/crates/engine/src/entry.rs
@@ -9,7 +9,7 @@
 use crate::request::Refused;
 use crate::Counter;
 use crate::Engine;
-use crate::Keyless;
+use crate::KeylessCalls;
 use crate::Note;
 use crate::Output;
 use crate::Token;
@@ -141,7 +141,7 @@
         if !self.has_rules() {
             return Err(Reason::NoRules);
         }
-        if self.open.len() >= self.cfg.max_calls {
+        if self.open.len() >= self.cfg.max_open_requests {
             return Err(Reason::TableFull);
         }
         let rules = &self.journal.rules;
@@ -246,7 +246,7 @@
     /// The retries of an action that begins with this operation.
     fn tree_retries(&self, operation: &Operation) -> u16 {
         match self.cfg.tree_retries {
-            TreeRetries::ByCalls(calls_each) if operation.retries > 0 => {
+            TreeRetries::ScaledByCalls(calls_each) if operation.retries > 0 => {
                 let calls = self.admission.calls_below(&operation_key(operation));
                 operation.retries + calls.div_ceil(calls_each.max(1))
             }
@@ -266,7 +266,7 @@
         }
         if key
             .as_ref()
-            .is_some_and(|key| key.is_empty() || key.len() > self.cfg.max_key)
+            .is_some_and(|key| key.is_empty() || key.len() > self.cfg.max_key_len)
         {
             return Err(Reason::BadKey);
         }
@@ -274,7 +274,8 @@
         let service = draft.request.service.clone();
         // A keyed run may be asked for again, and its second attempt must not make new children.
         let parent_keyed = draft.parent.is_some_and(|run| self.is_first_run(run));
-        if key.is_none() && !parent_keyed && self.cfg.keyless == Keyless::Own {
+        if key.is_none() && !parent_keyed && self.cfg.keyless_calls == KeylessCalls::OwnedByIngress
+        {
             return Ok(draft);
         }
         let key = match (draft.parent, key) {
@@ -398,7 +399,7 @@
             });
         }
         self.count(match &outcome {
-            Outcome::Whole(_) => Counter::Whole(open.operation.class),
+            Outcome::Whole(_) => Counter::Completed(open.operation.class),
             Outcome::NotRun(refusal) => Counter::NotRun(refusal.reason),
             Outcome::Unknown(reason) => Counter::Unknown(*reason),
         });
--- a/crates/engine/src/fetch.rs
+++ b/crates/engine/src/fetch.rs
@@ -53,14 +53,14 @@
 
 impl Engine {
     /// This node's state for a peer that knows so much; nothing if this node knows no more itself.
-    pub fn state_beyond(&self, theirs: Progress) -> Option<Bytes> {
+    pub fn state_newer_than(&self, theirs: Progress) -> Option<Bytes> {
         let has_more = self.log.ready && self.journal.progress().has_more_than(theirs);
         has_more.then(|| Bytes::from(proto::encode(&self.journal)))
     }
 
     /// Whether this node reads the store, or leaves that to others and hears of what is new from them.
     pub fn reads_store(&self, now: Time) -> bool {
-        !self.cfg.shares_reads || !self.has_rules() || self.members.watches_store(now)
+        !self.cfg.shared_store_reads || !self.has_rules() || self.members.watches_store(now)
     }
 
     /// A peer says how much it knows.
@@ -87,7 +87,7 @@
     }
 
     fn waits_for_store(&self, now: Time) -> bool {
-        let starts = self.cfg.shares_reads && !self.has_rules();
+        let starts = self.cfg.shared_store_reads && !self.has_rules();
         !self.log.down && !starts && self.reads_store(now)
     }
 
@@ -100,7 +100,7 @@
     /// old and new rules would stand side by side for long. One that has it from the store tells its
     /// whole failure domain, which leaves reading to it; all tell a few, wherever they are.
     pub(crate) fn spread_progress(&mut self, from_store: bool) {
-        let whole_domain = from_store && self.cfg.shares_reads;
+        let whole_domain = from_store && self.cfg.shared_store_reads;
         let others = self.members.peers();
         let others = others.filter(|peer| peer.state != PeerState::Dead);
         let (mut told, mut rest) = (Vec::new(), Vec::new());
@@ -169,7 +169,7 @@
         if !self.log.ready {
             let wait = INTERVAL.mul_f64(self.rng.random_range(0.5..1.0));
             self.schedule_fetch(now, wait);
-        } else if self.cfg.shares_reads {
+        } else if self.cfg.shared_store_reads {
             self.schedule_fetch(now, ASK_AGAIN);
             if self.fetch.asked > ASKED_IN_VAIN {
                 self.out.push(Output::ReadLog);
@@ -195,7 +195,7 @@
         Some(addrs[index])
     }
 
-    /// A peer's state, as [`Engine::state_beyond`] gave it there.
+    /// A peer's state, as [`Engine::state_newer_than`] gave it there.
     pub(crate) fn on_peer_state(&mut self, now: Time, state: &[u8]) {
         let change = match proto::decode(state) {
             Ok(state) => self.journal.adopt_with(state, self.cfg.parse_rules),
@@ -207,11 +207,11 @@
                 self.on_restored(now);
                 self.spread_progress(false);
                 // A node that leaves reading to others has all that there is.
-                if !self.cfg.shares_reads {
+                if !self.cfg.shared_store_reads {
                     self.out.push(Output::ReadLog);
                 }
             }
-            Change::Broken => self.count(Counter::BrokenRecord),
+            Change::Broken => self.count(Counter::MalformedRecord),
             _ => {}
         }
     }
--- a/crates/engine/src/freshness.rs
+++ b/crates/engine/src/freshness.rs
@@ -20,7 +20,7 @@
 impl Engine {
     /// Evidence is needed only where a key can be revoked.
     fn needs_freshness(&self) -> bool {
-        self.cfg.revocation.is_some() && self.journal.rules.organisations.is_some()
+        self.cfg.revocation_bound.is_some() && self.journal.rules.organisations.is_some()
     }
 
     pub(crate) fn next_freshness_timer(&self) -> Option<Time> {
--- a/crates/engine/src/gauges.rs
+++ b/crates/engine/src/gauges.rs
@@ -25,7 +25,7 @@
     /// assert!(engine.gauges(stdx::Time::ZERO).contains(&("requests", 0)));
     /// ```
     pub fn gauges(&self, now: Time) -> Vec<Gauge> {
-        let tables = self.tables();
+        let tables = self.table_sizes();
         let load = self.load_report();
         vec![
             ("requests", tables.requests as u64),
--- a/crates/engine/src/hedge.rs
+++ b/crates/engine/src/hedge.rs
@@ -106,7 +106,7 @@
             self.selector.on_ended(earlier.target.incarnation);
             return true;
         }
-        self.count(Counter::LateAnswerFirst);
+        self.count(Counter::OriginalAnsweredFirst);
         if let Some(call) = self.take_call(later) {
             self.send(&call.target, Frame::Cancel(later));
             self.await_earlier(call, earlier);
--- a/crates/engine/src/homes.rs
+++ b/crates/engine/src/homes.rs
@@ -61,7 +61,7 @@
             Begin::Start => self.start_key(now, key, call),
             Begin::Attach => self.attach(key, id),
             Begin::Done(response) => {
-                self.count(Counter::Replayed);
+                self.count(Counter::ResponseReplayed);
                 self.answer_call(id, allowance, Outcome::Whole(response));
             }
             Begin::NotRun(reason) => self.answer_call(id, allowance, self.not_run(reason)),
@@ -95,7 +95,7 @@
         });
         work.waiting.push(id);
         self.wait_for_key(key, id);
-        self.count(Counter::Attached);
+        self.count(Counter::ResendAttached);
     }
 
     fn wait_for_key(&mut self, key: KeyHash, id: CallId) {
@@ -251,7 +251,7 @@
             return self.apply_home(now, effects);
         };
         for view in missed {
-            self.count(Counter::ViewTaken);
+            self.count(Counter::ViewApplied);
             let effects = self.home.on_view(now, &view);
             self.apply_home(now, effects);
         }
@@ -270,7 +270,7 @@
             return true;
         }
         let ends = *self.handover_ends.get_or_insert_with(|| {
-            let ends = now + self.cfg.leave_patience;
+            let ends = now + self.cfg.leave_timeout;
             self.timers.set(ends, Timer::Handover);
             ends
         });
@@ -307,7 +307,7 @@
             Effect::Expelled => self.expel(now),
             Effect::Fault(fault) => {
                 debug_assert!(false, "{fault:?}");
-                self.count(Counter::Fault);
+                self.count(Counter::InvariantViolated);
             }
         }
     }
--- a/crates/engine/src/io.rs
+++ b/crates/engine/src/io.rs
@@ -247,7 +247,7 @@
         /// Keys and values.
         entries: Vec<Entry>,
     },
-    /// Ask a node for [`crate::Engine::state_beyond`]; ends with an [`Input::PeerState`] if it has
+    /// Ask a node for [`crate::Engine::state_newer_than`]; ends with an [`Input::PeerState`] if it has
     /// any. No answer is no fault.
     FetchState {
         /// Its address.
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -38,12 +38,12 @@
 mod timers;
 
 pub use config::Config;
-pub use config::Keyless;
+pub use config::KeylessCalls;
 pub use config::TreeRetries;
 pub use counter::Counter;
 pub use counter::LinkEvent;
 pub use engine::Engine;
-pub use engine::Tables;
+pub use engine::TableSizes;
 pub use gauges::Gauge;
 pub use io::Announcement;
 pub use io::Heartbeat;
--- a/crates/engine/src/log.rs
+++ b/crates/engine/src/log.rs
@@ -76,7 +76,7 @@
         for (offset, value) in records {
             match self.journal.apply(offset, &value) {
                 Change::Nothing | Change::Old | Change::Restored => {}
-                Change::Broken => self.count(Counter::BrokenRecord),
+                Change::Broken => self.count(Counter::MalformedRecord),
                 Change::Rules => {
                     self.count(Counter::RulesInForce);
                     self.on_rules(now);
@@ -113,10 +113,10 @@
         let rules_back = newest.version < self.journal.version;
         let views_back = newest.next < self.journal.next;
         if rules_back || views_back {
-            return self.count(Counter::BrokenRecord);
+            return self.count(Counter::MalformedRecord);
         }
         self.journal = newest;
-        self.count(Counter::Restored);
+        self.count(Counter::StateRestored);
         self.on_rules(now);
         if let Some(view) = self.journal.view(&self.me.service).cloned() {
             let effects = self.home.on_baseline(now, &view);
@@ -160,13 +160,13 @@
                 self.on_rules(now);
                 self.spread_progress(true);
             }
-            Change::Broken => self.count(Counter::RejectedPublication),
+            Change::Broken => self.count(Counter::PublicationRejected),
             _ => {}
         }
     }
 
     pub(crate) fn on_restored(&mut self, now: Time) {
-        self.count(Counter::Restored);
+        self.count(Counter::StateRestored);
         self.on_rules(now);
         // Views before the one in the state may have been missed.
         self.update_home(now);
@@ -206,7 +206,7 @@
             return;
         }
         if !self.log.appends.has_room(key) {
-            return self.count(Counter::AppendLeftOut);
+            return self.count(Counter::AppendDropped);
         }
         self.log.appends.push(key);
     }
@@ -239,7 +239,7 @@
             self.log.give_up = None;
             if !self.log.left() {
                 self.log.appends.remove(AppendKey::Leave);
-                self.count(Counter::LeaveUnsaid);
+                self.count(Counter::LeaveNotAppended);
             }
         }
         let due = self.log.appends.next_due();
@@ -298,7 +298,7 @@
         };
         self.count(Counter::AppendLost);
         let doublings = attempts.saturating_sub(1).min(MAX_DOUBLINGS);
-        let wait = self.cfg.append_retry * (1 << doublings);
+        let wait = self.cfg.append_retry_delay * (1 << doublings);
         let wait = wait
             .min(MAX_APPEND_RETRY)
             .mul_f64(self.rng.random_range(0.5..1.0));
@@ -315,7 +315,7 @@
             self.append(AppendKey::Leave);
             // In an outage of the log a stop would never end. The views go on naming this node
             // then, until another one evicts it.
-            self.log.give_up = Some(now + self.cfg.leave_patience);
+            self.log.give_up = Some(now + self.cfg.leave_timeout);
         }
     }
 
--- a/crates/engine/src/members.rs
+++ b/crates/engine/src/members.rs
@@ -112,7 +112,7 @@
                 let instance = peer.instance.clone();
                 self.send(&instance, frame);
             }
-            None => self.count(Counter::Unexpected),
+            None => self.count(Counter::UnexpectedMessage),
         }
     }
 
@@ -139,7 +139,7 @@
                     }
                 }
                 Effect::Evict(incarnation) => {
-                    self.count(Counter::EvictionAsked);
+                    self.count(Counter::EvictionRequested);
                     self.append(AppendKey::Evict(incarnation));
                 }
                 Effect::TableFull => self.count(Counter::PeerTableFull),
--- a/crates/engine/src/own_server.rs
+++ b/crates/engine/src/own_server.rs
@@ -63,7 +63,7 @@
 
     fn on_heartbeat(&mut self, now: Time, heartbeat: Heartbeat) {
         if heartbeat.service != self.me.service {
-            return self.count(Counter::StrangeServer);
+            return self.count(Counter::WrongServiceHeartbeat);
         }
         match &mut self.own_server {
             Some(known) if !known.is_overtaken_by(&heartbeat) => {
@@ -175,7 +175,7 @@
 
     /// Whether the own backend server may be given new work.
     pub(crate) fn server_is_open(&self) -> bool {
-        !self.cfg.announced || self.own_server.as_ref().is_some_and(OwnServer::is_open)
+        !self.cfg.server_announces || self.own_server.as_ref().is_some_and(OwnServer::is_open)
     }
 
     /// The incarnation that work is meant for. The address may belong to another server by now,
--- a/crates/engine/src/quarantine.rs
+++ b/crates/engine/src/quarantine.rs
@@ -124,7 +124,7 @@
         let Some(crashes) = crashes.filter(|_| self.suspects.may_report(now)) else {
             return;
         };
-        self.count(Counter::Suspected);
+        self.count(Counter::CrashSuspect);
         self.report_suspect(request, crashes);
         for wait in REPEATS {
             let at = now + wait;
--- a/crates/engine/src/resends.rs
+++ b/crates/engine/src/resends.rs
@@ -124,7 +124,7 @@
         }
         open.followers.push(draft.token);
         self.followers.insert(draft.token, leader);
-        self.count(Counter::Attached);
+        self.count(Counter::ResendAttached);
     }
 
     /// A caller has gone that waited for another request's answer, or for whose request others
--- a/crates/engine/src/serve.rs
+++ b/crates/engine/src/serve.rs
@@ -250,7 +250,7 @@
 
     pub(crate) fn on_run_ended(&mut self, now: Time, run: RunId, end: RunEnd) {
         let Some(job) = self.jobs.get(&run) else {
-            return self.count(Counter::Unexpected);
+            return self.count(Counter::UnexpectedMessage);
         };
         let (class, fingerprint) = (job.class, job.fingerprint);
         let cancelled = job.cancelled;
--- a/crates/engine/tests/announced.rs
+++ b/crates/engine/tests/announced.rs
@@ -5,7 +5,7 @@
 use bilberry_engine::Engine;
 use bilberry_engine::Heartbeat;
 use bilberry_engine::Input;
-use bilberry_engine::Keyless;
+use bilberry_engine::KeylessCalls;
 use bilberry_engine::Output;
 use bilberry_engine::RunEnd;
 use bilberry_engine::Token;
@@ -86,8 +86,8 @@
     };
     let cfg = Config {
         parse_rules,
-        keyless: Keyless::Own,
-        announced: true,
+        keyless_calls: KeylessCalls::OwnedByIngress,
+        server_announces: true,
         ..Config::default()
     };
     Engine::new(cfg, me)
--- a/crates/engine/tests/load.rs
+++ b/crates/engine/tests/load.rs
@@ -314,7 +314,7 @@
 /// An entry whose lookups make twelve calls below, by what their last run told.
 fn entry_of_trees() -> Entry {
     let mut entry = Entry::with_config(Config {
-        tree_retries: TreeRetries::ByCalls(6),
+        tree_retries: TreeRetries::ScaledByCalls(6),
         ..Config::default()
     });
     for (offset, n) in [(4, 4), (5, 5)] {
--- a/crates/engine/tests/log/appends.rs
+++ b/crates/engine/tests/log/appends.rs
@@ -36,7 +36,7 @@
     let mut d = Driver::new();
     d.show(&Record::Join(instance(1)));
     d.feed(Input::Stop);
-    let end = d.now + Config::default().leave_patience;
+    let end = d.now + Config::default().leave_timeout;
     while d.now < end {
         assert!(!d.stopped);
         for (number, record) in d.appended() {
@@ -46,7 +46,7 @@
         d.pass(Duration::from_millis(500));
     }
     assert!(d.stopped);
-    assert_eq!(d.count(Counter::LeaveUnsaid), 1);
+    assert_eq!(d.count(Counter::LeaveNotAppended), 1);
     assert_eq!(d.engine.next_timer().filter(|due| *due <= d.now), None);
 }
 
--- a/crates/engine/tests/log/newest.rs
+++ b/crates/engine/tests/log/newest.rs
@@ -37,7 +37,7 @@
     newest(&mut d, values(&old, 100), 120);
     assert_eq!(d.engine.next_offset(), 120);
     assert_eq!(d.engine.journal().instances().count(), 3);
-    assert_eq!(d.count(Counter::ViewTaken), 3);
+    assert_eq!(d.count(Counter::ViewApplied), 3);
     assert_eq!(d.one_append().1, Record::Join(instance(1)));
 }
 
--- a/crates/engine/tests/log/outage.rs
+++ b/crates/engine/tests/log/outage.rs
@@ -90,7 +90,7 @@
     assert_eq!(refusal(&mut d), Some(Reason::NoRules));
     assert_eq!(d.fetches, [(instance(2).addr, Progress::default())]);
 
-    let state = peer.engine.state_beyond(Progress::default()).unwrap();
+    let state = peer.engine.state_newer_than(Progress::default()).unwrap();
     d.feed(Input::PeerState(state));
     assert_eq!(d.engine.rules_version(), 3);
     assert!(!d.engine.is_listed());
@@ -131,7 +131,9 @@
     d.pass(Duration::from_secs(1));
     let known = d.engine.journal().progress();
     assert_eq!(d.fetches, [(instance(2).addr, known)]);
-    d.feed(Input::PeerState(peer.engine.state_beyond(known).unwrap()));
+    d.feed(Input::PeerState(
+        peer.engine.state_newer_than(known).unwrap(),
+    ));
     assert_eq!(d.engine.rules_version(), 2);
 
     // In an outage that it knows of, it does not wait.
@@ -146,14 +148,14 @@
 fn a_stale_state_is_refused() {
     let old = reader(2, 1)
         .engine
-        .state_beyond(Progress::default())
+        .state_newer_than(Progress::default())
         .unwrap();
     let mut d = reader(1, 2);
     d.feed(Input::PeerState(old.slice(..old.len() / 2)));
     d.feed(Input::PeerState(old));
     assert_eq!(d.engine.rules_version(), 2);
-    assert_eq!(d.count(Counter::BrokenRecord), 1);
-    assert_eq!(d.count(Counter::Restored), 0);
+    assert_eq!(d.count(Counter::MalformedRecord), 1);
+    assert_eq!(d.count(Counter::StateRestored), 0);
 }
 
 /// The store answers some nodes and not others while instances come and go. A node that took only the
@@ -167,7 +169,9 @@
     for n in 3..6 {
         peer.show(&Record::Join(instance(n)));
     }
-    d.feed(Input::PeerState(peer.engine.state_beyond(known).unwrap()));
+    d.feed(Input::PeerState(
+        peer.engine.state_newer_than(known).unwrap(),
+    ));
     assert_eq!(d.engine.next_offset(), peer.engine.next_offset());
     d.pass(Duration::from_secs(60));
     assert_eq!(d.count(Counter::Expelled), 0);
--- a/crates/engine/tests/log/shared_reads.rs
+++ b/crates/engine/tests/log/shared_reads.rs
@@ -29,7 +29,7 @@
         ..instance(node as u16 + 1)
     };
     let cfg = || Config {
-        shares_reads: true,
+        shared_store_reads: true,
         ..Config::default()
     };
     let mut fleet = Fleet::of((0..nodes).map(member).collect(), cfg);
--- a/crates/engine/tests/log/spread.rs
+++ b/crates/engine/tests/log/spread.rs
@@ -104,7 +104,7 @@
                 Output::FetchState { from, known } => {
                     self.fetches += 1;
                     let peer = usize::from(from.port()) - 7001;
-                    let state = self.engines[peer].state_beyond(known);
+                    let state = self.engines[peer].state_newer_than(known);
                     if let Some(state) = state.filter(|_| self.reaches(node, peer)) {
                         self.post(node, LATENCY * 4, Input::PeerState(state));
                     }
--- a/crates/engine/tests/organisations.rs
+++ b/crates/engine/tests/organisations.rs
@@ -5,7 +5,7 @@
 use bilberry_engine::Engine;
 use bilberry_engine::Heartbeat;
 use bilberry_engine::Input;
-use bilberry_engine::Keyless;
+use bilberry_engine::KeylessCalls;
 use bilberry_engine::Output;
 use bilberry_engine::RunEnd;
 use bilberry_engine::Token;
@@ -58,9 +58,9 @@
             addr: ([127, 0, 0, 1], 7001).into(),
         };
         let cfg = Config {
-            keyless: Keyless::Own,
-            announced: true,
-            revocation: Some(BOUND),
+            keyless_calls: KeylessCalls::OwnedByIngress,
+            server_announces: true,
+            revocation_bound: Some(BOUND),
             ..Config::default()
         };
         let mut driver = Self {
--- a/crates/node/src/attached.rs
+++ b/crates/node/src/attached.rs
@@ -17,7 +17,7 @@
 use engine::Config;
 use engine::Counter;
 use engine::Input;
-use engine::Keyless;
+use engine::KeylessCalls;
 use engine::TreeRetries;
 use platform::ConfigError;
 use platform::Item;
@@ -69,11 +69,11 @@
 /// Sets what differs on the platform.
 pub(crate) fn configure(cfg: &mut Config) {
     cfg.parse_rules = |text| platform::parse_rules(text).ok();
-    cfg.keyless = Keyless::Own;
-    cfg.announced = true;
-    cfg.shares_reads = true;
-    cfg.tree_retries = TreeRetries::ByCalls(CALLS_FOR_A_RETRY);
-    cfg.linger = LINGER;
+    cfg.keyless_calls = KeylessCalls::OwnedByIngress;
+    cfg.server_announces = true;
+    cfg.shared_store_reads = true;
+    cfg.tree_retries = TreeRetries::ScaledByCalls(CALLS_FOR_A_RETRY);
+    cfg.stop_grace_period = LINGER;
     // The servers tell their slots, and work beyond those waits inside them. A limit that is guessed
     // from times went down to 2 of 14 slots where one class had work of 55 and of 180 ms.
     cfg.policy.adaptive_limit = false;
@@ -219,7 +219,7 @@
             Ok((version, file)) => shell.feed(Input::Published { version, file }),
             Err(e) => {
                 log::warn!("event=config_refused error=\"{e}\"");
-                shell.count(Counter::RejectedPublication);
+                shell.count(Counter::PublicationRejected);
             }
         }
     }
@@ -320,7 +320,7 @@
         Err(e) => {
             let path = req.path();
             log::warn!("event=heartbeat_refused path={path} error=\"{e}\"");
-            shell.count(Counter::StrangeServer);
+            shell.count(Counter::WrongServiceHeartbeat);
             Err(Reason::BadRequest)
         }
     }
--- a/crates/node/src/events.rs
+++ b/crates/node/src/events.rs
@@ -83,12 +83,12 @@
     let journal = engine.journal();
     match counter {
         Counter::RulesInForce => log::info!("event=rules_in_force version={}", journal.version),
-        Counter::Restored => log::info!(
+        Counter::StateRestored => log::info!(
             "event=state_restored version={} next_offset={}",
             journal.version,
             journal.next
         ),
-        Counter::ViewTaken => {
+        Counter::ViewApplied => {
             let view = journal.view(&shell.me.service);
             log::info!(
                 "event=view_taken number={} members={} listed={}",
@@ -97,12 +97,12 @@
                 engine.is_listed()
             );
         }
-        Counter::RejectedPublication => log::info!("event=publication_rejected"),
-        Counter::BrokenRecord => log::warn!("event=broken_record"),
+        Counter::PublicationRejected => log::info!("event=publication_rejected"),
+        Counter::MalformedRecord => log::warn!("event=broken_record"),
         Counter::Expelled => log::warn!("event=evicted"),
-        Counter::LeaveUnsaid => log::warn!("event=leave_unsaid"),
+        Counter::LeaveNotAppended => log::warn!("event=leave_unsaid"),
         Counter::LateHeartbeat => log::info!("event=late_heartbeat"),
-        Counter::StrangeServer => log::warn!("event=strange_heartbeat"),
+        Counter::WrongServiceHeartbeat => log::warn!("event=strange_heartbeat"),
         _ => {}
     }
 }
--- a/crates/node/src/fetch.rs
+++ b/crates/node/src/fetch.rs
@@ -48,9 +48,11 @@
 /// Answers one question; a node that knows nothing newer just closes.
 pub(crate) async fn answer(shell: &Shell, wire: &mut Wire) {
     let answer = match timeout(PATIENCE, wire::read(wire)).await {
-        Ok(Ok(Frame::FetchState(known))) => {
-            shell.engine.borrow().state_beyond(known).map(Frame::State)
-        }
+        Ok(Ok(Frame::FetchState(known))) => shell
+            .engine
+            .borrow()
+            .state_newer_than(known)
+            .map(Frame::State),
         Ok(Ok(Frame::FetchStatus)) => Some(Frame::Status(shell.status().into())),
         _ => return shell.count_broken(),
     };
--- a/crates/node/src/link.rs
+++ b/crates/node/src/link.rs
@@ -237,7 +237,7 @@
                 return LinkEnd::Broken;
             }
             Err(ReadError::Malformed) => {
-                shell.count(Counter::Link(LinkEvent::BrokenFrame));
+                shell.count(Counter::Link(LinkEvent::MalformedFrame));
                 return LinkEnd::Broken;
             }
         };
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -254,7 +254,7 @@
             return shell.count(Counter::Link(LinkEvent::FrameTooLarge));
         }
         Ok(Ok(_) | Err(ReadError::Malformed)) => {
-            return shell.count(Counter::Link(LinkEvent::BrokenFrame));
+            return shell.count(Counter::Link(LinkEvent::MalformedFrame));
         }
         // Whoever connects and says nothing is no peer.
         Err(_) | Ok(Err(ReadError::Closed)) => {
--- a/crates/node/src/shell.rs
+++ b/crates/node/src/shell.rs
@@ -172,9 +172,9 @@
         seed,
         contacts: settings.contacts.clone(),
         policy: settings.switches,
-        retries: within(settings.retries),
-        revocation: settings.revocation,
-        quotas: settings.quotas,
+        retry_budget: within(settings.retries),
+        revocation_bound: settings.revocation,
+        quota_bounds: settings.quotas,
         ..Config::default()
     };
     if settings.platform.is_some() {
@@ -300,7 +300,7 @@
 
     /// Counts bytes from outside that are no message.
     pub(crate) fn count_broken(&self) {
-        self.count(Counter::Unexpected);
+        self.count(Counter::UnexpectedMessage);
     }
 
     /// Enters a request; the receiver gets its answer.
--- a/crates/node/src/udp.rs
+++ b/crates/node/src/udp.rs
@@ -22,7 +22,7 @@
         add(&shell.metrics.bytes.datagrams_in, len);
         match proto::decode(&buf[..len]) {
             Ok(datagram) => shell.feed(Input::Datagram { from, datagram }),
-            Err(_) => shell.count(Counter::Link(LinkEvent::BrokenDatagram)),
+            Err(_) => shell.count(Counter::Link(LinkEvent::MalformedDatagram)),
         }
     }
 }
--- a/crates/trial/src/net.rs
+++ b/crates/trial/src/net.rs
@@ -359,7 +359,7 @@
         let back = self.travel(target, node);
         self.after_in(target, there, move |world| {
             let engine = world.nodes[target].engine.as_ref();
-            let Some(state) = engine.and_then(|engine| engine.state_beyond(known)) else {
+            let Some(state) = engine.and_then(|engine| engine.state_newer_than(known)) else {
                 return;
             };
             world.after_in(node, back, move |world| {
--- a/crates/trial/src/node.rs
+++ b/crates/trial/src/node.rs
@@ -104,7 +104,7 @@
         let Some(engine) = &self.engine else {
             return write!(f, " not running");
         };
-        let (journal, tables) = (engine.journal(), engine.tables());
+        let (journal, tables) = (engine.journal(), engine.table_sizes());
         let view = journal.view(&self.me.service);
         let members = view.map(|view| {
             view.members
--- a/crates/trial/src/plan.rs
+++ b/crates/trial/src/plan.rs
@@ -221,8 +221,8 @@
             let tables = self.nodes[node]
                 .engine
                 .as_ref()
-                .map(|engine| engine.tables());
-            if tables.is_some_and(|tables| tables != engine::Tables::default()) {
+                .map(|engine| engine.table_sizes());
+            if tables.is_some_and(|tables| tables != engine::TableSizes::default()) {
                 let name = self.nodes[node].name.clone();
                 self.violation(&format!("{name} leaks: {tables:?}"));
             }
