--- a/crates/engine/src/admission.rs
+++ b/crates/engine/src/admission.rs
@@ -20,37 +20,37 @@
 use stdx::Time;
 
 /// Instances and operations whose levels are kept.
-const LEVELS_KEPT: usize = 2048;
+const MAX_TRACKED_LEVELS: usize = 2048;
 
 /// Levels heard of.
 #[derive(Debug)]
-pub(crate) struct Admission {
+pub(crate) struct AdmissionLevels {
     /// By instance, from its own answers.
     instances: Bounded<Incarnation, Heard>,
     /// By operation, of the services below it.
-    paths: Bounded<OperationKey, Path>,
+    operations: Bounded<OperationKey, OperationStats>,
     ranks: Ranks,
 }
 
 /// What lies below an operation.
 #[derive(Debug)]
-struct Path {
-    level: Heard,
-    calls: u16,
-    runs: RunTimes,
+struct OperationStats {
+    level_below: Heard,
+    calls_below: u16,
+    run_times: RunTimes,
 }
 
-impl Default for Admission {
+impl Default for AdmissionLevels {
     fn default() -> Self {
         Self {
-            instances: Bounded::new(LEVELS_KEPT),
-            paths: Bounded::new(LEVELS_KEPT),
+            instances: Bounded::new(MAX_TRACKED_LEVELS),
+            operations: Bounded::new(MAX_TRACKED_LEVELS),
             ranks: Ranks::default(),
         }
     }
 }
 
-impl Admission {
+impl AdmissionLevels {
     /// Other rules are in force.
     pub(crate) fn set_ranks(&mut self, ranks: Ranks) {
         self.ranks = ranks;
@@ -63,7 +63,7 @@
     }
 
     /// An instance reports its own level.
-    pub(crate) fn hear_instance(&mut self, now: Time, from: Incarnation, level: u16) {
+    pub(crate) fn record_instance_level(&mut self, now: Time, from: Incarnation, level: u16) {
         if let Some(heard) = self.instances.get_mut(&from) {
             return heard.hear(now, level);
         }
@@ -73,54 +73,56 @@
     }
 
     /// A run of an operation that is still under way met a level below it.
-    pub(crate) fn hear_level(&mut self, now: Time, operation: &OperationKey, level: u16) {
-        self.path_of(now, operation).level.hear(now, level);
+    pub(crate) fn record_level_below(&mut self, now: Time, operation: &OperationKey, level: u16) {
+        self.stats_mut(now, operation).level_below.hear(now, level);
     }
 
     /// A run of an operation met something below it.
-    pub(crate) fn hear_path(&mut self, now: Time, operation: &OperationKey, below: Below) {
-        let path = self.path_of(now, operation);
-        path.level.hear(now, below.level);
-        path.calls = below.calls;
-    }
-
-    fn path_of(&mut self, now: Time, operation: &OperationKey) -> &mut Path {
-        if self.paths.get(operation).is_none() {
-            let path = Path {
-                level: Heard::new(now),
-                calls: 0,
-                runs: RunTimes::default(),
+    pub(crate) fn record_below(&mut self, now: Time, operation: &OperationKey, below: Below) {
+        let path = self.stats_mut(now, operation);
+        path.level_below.hear(now, below.level);
+        path.calls_below = below.calls;
+    }
+
+    fn stats_mut(&mut self, now: Time, operation: &OperationKey) -> &mut OperationStats {
+        if self.operations.get(operation).is_none() {
+            let path = OperationStats {
+                level_below: Heard::new(now),
+                calls_below: 0,
+                run_times: RunTimes::default(),
             };
-            self.paths.insert(operation.clone(), path);
+            self.operations.insert(operation.clone(), path);
         }
-        let path = self.paths.get_mut(operation);
+        let path = self.operations.get_mut(operation);
         path.expect("it was entered just now")
     }
 
-    fn instance(&self, now: Time, incarnation: Incarnation) -> u16 {
+    fn instance_level(&self, now: Time, incarnation: Incarnation) -> u16 {
         let heard = self.instances.get(&incarnation);
         heard.map_or(0, |heard| heard.get(now))
     }
 
     /// The level of the services below an operation.
-    pub(crate) fn path(&self, now: Time, operation: &OperationKey) -> u16 {
-        let path = self.paths.get(operation);
-        path.map_or(0, |path| path.level.get(now))
+    pub(crate) fn level_below(&self, now: Time, operation: &OperationKey) -> u16 {
+        let path = self.operations.get(operation);
+        path.map_or(0, |path| path.level_below.get(now))
     }
 
     /// A run of an operation on the own backend server took this long.
-    pub(crate) fn learn_run(&mut self, now: Time, operation: &OperationKey, took: Duration) {
-        self.path_of(now, operation).runs.learn(took);
+    pub(crate) fn record_run_time(&mut self, now: Time, operation: &OperationKey, took: Duration) {
+        self.stats_mut(now, operation).run_times.learn(took);
     }
 
     /// After how long such a run is late, if that is known.
     pub(crate) fn late_after(&self, operation: &OperationKey) -> Option<Duration> {
-        self.paths.get(operation)?.runs.late_after()
+        self.operations.get(operation)?.run_times.late_after()
     }
 
     /// The calls that the last run of an operation made.
     pub(crate) fn calls_below(&self, operation: &OperationKey) -> u16 {
-        self.paths.get(operation).map_or(0, |path| path.calls)
+        self.operations
+            .get(operation)
+            .map_or(0, |path| path.calls_below)
     }
 }
 
@@ -141,9 +143,9 @@
         // What its first hop admitted is not shed further down: the work done so far would be lost.
         let begins_here = call.depth == 0;
         let sheds = self.cfg.policy.levels && unknown && begins_here;
-        let path = self.admission.path(now, &call.operation);
+        let path = self.admission.level_below(now, &call.operation);
         if sheds && value < path {
-            return Err(shed(path, call.class, call.dice));
+            return Err(shed_refusal(path, call.class, call.dice));
         }
         if sheds {
             call.passed_level = path;
@@ -151,15 +153,15 @@
         let (target, level) = match call.key {
             Some((key, _)) => {
                 let home = self.home_of(&call.request.service, key);
-                let level = home.as_ref().map(|home| self.level_of(now, home));
+                let level = home.as_ref().map(|home| self.instance_level(now, home));
                 (home, level.filter(|level| sheds && value < *level))
             }
             None if begins_here => self.choose_admitting(now, call, value),
             None if self.cfg.policy.by_load => (self.choose_server(now, call), None),
-            None => (self.in_turn(call), None),
+            None => (self.choose_round_robin(call), None),
         };
         match (target, level) {
-            (_, Some(level)) => Err(shed(level, call.class, call.dice)),
+            (_, Some(level)) => Err(shed_refusal(level, call.class, call.dice)),
             (Some(target), None) => Ok(target),
             (None, None) => Err(self.refusal(Reason::NoInstance)),
         }
@@ -174,7 +176,7 @@
         value: u16,
     ) -> (Option<Instance>, Option<u16>) {
         if !self.cfg.policy.by_load {
-            return (self.in_turn(call), None);
+            return (self.choose_round_robin(call), None);
         }
         if !self.cfg.policy.levels {
             return (self.choose_server(now, call), None);
@@ -182,7 +184,7 @@
         let avoided = call.avoid.len();
         let mut passed = None;
         let mut sheds = None;
-        for (incarnation, level) in self.levels(now, &call.request.service) {
+        for (incarnation, level) in self.instance_levels(now, &call.request.service) {
             if call.avoid[..avoided].contains(&incarnation) {
                 continue;
             }
@@ -202,14 +204,14 @@
     }
 
     /// All instances of a service in turn, whatever their load.
-    fn in_turn(&mut self, call: &Outgoing) -> Option<Instance> {
-        let turn = self.number() as usize;
+    fn choose_round_robin(&mut self, call: &Outgoing) -> Option<Instance> {
+        let turn = self.allocate_id() as usize;
         let peers = self.members.usable(&call.request.service);
         let peers = peers.map(|peer| &peer.instance);
         let fits = |instance: &&Instance| !call.avoid.contains(&instance.incarnation);
         let mut all: Vec<&Instance> = peers.filter(fits).collect();
-        if self.me.service == call.request.service && fits(&&self.me) {
-            all.push(&self.me);
+        if self.own_instance.service == call.request.service && fits(&&self.own_instance) {
+            all.push(&self.own_instance);
         }
         let turn = turn.checked_rem(all.len())?;
         Some(all[turn].clone())
@@ -218,34 +220,34 @@
     /// The highest level that a call meets: below its operation, or at the instance that it went
     /// to. Others may have room, but mostly nothing is known of those that are far away, and a call
     /// that finds the near ones full goes there by itself.
-    pub(crate) fn level_met(&self, now: Time, call: &Outgoing) -> u16 {
-        let below = self.admission.path(now, &call.operation);
-        below.max(self.level_of(now, &call.target))
+    pub(crate) fn highest_level(&self, now: Time, call: &Outgoing) -> u16 {
+        let below = self.admission.level_below(now, &call.operation);
+        below.max(self.instance_level(now, &call.target))
     }
 
     /// The instances of a service that may be used, and their levels.
-    fn levels<'a>(
+    fn instance_levels<'a>(
         &'a self,
         now: Time,
         service: &'a str,
     ) -> impl Iterator<Item = (Incarnation, u16)> + 'a {
-        let own = (*self.me.service == *service).then_some(&self.me);
+        let own = (*self.own_instance.service == *service).then_some(&self.own_instance);
         let peers = self.members.usable(service).map(|peer| &peer.instance);
         own.into_iter()
             .chain(peers)
-            .map(move |instance| (instance.incarnation, self.level_of(now, instance)))
+            .map(move |instance| (instance.incarnation, self.instance_level(now, instance)))
     }
 
-    fn level_of(&self, now: Time, instance: &Instance) -> u16 {
-        if instance.incarnation == self.me.incarnation {
+    fn instance_level(&self, now: Time, instance: &Instance) -> u16 {
+        if instance.incarnation == self.own_instance.incarnation {
             self.server.level()
         } else {
-            self.admission.instance(now, instance.incarnation)
+            self.admission.instance_level(now, instance.incarnation)
         }
     }
 }
 
 /// A refusal that says when it is worth coming back.
-pub(crate) fn shed(level: u16, class: Class, dice: u16) -> Refusal {
+pub(crate) fn shed_refusal(level: u16, class: Class, dice: u16) -> Refusal {
     Refusal::new(Reason::Shed, come_back(level, class, dice))
 }
--- a/crates/engine/src/answered.rs
+++ b/crates/engine/src/answer_cache.rs
@@ -13,10 +13,10 @@
 const MAX_ANSWERS: usize = 4096;
 
 /// The most bytes that the answers' bodies take up.
-const MAX_BYTES: usize = 4 << 20;
+const MAX_BODY_BYTES: usize = 4 << 20;
 
 /// The most callers' nodes of which forgotten answers are remembered; several times the fleet.
-const MAX_NODES: usize = 4096;
+const MAX_CALLERS: usize = 4096;
 
 /// Answers given lately.
 ///
@@ -25,73 +25,73 @@
 /// forgotten, work would run that its caller was told had not run. So what is forgotten is
 /// remembered as a number: up to it, a call that is not in the table may have been answered before.
 #[derive(Debug)]
-pub(crate) struct Answered {
+pub(crate) struct AnswerCache {
     answers: IndexMap<CallId, Answer>,
     order: VecDeque<CallId>,
     bytes: usize,
-    forgotten: Bounded<Incarnation, u64>,
+    evicted_up_to: Bounded<Incarnation, u64>,
 }
 
 /// What is known of a call that has come.
 #[derive(Debug, PartialEq, Eq)]
-pub(crate) enum Seen<'a> {
+pub(crate) enum CachedAnswer<'a> {
     /// It was answered with this.
-    Answered(&'a Answer),
+    Found(&'a Answer),
     /// It may have been answered; nobody can tell any more.
-    Forgotten,
+    Evicted,
     /// It was not answered.
-    Never,
+    Absent,
 }
 
-impl Answered {
+impl AnswerCache {
     pub(crate) fn new() -> Self {
         Self {
             answers: IndexMap::new(),
             order: VecDeque::new(),
             bytes: 0,
-            forgotten: Bounded::new(MAX_NODES),
+            evicted_up_to: Bounded::new(MAX_CALLERS),
         }
     }
 
-    pub(crate) fn get(&self, id: CallId) -> Seen<'_> {
+    pub(crate) fn get(&self, id: CallId) -> CachedAnswer<'_> {
         match self.answers.get(&id) {
-            Some(answer) => Seen::Answered(answer),
-            None if self.is_forgotten(id) => Seen::Forgotten,
-            None => Seen::Never,
+            Some(answer) => CachedAnswer::Found(answer),
+            None if self.is_evicted(id) => CachedAnswer::Evicted,
+            None => CachedAnswer::Absent,
         }
     }
 
     pub(crate) fn insert(&mut self, id: CallId, answer: Answer) {
-        self.bytes += size(&answer);
+        self.bytes += body_size(&answer);
         match self.answers.insert(id, answer) {
-            Some(old) => self.bytes -= size(&old),
+            Some(old) => self.bytes -= body_size(&old),
             None => self.order.push_back(id),
         }
-        while self.answers.len() > MAX_ANSWERS || self.bytes > MAX_BYTES {
+        while self.answers.len() > MAX_ANSWERS || self.bytes > MAX_BODY_BYTES {
             let Some(oldest) = self.order.pop_front() else {
                 return;
             };
-            self.forget(oldest);
+            self.evict(oldest);
         }
     }
 
-    fn forget(&mut self, id: CallId) {
+    fn evict(&mut self, id: CallId) {
         if let Some(answer) = self.answers.swap_remove(&id) {
-            self.bytes -= size(&answer);
+            self.bytes -= body_size(&answer);
         }
-        match self.forgotten.get_mut(&id.from) {
+        match self.evicted_up_to.get_mut(&id.from) {
             Some(highest) => *highest = id.number.max(*highest),
-            None => self.forgotten.insert(id.from, id.number),
+            None => self.evicted_up_to.insert(id.from, id.number),
         }
     }
 
-    fn is_forgotten(&self, id: CallId) -> bool {
-        let highest = self.forgotten.get(&id.from);
+    fn is_evicted(&self, id: CallId) -> bool {
+        let highest = self.evicted_up_to.get(&id.from);
         highest.is_some_and(|highest| id.number <= *highest)
     }
 }
 
-fn size(answer: &Answer) -> usize {
+fn body_size(answer: &Answer) -> usize {
     match &answer.outcome {
         Outcome::Whole(response) => response.size(),
         Outcome::NotRun(_) | Outcome::Unknown(_) => 0,
--- a/crates/engine/src/appends.rs
+++ b/crates/engine/src/append_queue.rs
@@ -5,7 +5,7 @@
 use stdx::Time;
 
 /// The most that waits. What is left out is asked for again by whoever wanted it.
-const MAX_WAITING: usize = 64;
+const MAX_QUEUED: usize = 64;
 
 plain! {
     /// What is to be said. The record is made when it is sent, because it has to follow from all
@@ -19,12 +19,12 @@
         /// Another node is taken for dead.
         Evict(Incarnation),
         /// The oldest departure is dropped.
-        Forget,
+        DropDeparture,
     }
 }
 
 #[derive(Debug)]
-struct Entry {
+struct QueuedAppend {
     key: AppendKey,
     due: Time,
     attempts: u32,
@@ -33,7 +33,7 @@
 /// What the topic does not show yet.
 #[derive(Debug, Default)]
 pub(crate) struct AppendQueue {
-    entries: Vec<Entry>,
+    entries: Vec<QueuedAppend>,
     /// The append that waits for its answer. Its entry may be gone meanwhile.
     in_flight: Option<(u64, AppendKey)>,
 }
@@ -46,11 +46,11 @@
     /// Whether there is room for something new.
     pub(crate) fn has_room(&self, key: AppendKey) -> bool {
         // What this node says of itself always fits.
-        !matches!(key, AppendKey::Evict(_)) || self.entries.len() < MAX_WAITING
+        !matches!(key, AppendKey::Evict(_)) || self.entries.len() < MAX_QUEUED
     }
 
     pub(crate) fn push(&mut self, key: AppendKey) {
-        self.entries.push(Entry {
+        self.entries.push(QueuedAppend {
             key,
             due: Time::ZERO,
             attempts: 0,
@@ -87,7 +87,7 @@
     }
 
     /// The append in flight has ended; says which it was and how often it was tried.
-    pub(crate) fn ended(&mut self, number: u64) -> Option<(AppendKey, u32)> {
+    pub(crate) fn finish(&mut self, number: u64) -> Option<(AppendKey, u32)> {
         let (_, key) = self.in_flight.take_if(|(id, _)| *id == number)?;
         let entry = self.entries.iter().find(|entry| entry.key == key);
         Some((key, entry.map_or(1, |entry| entry.attempts)))
--- a/crates/engine/src/calls.rs
+++ b/crates/engine/src/calls.rs
@@ -33,10 +33,10 @@
 
 impl Engine {
     /// Sends a new request's first attempt.
-    pub(crate) fn route_first(&mut self, now: Time, draft: Draft) {
+    pub(crate) fn start_call(&mut self, now: Time, draft: Draft) {
         let call = Outgoing {
             token: draft.token,
-            target: self.me.clone(),
+            target: self.own_instance.clone(),
             action: draft.action,
             dice: draft.dice,
             class: draft.class,
@@ -67,7 +67,7 @@
         };
         // A call of a run that was itself tried again is a retry too.
         if !call.again {
-            self.retries.sent(now, &call.request.service);
+            self.retry_budget.sent(now, &call.request.service);
         }
         self.route(now, call);
     }
@@ -76,13 +76,13 @@
     fn route(&mut self, now: Time, mut call: Outgoing) {
         if now >= call.deadline {
             let refusal = call.unjudged(self.refusal(Reason::Deadline));
-            return self.conclude(now, call, Outcome::NotRun(refusal));
+            return self.finish_call(now, call, Outcome::NotRun(refusal));
         }
         match self.admit(now, &mut call) {
             Ok(target) => self.send_to_target(now, call, target),
             Err(refusal) => {
                 let refusal = call.unjudged(refusal);
-                self.conclude(now, call, Outcome::NotRun(refusal));
+                self.finish_call(now, call, Outcome::NotRun(refusal));
             }
         }
     }
@@ -90,20 +90,20 @@
     /// Sends one attempt.
     pub(crate) fn send_to_target(&mut self, now: Time, mut call: Outgoing, target: Instance) {
         call.target = target;
-        call.lent = if self.keeps_a_retry(&call) {
+        call.lent = if self.reserves_retry(&call) {
             call.account.lend_all_but_one()
         } else {
             call.account.lend_all()
         };
         let id = CallId {
-            from: self.me.incarnation,
-            number: self.number(),
+            from: self.own_instance.incarnation,
+            number: self.allocate_id(),
         };
-        if let Some(open) = self.open.get_mut(&call.token) {
+        if let Some(open) = self.open_requests.get_mut(&call.token) {
             open.call = id;
         }
         if let Some(earlier) = &call.earlier {
-            self.earlier.insert(earlier.id, id);
+            self.hedged_attempts.insert(earlier.id, id);
         }
         call.attempts += 1;
         self.timers.set(call.deadline, Timer::Deadline(id));
@@ -115,7 +115,7 @@
     /// What is lent is gone if the answer is lost, so one retry stays where alone it can be spent then.
     /// A second run needs all for the calls below it, and where one would not be enough for those, it
     /// is of use only farther down: kept at each hop, no read of a deep tree would ever be tried again.
-    fn keeps_a_retry(&self, call: &Outgoing) -> bool {
+    fn reserves_retry(&self, call: &Outgoing) -> bool {
         let below = self.admission.calls_below(&call.operation);
         call.idempotent && !call.again && call.account.left() > below
     }
@@ -134,7 +134,7 @@
             priority: call.priority,
             passed_level: call.passed_level,
             leg,
-            remaining_ms: self.remaining_ms(now, call),
+            remaining_ms: self.callee_remaining_ms(now, call),
             allowance: call.lent,
             again: call.again,
             idempotent: call.idempotent,
@@ -147,7 +147,7 @@
     }
 
     /// What is left for the callee: its answer has to travel back.
-    fn remaining_ms(&self, now: Time, call: &Outgoing) -> u32 {
+    fn callee_remaining_ms(&self, now: Time, call: &Outgoing) -> u32 {
         let travel = match self.place(&call.target) {
             Place::SameDomain => Duration::from_millis(1),
             Place::SameRegion => Duration::from_millis(2),
@@ -159,8 +159,9 @@
 
     pub(crate) fn on_answer(&mut self, now: Time, from: Incarnation, id: CallId, answer: Answer) {
         self.hear_load(now, from, answer.load);
-        self.admission.hear_instance(now, from, answer.load.level);
-        if self.drops_answer_of_earlier(id, &answer) {
+        self.admission
+            .record_instance_level(now, from, answer.load.level);
+        if self.discards_original_answer(id, &answer) {
             return;
         }
         // An answer to an attempt that was given up, or a second one to the same attempt, is late.
@@ -174,34 +175,36 @@
             Outcome::NotRun(refusal) if answer.below.calls == 0 => {
                 if refusal.reason == Reason::Shed && answer.below.level > 0 {
                     let (operation, level) = (&call.operation, answer.below.level);
-                    self.admission.hear_level(now, operation, level);
+                    self.admission.record_level_below(now, operation, level);
                 }
             }
-            _ => self.admission.hear_path(now, &call.operation, answer.below),
+            _ => self
+                .admission
+                .record_below(now, &call.operation, answer.below),
         }
         match answer.outcome {
             Outcome::NotRun(refusal) => {
                 call.again |= answer.below.calls > 0 && self.cfg.policy.hop_retries == 0;
-                self.after_not_run(now, call, refusal);
+                self.on_not_run(now, call, refusal);
             }
             Outcome::Unknown(reason @ (Reason::ServerLost | Reason::PeerLost)) => {
                 if reason == Reason::ServerLost {
                     self.call_lost(now, &call.request, call.target.incarnation);
                 }
-                self.after_lost(now, call, reason);
+                self.on_attempt_lost(now, call, reason);
             }
             outcome => {
                 self.call_whole(now, &call.request);
-                self.conclude(now, call, outcome);
+                self.finish_call(now, call, outcome);
             }
         }
     }
 
     /// A call that did not run goes elsewhere, if that may help.
-    pub(crate) fn after_not_run(&mut self, now: Time, mut call: Outgoing, refusal: Refusal) {
+    pub(crate) fn on_not_run(&mut self, now: Time, mut call: Outgoing, refusal: Refusal) {
         let reason = refusal.reason;
         let elsewhere = match reason {
-            Reason::Moving | Reason::Draining => self.has_elsewhere(&call),
+            Reason::Moving | Reason::Draining => self.has_other_target(&call),
             // Never sent, and no refusal: the same node may take it over another connection.
             Reason::PeerLost => true,
             _ => false,
@@ -216,7 +219,7 @@
             reason,
             Reason::QueueFull | Reason::ServerRefused | Reason::ServerLost
         );
-        if busy && self.may_retry(now, &mut call) {
+        if busy && self.try_spend_retry(now, &mut call) {
             self.count(Counter::Retry(reason));
             call.avoid.push(call.target.incarnation);
             return self.route(now, call);
@@ -228,12 +231,12 @@
             }
             _ => refusal,
         };
-        self.conclude(now, call, Outcome::NotRun(refusal));
+        self.finish_call(now, call, Outcome::NotRun(refusal));
     }
 
     /// A call with a key goes to the key's home only. While this node knows no other home, sending
     /// the call there again would get the same refusal a few times over, within milliseconds.
-    fn has_elsewhere(&self, call: &Outgoing) -> bool {
+    fn has_other_target(&self, call: &Outgoing) -> bool {
         let Some((key, _)) = call.key else {
             return true;
         };
@@ -244,23 +247,23 @@
     /// Nobody will tell how the attempt ended. Only an idempotent call may be tried again.
     /// The calls below count as retries then, so there must be enough for all of them: with less
     /// the second run could not end, and would be wasted.
-    pub(crate) fn after_lost(&mut self, now: Time, mut call: Outgoing, reason: Reason) {
+    pub(crate) fn on_attempt_lost(&mut self, now: Time, mut call: Outgoing, reason: Reason) {
         call.maybe_ran = true;
         let below = self.admission.calls_below(&call.operation);
         let needed = 1 + below.max(call.calls_below);
         let allowed = call.account.left() >= needed || call.hop_retries > 0;
-        if call.idempotent && allowed && self.may_retry(now, &mut call) {
+        if call.idempotent && allowed && self.try_spend_retry(now, &mut call) {
             self.count(Counter::Retry(reason));
             call.again = self.cfg.policy.hop_retries == 0;
             call.avoid.push(call.target.incarnation);
             return self.route(now, call);
         }
-        self.conclude(now, call, Outcome::Unknown(reason));
+        self.finish_call(now, call, Outcome::Unknown(reason));
     }
 
     /// Takes a retry from the action and from this node's part of the fleet's retries at the service,
     /// which keeps them a small share of the calls to it even if every action has some left.
-    pub(crate) fn may_retry(&mut self, now: Time, call: &mut Outgoing) -> bool {
+    pub(crate) fn try_spend_retry(&mut self, now: Time, call: &mut Outgoing) -> bool {
         if now >= call.deadline {
             return false;
         }
@@ -274,7 +277,7 @@
         let limited = self.cfg.policy.retry_budget;
         let nodes = self.members.fleet_size();
         let service = &call.request.service;
-        if limited && !self.retries.spend(now, service, call.class, nodes) {
+        if limited && !self.retry_budget.spend(now, service, call.class, nodes) {
             self.count(Counter::RetryBudgetSpent);
             return false;
         }
@@ -287,7 +290,7 @@
             return;
         };
         self.send(&call.target, Frame::Cancel(id));
-        self.conclude(now, call, Outcome::Unknown(Reason::Deadline));
+        self.finish_call(now, call, Outcome::Unknown(Reason::Deadline));
     }
 
     pub(crate) fn abandon_call(&mut self, now: Time, id: CallId) {
@@ -295,50 +298,50 @@
             return;
         };
         self.send(&call.target, Frame::Cancel(id));
-        self.conclude(now, call, Outcome::Unknown(Reason::CallerGone));
+        self.finish_call(now, call, Outcome::Unknown(Reason::CallerGone));
     }
 
-    fn conclude(&mut self, now: Time, mut call: Outgoing, outcome: Outcome) {
+    fn finish_call(&mut self, now: Time, mut call: Outgoing, outcome: Outcome) {
         if let Some(earlier) = call.earlier.take() {
-            if self.waits_for_earlier(now, &call, &outcome) {
-                return self.resume_earlier(call, earlier);
+            if self.awaits_original(now, &call, &outcome) {
+                return self.resume_original(call, earlier);
             }
-            self.drop_earlier(earlier);
+            self.cancel_original(earlier);
         }
         let met = Below {
-            level: self.level_met(now, &call),
+            level: self.highest_level(now, &call),
             // The first attempt was counted when the call began.
             calls: call
                 .calls_below
                 .saturating_add(call.attempts.saturating_sub(1)),
         };
-        self.tell_parent(now, &call, met);
+        self.report_to_parent(now, &call, met);
         // A later attempt that did not run says nothing of an earlier one that may have.
         let outcome = match outcome {
             Outcome::NotRun(refusal) if call.maybe_ran => Outcome::Unknown(refusal.reason),
             outcome => outcome,
         };
-        self.note_answered(now, &call, met.level, &outcome);
+        self.log_answered(now, &call, met.level, &outcome);
         self.close_request(now, call.token, call.account.left(), outcome);
     }
 
     /// A run's own first hop hears at once what the run meets. Heard of only at the end of the run,
     /// a level below would let in too much for the time of a whole call tree.
-    fn tell_parent(&mut self, now: Time, call: &Outgoing, met: Below) {
+    fn report_to_parent(&mut self, now: Time, call: &Outgoing, met: Below) {
         let operation = call.operation.clone();
-        let Some(job) = self.parent_of(call.token) else {
+        let Some(job) = self.parent_job(call.token) else {
             return;
         };
         job.met.insert(operation, met.level);
         job.calls_below = job.calls_below.saturating_add(met.calls);
         let level = job.below().level;
         if let Some(parent) = job.operation.clone() {
-            self.admission.hear_level(now, &parent, level);
+            self.admission.record_level_below(now, &parent, level);
         }
     }
 
-    fn note_answered(&mut self, now: Time, call: &Outgoing, level: u16, outcome: &Outcome) {
-        self.out.push(Output::Note(Note::Answered {
+    fn log_answered(&mut self, now: Time, call: &Outgoing, level: u16, outcome: &Outcome) {
+        self.outputs.push(Output::Note(Note::Answered {
             request: call.request.id.clone(),
             service: call.request.service.clone(),
             class: call.class,
@@ -352,8 +355,8 @@
         }));
     }
 
-    fn parent_of(&mut self, token: Token) -> Option<&mut Job> {
-        let parent = self.open.get(&token)?.parent?;
+    fn parent_job(&mut self, token: Token) -> Option<&mut Job> {
+        let parent = self.open_requests.get(&token)?.parent?;
         self.jobs.get_mut(&parent)
     }
 
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -1,11 +1,11 @@
 //! The engine's state, and how inputs reach the controllers.
 
-use crate::admission::Admission;
-use crate::answered::Answered;
-use crate::fetch::FetchLink;
-use crate::homes::HeldCalls;
-use crate::homes::KeyWork;
+use crate::admission::AdmissionLevels;
+use crate::answer_cache::AnswerCache;
+use crate::fetch::FetchSchedule;
 use crate::job::Job;
+use crate::keyed_calls::HeldCalls;
+use crate::keyed_calls::KeyRun;
 use crate::log::LogLink;
 use crate::outgoing::Outgoing;
 use crate::own_server::OwnServer;
@@ -63,74 +63,74 @@
 
 /// How long a leaving node still takes calls that only it can take: those for keys that it is home
 /// to, until the log names the next home.
-const CLOSE_AFTER: Duration = Duration::from_millis(2500);
+const KEYED_CALLS_GRACE: Duration = Duration::from_millis(2500);
 
 /// A node's decisions and state.
 #[derive(Debug)]
 pub struct Engine {
     pub(crate) cfg: Config,
-    pub(crate) me: Instance,
+    pub(crate) own_instance: Instance,
     pub(crate) rng: StdRng,
     /// What nodes share through the store.
     pub(crate) journal: State,
     pub(crate) log: LogLink,
-    pub(crate) fetch: FetchLink,
+    pub(crate) fetch: FetchSchedule,
     pub(crate) members: Membership,
     pub(crate) selector: Selector,
     pub(crate) peer_notes: PeerNotes,
     /// The views have changed since the members were told.
-    pub(crate) roster_changed: bool,
+    pub(crate) views_changed: bool,
     pub(crate) home: Home,
     pub(crate) server: Server,
     /// The own backend server, once it has announced itself.
     pub(crate) own_server: Option<OwnServer>,
     /// Requests of callers and of the own backend server, in flight.
-    pub(crate) open: IndexMap<Token, OpenRequest>,
+    pub(crate) open_requests: IndexMap<Token, OpenRequest>,
     /// Requests that wait for the answer to another one.
     pub(crate) followers: IndexMap<Token, Token>,
     /// Calls to nodes (this one included), by the id of the present attempt.
     pub(crate) calls: IndexMap<CallId, Outgoing>,
     /// Attempts whose answers are late, and those that were sent after them.
-    pub(crate) earlier: IndexMap<CallId, CallId>,
+    pub(crate) hedged_attempts: IndexMap<CallId, CallId>,
     /// Calls from nodes (this one included) that are not answered yet.
     pub(crate) inbound: IndexMap<CallId, Inbound>,
     /// Answers given lately, for calls that attach again.
-    pub(crate) answered: Answered,
+    pub(crate) answer_cache: AnswerCache,
     /// Work for the own backend server, queued or running.
     pub(crate) jobs: IndexMap<RunId, Job>,
     /// The job of each request that has an id of its caller's.
-    pub(crate) jobs_by_id: IndexMap<Arc<str>, RunId>,
+    pub(crate) jobs_by_request_id: IndexMap<Arc<str>, RunId>,
     /// Who waits for the run of a key.
-    pub(crate) keys: IndexMap<KeyHash, KeyWork>,
+    pub(crate) key_runs: IndexMap<KeyHash, KeyRun>,
     /// What the run met that is being answered just now.
-    pub(crate) run_below: Below,
-    pub(crate) admission: Admission,
+    pub(crate) ended_run_below: Below,
+    pub(crate) admission: AdmissionLevels,
     pub(crate) resends: Resends,
     pub(crate) suspects: Suspects,
     /// This node's part of the fleet's retries at each service.
-    pub(crate) retries: Retries,
+    pub(crate) retry_budget: Retries,
     /// Whether the rules here are the newest, as far as keys of organisations go.
     pub(crate) freshness: Freshness,
     /// This node asks the store on behalf of its failure domain.
-    pub(crate) leads: bool,
+    pub(crate) is_domain_leader: bool,
     /// Whether keys were trusted when that was last looked at.
-    pub(crate) trusts_keys: bool,
+    pub(crate) keys_were_trusted: bool,
     /// What is lent and borrowed of the quotas of organisations.
     pub(crate) quota: QuotaLink,
     /// Calls that wait for a slot on its way here.
-    pub(crate) held: HeldCalls,
+    pub(crate) held_calls: HeldCalls,
     /// When a stop no longer waits for its slots to be taken.
-    pub(crate) handover_ends: Option<Time>,
+    pub(crate) handover_deadline: Option<Time>,
     pub(crate) timers: Timers,
     pub(crate) stopping: bool,
     /// From then on a stopping node starts no work at all on its backend server.
     pub(crate) closed_at: Time,
     /// Until then a stopping node still takes new requests from its callers.
-    pub(crate) lingers_until: Time,
-    next_number: u64,
+    pub(crate) accepts_until: Time,
+    last_id: u64,
     /// Frames of this node to itself.
     loopback: VecDeque<Frame>,
-    pub(crate) out: Vec<Output>,
+    pub(crate) outputs: Vec<Output>,
 }
 
 impl Engine {
@@ -151,20 +151,24 @@
     /// };
     /// assert_eq!(Engine::new(Config::default(), me).rules_version(), 0);
     /// ```
-    pub fn new(cfg: Config, me: Instance) -> Self {
+    pub fn new(cfg: Config, own_instance: Instance) -> Self {
         let defaults = rules::Limit::default();
-        let incarnation = me.incarnation;
-        let mut members = Membership::new(cfg.membership.clone(), me.clone(), cfg.contacts.clone());
+        let incarnation = own_instance.incarnation;
+        let mut members = Membership::new(
+            cfg.membership.clone(),
+            own_instance.clone(),
+            cfg.contacts.clone(),
+        );
         members.set_open(!cfg.server_announces);
         Self {
             rng: StdRng::seed_from_u64(cfg.seed),
             journal: State::default(),
             log: LogLink::default(),
-            fetch: FetchLink::default(),
+            fetch: FetchSchedule::default(),
             members,
             selector: Selector::with_switches(cfg.policy),
             peer_notes: PeerNotes::default(),
-            roster_changed: false,
+            views_changed: false,
             home: Home::new(cfg.once.clone(), incarnation),
             server: Server::new(
                 cfg.policy,
@@ -173,35 +177,35 @@
                 defaults.queue,
             ),
             own_server: None,
-            open: IndexMap::new(),
+            open_requests: IndexMap::new(),
             followers: IndexMap::new(),
             calls: IndexMap::new(),
-            earlier: IndexMap::new(),
+            hedged_attempts: IndexMap::new(),
             inbound: IndexMap::new(),
-            answered: Answered::new(),
+            answer_cache: AnswerCache::new(),
             jobs: IndexMap::new(),
-            jobs_by_id: IndexMap::new(),
-            keys: IndexMap::new(),
-            run_below: Below::default(),
-            admission: Admission::default(),
+            jobs_by_request_id: IndexMap::new(),
+            key_runs: IndexMap::new(),
+            ended_run_below: Below::default(),
+            admission: AdmissionLevels::default(),
             resends: Resends::new(),
             suspects: Suspects::new(),
-            retries: Retries::new(cfg.retry_budget, incarnation.0),
+            retry_budget: Retries::new(cfg.retry_budget, incarnation.0),
             freshness: Freshness::new(cfg.revocation_bound),
-            leads: false,
-            trusts_keys: false,
+            is_domain_leader: false,
+            keys_were_trusted: false,
             quota: QuotaLink::new(cfg.quota_bounds),
-            held: HeldCalls::new(),
-            handover_ends: None,
+            held_calls: HeldCalls::new(),
+            handover_deadline: None,
             timers: Timers::default(),
             stopping: false,
             closed_at: Time::ZERO,
-            lingers_until: Time::ZERO,
-            next_number: 0,
+            accepts_until: Time::ZERO,
+            last_id: 0,
             loopback: VecDeque::new(),
-            out: Vec::new(),
+            outputs: Vec::new(),
             cfg,
-            me,
+            own_instance,
         }
     }
 
@@ -263,15 +267,15 @@
             Input::Stop => self.on_stop(now),
             Input::Tick => {}
         }
-        self.run_due(now);
+        self.fire_timers(now);
         self.drain_loopback(now);
         // What came from this node itself may have freed a place, or have to leave the queue.
         self.pump_server(now);
         self.drain_loopback(now);
-        self.run_fetch(now);
+        self.fetch_if_due(now);
         self.pump_appends(now);
         self.check_stopped(now);
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.outputs)
     }
 
     /// When [`Input::Tick`] has to come at the latest.
@@ -327,22 +331,22 @@
     /// How much is in flight.
     pub fn table_sizes(&self) -> TableSizes {
         TableSizes {
-            requests: self.open.len(),
+            requests: self.open_requests.len(),
             calls: self.calls.len(),
             inbound: self.inbound.len(),
             jobs: self.jobs.len(),
-            keys: self.keys.len(),
+            keys: self.key_runs.len(),
         }
     }
 
-    fn run_due(&mut self, now: Time) {
+    fn fire_timers(&mut self, now: Time) {
         while let Some(timer) = self.timers.pop(now) {
             match timer {
                 Timer::Deadline(call) => self.on_deadline(now, call),
                 Timer::LateRun(run) => self.on_late_run(run),
                 Timer::Suspects => self.repeat_reports(now),
                 Timer::Run(run) => self.on_run_deadline(now, run),
-                Timer::Held(call) => self.on_held_too_long(call),
+                Timer::Held(call) => self.on_hold_timeout(call),
                 Timer::Handover | Timer::Linger => {}
                 Timer::Reattach(call) => self.on_reattach_timer(now, call),
             }
@@ -356,7 +360,7 @@
 
     /// Handles what this node sent itself, as if it had come from another.
     fn drain_loopback(&mut self, now: Time) {
-        let me = self.me.incarnation;
+        let me = self.own_instance.incarnation;
         while let Some(frame) = self.loopback.pop_front() {
             self.on_frame(now, me, frame);
         }
@@ -367,7 +371,7 @@
             Frame::Call(call) => self.on_call(now, from, *call),
             Frame::Answer(id, answer) => self.on_answer(now, from, id, *answer),
             Frame::Cancel(id) => self.on_cancel(now, from, id),
-            Frame::Late(id) => self.on_late(now, id),
+            Frame::Late(id) => self.on_late_notice(now, id),
             Frame::Suspect {
                 service,
                 request,
@@ -383,10 +387,10 @@
     }
 
     pub(crate) fn send(&mut self, to: &Instance, frame: Frame) {
-        if to.incarnation == self.me.incarnation {
+        if to.incarnation == self.own_instance.incarnation {
             self.loopback.push_back(frame);
         } else {
-            self.out.push(Output::Send {
+            self.outputs.push(Output::Send {
                 to: to.clone(),
                 frame,
             });
@@ -394,20 +398,20 @@
     }
 
     pub(crate) fn count(&mut self, counter: Counter) {
-        self.out.push(Output::Count(counter));
+        self.outputs.push(Output::Count(counter));
     }
 
     /// A number that this incarnation has never used.
-    pub(crate) fn number(&mut self) -> u64 {
-        self.next_number += 1;
-        self.next_number
+    pub(crate) fn allocate_id(&mut self) -> u64 {
+        self.last_id += 1;
+        self.last_id
     }
 
     pub(crate) fn on_stop(&mut self, now: Time) {
         self.stopping = true;
-        self.closed_at = now + CLOSE_AFTER;
-        self.lingers_until = now + self.cfg.stop_grace_period;
-        self.timers.set(self.lingers_until, Timer::Linger);
+        self.closed_at = now + KEYED_CALLS_GRACE;
+        self.accepts_until = now + self.cfg.stop_grace_period;
+        self.timers.set(self.accepts_until, Timer::Linger);
         self.leave_home(now);
         self.resign_lender(now);
         self.leave_members(now);
@@ -415,17 +419,17 @@
     }
 
     fn check_stopped(&mut self, now: Time) {
-        let idle = self.open.is_empty()
+        let idle = self.open_requests.is_empty()
             && self.inbound.is_empty()
             && self.jobs.is_empty()
             && !self.quota.has_waiting();
         if self.stopping
-            && now >= self.lingers_until
+            && now >= self.accepts_until
             && idle
             && self.log.left()
             && self.has_handed_over(now)
         {
-            self.out.push(Output::Stopped);
+            self.outputs.push(Output::Stopped);
         }
     }
 }
--- a/crates/engine/src/freshness.rs
+++ b/crates/engine/src/freshness.rs
@@ -15,7 +15,7 @@
 use stdx::Time;
 
 /// So many of the first tries go to neighbours, the others to any node.
-const NEIGHBOURS_ASKED: u32 = 2;
+const OWN_DOMAIN_ATTEMPTS: u32 = 2;
 
 impl Engine {
     /// Evidence is needed only where a key can be revoked.
@@ -27,24 +27,27 @@
         if !self.needs_freshness() {
             return None;
         }
-        self.freshness.next_timer(self.leads)
+        self.freshness.next_timer(self.is_domain_leader)
     }
 
     pub(crate) fn tick_freshness(&mut self, now: Time) {
         if !self.needs_freshness() {
             return;
         }
-        self.note_trust(now);
-        let due = self.freshness.next_timer(self.leads);
+        self.log_key_trust_change(now);
+        let due = self.freshness.next_timer(self.is_domain_leader);
         if due.is_none_or(|due| now < due) {
             return;
         }
-        self.leads = self.members.leads_domain(now);
-        for step in self.freshness.tick(now, self.leads, &mut self.rng) {
+        self.is_domain_leader = self.members.leads_domain(now);
+        for step in self
+            .freshness
+            .tick(now, self.is_domain_leader, &mut self.rng)
+        {
             match step {
-                Step::AskStore => self.out.push(Output::CheckRules),
+                Step::AskStore => self.outputs.push(Output::CheckRules),
                 Step::AskPeer { number, attempt } => {
-                    if let Some(to) = self.freshness_source(attempt) {
+                    if let Some(to) = self.freshness_peer(attempt) {
                         self.send_freshness(to, FreshnessMessage::Query { number });
                     }
                 }
@@ -53,8 +56,8 @@
     }
 
     /// The nodes that lead the own failure domain, then any: the whole domain may be cut off from the store.
-    fn freshness_source(&mut self, attempt: u32) -> Option<SocketAddr> {
-        if attempt < NEIGHBOURS_ASKED {
+    fn freshness_peer(&mut self, attempt: u32) -> Option<SocketAddr> {
+        if attempt < OWN_DOMAIN_ATTEMPTS {
             let leader = self.members.domain_leader(attempt as usize);
             if let Some(leader) = leader {
                 return Some(leader.addr);
@@ -102,7 +105,7 @@
                 }
                 let age = Duration::from_millis(age_ms.into());
                 self.freshness.on_report(now, number, age);
-                self.note_trust(now);
+                self.log_key_trust_change(now);
             }
         }
     }
@@ -113,7 +116,7 @@
             return self.on_rules_unchecked(now);
         }
         self.freshness.on_store_confirmed(asked);
-        self.note_trust(now);
+        self.log_key_trust_change(now);
     }
 
     pub(crate) fn on_rules_unchecked(&mut self, now: Time) {
@@ -121,12 +124,12 @@
     }
 
     /// Writes down when keys begin or cease to be trusted.
-    fn note_trust(&mut self, now: Time) {
+    fn log_key_trust_change(&mut self, now: Time) {
         let trusts = self.freshness.may_trust(now);
-        if trusts == std::mem::replace(&mut self.trusts_keys, trusts) {
+        if trusts == std::mem::replace(&mut self.keys_were_trusted, trusts) {
             return;
         }
-        self.out.push(Output::Note(Note::Keys {
+        self.outputs.push(Output::Note(Note::Keys {
             trusted: trusts,
             rules: self.journal.version,
             age: self.freshness.age(now),
@@ -138,6 +141,6 @@
             version: PROTOCOL_VERSION,
             message,
         };
-        self.out.push(Output::Datagram { to, datagram });
+        self.outputs.push(Output::Datagram { to, datagram });
     }
 }
--- a/crates/engine/src/hedge.rs
+++ b/crates/engine/src/hedge.rs
@@ -22,7 +22,7 @@
 impl Engine {
     /// Has this node look again when a run on its server takes longer than others. Only reads that make no
     /// calls are sent twice: a second run of a whole tree costs more than it saves.
-    pub(crate) fn watch_run(&mut self, now: Time, run: RunId) {
+    pub(crate) fn set_hedge_timer(&mut self, now: Time, run: RunId) {
         let Some(job) = self.jobs.get_mut(&run) else {
             return;
         };
@@ -54,23 +54,23 @@
     }
 
     /// Learns how long runs of an operation take here.
-    pub(crate) fn learn_run(&mut self, now: Time, run: RunId, ended: Ended) {
+    pub(crate) fn record_run_time(&mut self, now: Time, run: RunId, ended: Ended) {
         let Ended::Whole { took, .. } = ended else {
             return;
         };
         let operation = self.jobs.get(&run).and_then(|job| job.operation.clone());
         if let Some(operation) = operation {
-            self.admission.learn_run(now, &operation, took);
+            self.admission.record_run_time(now, &operation, took);
         }
     }
 
     /// A call is late where it runs.
-    pub(crate) fn on_late(&mut self, now: Time, id: CallId) {
+    pub(crate) fn on_late_notice(&mut self, now: Time, id: CallId) {
         let Some(mut call) = self.calls.swap_remove(&id) else {
             return;
         };
         let may = call.idempotent && call.key.is_none() && call.earlier.is_none();
-        if !may || !self.may_retry(now, &mut call) {
+        if !may || !self.try_spend_retry(now, &mut call) {
             self.calls.insert(id, call);
             return;
         }
@@ -92,8 +92,8 @@
 
     /// Looks at an answer to an attempt after which another one was sent. A whole one takes the later
     /// attempt's place; any other is dropped while that one is under way.
-    pub(crate) fn drops_answer_of_earlier(&mut self, id: CallId, answer: &Answer) -> bool {
-        let Some(later) = self.earlier.swap_remove(&id) else {
+    pub(crate) fn discards_original_answer(&mut self, id: CallId, answer: &Answer) -> bool {
+        let Some(later) = self.hedged_attempts.swap_remove(&id) else {
             return false;
         };
         let Some(call) = self.calls.get_mut(&later) else {
@@ -109,13 +109,13 @@
         self.count(Counter::OriginalAnsweredFirst);
         if let Some(call) = self.take_call(later) {
             self.send(&call.target, Frame::Cancel(later));
-            self.await_earlier(call, earlier);
+            self.track_original(call, earlier);
         }
         false
     }
 
     /// Whether the earlier attempt may still bring what the later one did not.
-    pub(crate) fn waits_for_earlier(&self, now: Time, call: &Outgoing, outcome: &Outcome) -> bool {
+    pub(crate) fn awaits_original(&self, now: Time, call: &Outgoing, outcome: &Outcome) -> bool {
         let is_over = match outcome {
             Outcome::Whole(_) => true,
             Outcome::Unknown(reason) => matches!(reason, Reason::Deadline | Reason::CallerGone),
@@ -125,16 +125,16 @@
     }
 
     /// The later attempt has failed: the call waits for the earlier one again.
-    pub(crate) fn resume_earlier(&mut self, mut call: Outgoing, earlier: Earlier) {
-        self.earlier.swap_remove(&earlier.id);
+    pub(crate) fn resume_original(&mut self, mut call: Outgoing, earlier: Earlier) {
+        self.hedged_attempts.swap_remove(&earlier.id);
         call.maybe_ran = true;
-        self.await_earlier(call, earlier);
+        self.track_original(call, earlier);
     }
 
-    fn await_earlier(&mut self, mut call: Outgoing, earlier: Earlier) {
+    fn track_original(&mut self, mut call: Outgoing, earlier: Earlier) {
         call.target = earlier.target;
         call.lent = earlier.lent;
-        if let Some(open) = self.open.get_mut(&call.token) {
+        if let Some(open) = self.open_requests.get_mut(&call.token) {
             open.call = earlier.id;
         }
         self.timers.set(call.deadline, Timer::Deadline(earlier.id));
@@ -142,8 +142,8 @@
     }
 
     /// Nobody waits for the earlier attempt any more.
-    pub(crate) fn drop_earlier(&mut self, earlier: Earlier) {
-        self.earlier.swap_remove(&earlier.id);
+    pub(crate) fn cancel_original(&mut self, earlier: Earlier) {
+        self.hedged_attempts.swap_remove(&earlier.id);
         self.selector.on_ended(earlier.target.incarnation);
         self.send(&earlier.target, Frame::Cancel(earlier.id));
     }
--- a/crates/engine/src/identity.rs
+++ b/crates/engine/src/identity.rs
@@ -24,12 +24,12 @@
         let Some(organisations) = &self.journal.rules.organisations else {
             return Ok((operation, None));
         };
-        if self.is_child(&arrival.parents) {
+        if self.is_child_call(&arrival.parents) {
             return Ok((operation, None));
         }
         let found = arrival.credential.and_then(|key| organisations.find(&key));
         if !operation.public {
-            check_key(now, &self.freshness, found.is_some())?;
+            check_credential(now, &self.freshness, found.is_some())?;
         }
         let Some((id, organisation)) = found else {
             return Ok((operation, None));
@@ -42,14 +42,14 @@
     }
 
     /// Whether a run of the own backend server makes this call. It is part of a request that was admitted.
-    fn is_child(&self, parents: &Parents) -> bool {
-        let known = |id| self.jobs_by_id.contains_key(id);
+    fn is_child_call(&self, parents: &Parents) -> bool {
+        let known = |id| self.jobs_by_request_id.contains_key(id);
         parents.context.is_some() || parents.parent.as_ref().is_some_and(known)
     }
 }
 
 /// Whether a request may be decided by what the rules here say of its key.
-fn check_key(now: Time, freshness: &Freshness, is_known: bool) -> Result<(), Reason> {
+fn check_credential(now: Time, freshness: &Freshness, is_known: bool) -> Result<(), Reason> {
     match is_known {
         true if freshness.may_trust(now) => Ok(()),
         false if freshness.is_complete(now) => Err(Reason::UnknownOrganisation),
--- a/crates/engine/src/entry.rs
+++ b/crates/engine/src/ingress.rs
@@ -36,13 +36,15 @@
     pub(crate) fn on_request(&mut self, now: Time, mut arrival: Arrival) {
         let dice = self.rng.random();
         let admitted = self
-            .filter_state(&mut arrival.request, dice)
+            .filter_rules(&mut arrival.request, dice)
             .and_then(|operation| self.filter_identity(now, &mut arrival, operation));
         match admitted {
-            Ok((operation, None)) => self.enter(now, arrival, operation, dice, None),
+            Ok((operation, None)) => self.process_arrival(now, arrival, operation, dice, None),
             Ok((operation, Some((organisation, quota)))) => {
                 match self.quota.borrower.take(now, organisation, quota) {
-                    Some(credit) => self.enter(now, arrival, operation, dice, Some(credit)),
+                    Some(credit) => {
+                        self.process_arrival(now, arrival, operation, dice, Some(credit))
+                    }
                     None => self.wait_for_quota(now, arrival, organisation),
                 }
             }
@@ -51,13 +53,13 @@
     }
 
     /// Admits a request that has waited for its organisation's quota. The rules may have changed meanwhile.
-    pub(crate) fn on_credit(&mut self, now: Time, mut arrival: Arrival, credit: Credit) {
+    pub(crate) fn on_quota_granted(&mut self, now: Time, mut arrival: Arrival, credit: Credit) {
         let dice = self.rng.random();
         let admitted = self
-            .filter_state(&mut arrival.request, dice)
+            .filter_rules(&mut arrival.request, dice)
             .and_then(|operation| self.filter_identity(now, &mut arrival, operation));
         match admitted {
-            Ok((operation, _)) => self.enter(now, arrival, operation, dice, Some(credit)),
+            Ok((operation, _)) => self.process_arrival(now, arrival, operation, dice, Some(credit)),
             Err(reason) => {
                 self.return_credit(now, Some(credit));
                 self.refuse_arrival(&arrival, reason);
@@ -65,7 +67,7 @@
         }
     }
 
-    fn enter(
+    fn process_arrival(
         &mut self,
         now: Time,
         arrival: Arrival,
@@ -89,7 +91,7 @@
         let patience = patience.map(|patience| patience.saturating_sub(now.since(at)));
         let draft = self
             .filter_context(now, token, parents, dice, operation, request)
-            .map(|draft| shorten(draft, now, patience, latest))
+            .map(|draft| limit_deadline(draft, now, patience, latest))
             .and_then(|draft| self.filter_key(draft, &caller, key));
         match draft {
             Ok(draft) => {
@@ -127,7 +129,7 @@
         } else {
             refusal
         };
-        self.out.push(Output::Note(Note::Refused {
+        self.outputs.push(Output::Note(Note::Refused {
             request,
             organisation,
             reason,
@@ -137,11 +139,11 @@
     }
 
     /// Refuses what this node cannot judge or no rule allows.
-    fn filter_state(&mut self, request: &mut Request, dice: u16) -> Result<Operation, Reason> {
+    fn filter_rules(&mut self, request: &mut Request, dice: u16) -> Result<Operation, Reason> {
         if !self.has_rules() {
             return Err(Reason::NoRules);
         }
-        if self.open.len() >= self.cfg.max_open_requests {
+        if self.open_requests.len() >= self.cfg.max_open_requests {
             return Err(Reason::TableFull);
         }
         let rules = &self.journal.rules;
@@ -171,10 +173,12 @@
                 context: Some(context),
                 ..
             } => Some(RunId::parse(&context).ok_or(Reason::BadRequest)?),
-            Parents { parent, .. } => parent.and_then(|id| self.jobs_by_id.get(&id).copied()),
+            Parents { parent, .. } => {
+                parent.and_then(|id| self.jobs_by_request_id.get(&id).copied())
+            }
         };
         let Some(run) = run else {
-            return self.root(now, token, dice, operation, request);
+            return self.root_draft(now, token, dice, operation, request);
         };
         let job = self.jobs.get_mut(&run).ok_or(Reason::ParentGone)?;
         if job.depth >= self.cfg.max_depth {
@@ -208,7 +212,7 @@
         })
     }
 
-    fn root(
+    fn root_draft(
         &mut self,
         now: Time,
         token: Token,
@@ -217,7 +221,7 @@
         request: Request,
     ) -> Result<Draft, Reason> {
         // A planned stop still finishes its runs, whose child calls come with a context.
-        if self.stopping && now >= self.lingers_until {
+        if self.stopping && now >= self.accepts_until {
             return Err(Reason::Draining);
         }
         Ok(Draft {
@@ -351,7 +355,7 @@
         let token = draft.token;
         let open = OpenRequest {
             call: CallId {
-                from: self.me.incarnation,
+                from: self.own_instance.incarnation,
                 number: 0,
             },
             parent: draft.parent,
@@ -362,11 +366,11 @@
             sent: draft.sent,
             followers: Vec::new(),
         };
-        self.open.insert(token, open);
+        self.open_requests.insert(token, open);
         if let Some(job) = draft.parent.and_then(|run| self.jobs.get_mut(&run)) {
             job.child_began(now, token);
         }
-        self.route_first(now, draft);
+        self.start_call(now, draft);
     }
 
     /// Ends a request: one answer, at once, and the unspent retries go back to the parent.
@@ -377,7 +381,7 @@
         unspent: u16,
         outcome: Outcome,
     ) {
-        let Some(open) = self.open.swap_remove(&token) else {
+        let Some(open) = self.open_requests.swap_remove(&token) else {
             return;
         };
         if let Some(job) = open.parent.and_then(|run| self.jobs.get_mut(&run)) {
@@ -392,7 +396,7 @@
         }
         for follower in open.followers {
             self.followers.swap_remove(&follower);
-            self.out.push(Output::Answer {
+            self.outputs.push(Output::Answer {
                 token: follower,
                 outcome: outcome.clone(),
                 made_key: None,
@@ -403,7 +407,7 @@
             Outcome::NotRun(refusal) => Counter::NotRun(refusal.reason),
             Outcome::Unknown(reason) => Counter::Unknown(*reason),
         });
-        self.out.push(Output::Answer {
+        self.outputs.push(Output::Answer {
             token,
             outcome,
             made_key: open.made_key,
@@ -414,7 +418,7 @@
     pub(crate) fn refuse(&mut self, token: Token, refusal: Refusal) {
         self.count(Counter::NotRun(refusal.reason));
         let outcome = Outcome::NotRun(refusal);
-        self.out.push(Output::Answer {
+        self.outputs.push(Output::Answer {
             token,
             outcome,
             made_key: None,
@@ -425,14 +429,14 @@
         if self.unfollow(token) || self.stop_waiting_for_quota(token) {
             return;
         }
-        if let Some(open) = self.open.get(&token) {
+        if let Some(open) = self.open_requests.get(&token) {
             self.abandon_call(now, open.call);
         }
     }
 }
 
 /// The time that a request has waited for a token is part of what it has.
-fn shorten(mut draft: Draft, now: Time, patience: Option<Duration>, latest: Time) -> Draft {
+fn limit_deadline(mut draft: Draft, now: Time, patience: Option<Duration>, latest: Time) -> Draft {
     draft.deadline = draft.deadline.min(latest);
     if let Some(patience) = patience {
         draft.deadline = draft.deadline.min(now + patience);
--- a/crates/engine/src/homes.rs
+++ b/crates/engine/src/keyed_calls.rs
@@ -27,17 +27,17 @@
 use stdx::Time;
 
 /// The most calls that wait for slots on their way.
-const MAX_HELD: usize = 1024;
+const MAX_HELD_CALLS: usize = 1024;
 
 /// How long a call waits for a slot on its way.
-const HOLD: Duration = Duration::from_secs(2);
+const MAX_HOLD_TIME: Duration = Duration::from_secs(2);
 
 /// The run of a key that is under way.
 #[derive(Debug)]
-pub(crate) struct KeyWork {
+pub(crate) struct KeyRun {
     /// `None` if it runs at an earlier home.
     run: Option<RunId>,
-    waiting: Vec<CallId>,
+    waiting_calls: Vec<CallId>,
 }
 
 /// A call that waits for its slot.
@@ -52,14 +52,14 @@
 pub(crate) type HeldCalls = IndexMap<CallId, HeldCall>;
 
 impl Engine {
-    pub(crate) fn on_home_call(&mut self, now: Time, call: Call) {
+    pub(crate) fn on_keyed_call(&mut self, now: Time, call: Call) {
         let (id, allowance) = (call.id, call.allowance);
         let Some((key, fingerprint)) = call.key else {
             return self.answer_call(id, allowance, self.not_run(Reason::BadKey));
         };
         match self.home.begin(now, key, fingerprint, call.fresh) {
-            Begin::Start => self.start_key(now, key, call),
-            Begin::Attach => self.attach(key, id),
+            Begin::Start => self.start_keyed_run(now, key, call),
+            Begin::Attach => self.attach_to_run(key, id),
             Begin::Done(response) => {
                 self.count(Counter::ResponseReplayed);
                 self.answer_call(id, allowance, Outcome::Whole(response));
@@ -68,63 +68,63 @@
             Begin::Unknown => {
                 self.answer_call(id, allowance, Outcome::Unknown(Reason::RecordLost));
             }
-            Begin::Wait => self.hold(now, key, call),
+            Begin::Wait => self.hold_call(now, key, call),
         }
     }
 
-    fn start_key(&mut self, now: Time, key: KeyHash, call: Call) {
+    fn start_keyed_run(&mut self, now: Time, key: KeyHash, call: Call) {
         let id = call.id;
         let run = self.new_job(now, JobOwner::Key(key), call);
-        self.keys.insert(
+        self.key_runs.insert(
             key,
-            KeyWork {
+            KeyRun {
                 run: Some(run),
-                waiting: vec![id],
+                waiting_calls: vec![id],
             },
         );
-        self.wait_for_key(key, id);
+        self.add_waiting_call(key, id);
         self.offer(now, run);
     }
 
     /// A re-send waits for the run in flight. What it was lent is not given back, as if it were
     /// spent: too few retries do no harm, too many do.
-    fn attach(&mut self, key: KeyHash, id: CallId) {
-        let work = self.keys.entry(key).or_insert_with(|| KeyWork {
+    fn attach_to_run(&mut self, key: KeyHash, id: CallId) {
+        let work = self.key_runs.entry(key).or_insert_with(|| KeyRun {
             run: None,
-            waiting: Vec::new(),
+            waiting_calls: Vec::new(),
         });
-        work.waiting.push(id);
-        self.wait_for_key(key, id);
+        work.waiting_calls.push(id);
+        self.add_waiting_call(key, id);
         self.count(Counter::ResendAttached);
     }
 
-    fn wait_for_key(&mut self, key: KeyHash, id: CallId) {
+    fn add_waiting_call(&mut self, key: KeyHash, id: CallId) {
         let work = Work::Key(key);
         self.inbound.insert(id, Inbound { work });
     }
 
     /// The slot is on its way. A refusal would send the call round the nodes while the records are
     /// under way for a few milliseconds; so it waits, for a bounded time, in a bounded table.
-    fn hold(&mut self, now: Time, key: KeyHash, call: Call) {
+    fn hold_call(&mut self, now: Time, key: KeyHash, call: Call) {
         let (id, allowance) = (call.id, call.allowance);
-        if self.held.len() >= MAX_HELD {
+        if self.held_calls.len() >= MAX_HELD_CALLS {
             return self.answer_call(id, allowance, self.not_run(Reason::Moving));
         }
-        let until = now + HOLD.min(Duration::from_millis(u64::from(call.remaining_ms)));
+        let until = now + MAX_HOLD_TIME.min(Duration::from_millis(u64::from(call.remaining_ms)));
         self.timers.set(until, Timer::Held(id));
         self.inbound.insert(id, Inbound { work: Work::Held });
-        self.held.insert(id, HeldCall { call, key, until });
+        self.held_calls.insert(id, HeldCall { call, key, until });
     }
 
     fn take_held(&mut self, id: CallId) -> Option<HeldCall> {
-        let held = self.held.swap_remove(&id)?;
+        let held = self.held_calls.swap_remove(&id)?;
         self.timers.clear(held.until, Timer::Held(id));
         self.inbound.swap_remove(&id);
         Some(held)
     }
 
     /// A call has waited long enough.
-    pub(crate) fn on_held_too_long(&mut self, id: CallId) {
+    pub(crate) fn on_hold_timeout(&mut self, id: CallId) {
         if let Some(held) = self.take_held(id) {
             self.answer_call(id, held.call.allowance, self.not_run(Reason::Moving));
         }
@@ -137,8 +137,8 @@
     }
 
     /// Calls that waited begin again.
-    fn release(&mut self, now: Time, may_go_on: impl Fn(KeyHash) -> bool) {
-        let waiting = self.held.iter();
+    fn release_held_calls(&mut self, now: Time, may_go_on: impl Fn(KeyHash) -> bool) {
+        let waiting = self.held_calls.iter();
         let waiting: Vec<CallId> = waiting
             .filter(|(_, held)| may_go_on(held.key))
             .map(|(id, _)| *id)
@@ -147,25 +147,31 @@
             let Some(mut held) = self.take_held(id) else {
                 continue;
             };
-            let waited = HOLD.saturating_sub(now.until(held.until));
+            let waited = MAX_HOLD_TIME.saturating_sub(now.until(held.until));
             let waited = u32::try_from(waited.as_millis()).unwrap_or(u32::MAX);
             held.call.remaining_ms = held.call.remaining_ms.saturating_sub(waited);
-            self.on_home_call(now, held.call);
+            self.on_keyed_call(now, held.call);
         }
     }
 
     /// The run of a key has ended: the record first, then everyone who waits.
-    pub(crate) fn end_key(&mut self, now: Time, key: KeyHash, unspent: u16, outcome: Outcome) {
+    pub(crate) fn finish_keyed_run(
+        &mut self,
+        now: Time,
+        key: KeyHash,
+        unspent: u16,
+        outcome: Outcome,
+    ) {
         let end = match &outcome {
             Outcome::Whole(response) => End::Done(response.clone()),
             Outcome::NotRun(_) => End::NotRun,
             Outcome::Unknown(_) => End::Unknown,
         };
         let effects = self.home.finish(now, key, end);
-        let Some(work) = self.keys.swap_remove(&key) else {
+        let Some(work) = self.key_runs.swap_remove(&key) else {
             return self.apply_home(now, effects);
         };
-        for (id, first) in work.waiting.into_iter().zip((0..).map(|n| n == 0)) {
+        for (id, first) in work.waiting_calls.into_iter().zip((0..).map(|n| n == 0)) {
             let unspent = if first { unspent } else { 0 };
             self.answer_call(id, unspent, outcome.clone());
         }
@@ -174,13 +180,13 @@
 
     /// A caller has gone. A run that began goes on and keeps its record; only one that nobody
     /// waits for any more and that never left the queue is taken back.
-    pub(crate) fn cancel_key(&mut self, now: Time, key: KeyHash, id: CallId) {
+    pub(crate) fn cancel_keyed_call(&mut self, now: Time, key: KeyHash, id: CallId) {
         self.inbound.swap_remove(&id);
-        let Some(work) = self.keys.get_mut(&key) else {
+        let Some(work) = self.key_runs.get_mut(&key) else {
             return;
         };
-        work.waiting.retain(|waiting| *waiting != id);
-        if !work.waiting.is_empty() {
+        work.waiting_calls.retain(|waiting| *waiting != id);
+        if !work.waiting_calls.is_empty() {
             return;
         }
         let run = work.run;
@@ -188,13 +194,13 @@
             Some(run) if self.withdraw(run) => self.withdraw_job(now, run),
             Some(_) => {}
             None => {
-                self.keys.swap_remove(&key);
+                self.key_runs.swap_remove(&key);
             }
         }
     }
 
     /// Whether a job may start now, and for how long it may still be on its way to the server.
-    pub(crate) fn right_to_start(
+    pub(crate) fn start_permit(
         &mut self,
         now: Time,
         owner: JobOwner,
@@ -233,8 +239,8 @@
     /// Takes the service's views from the topic's state, if they are newer than the home's, one by
     /// one. A state that was taken from a peer may have skipped more than it remembers, and after
     /// departures that were forgotten nobody can tell what was before the first view.
-    pub(crate) fn update_home(&mut self, now: Time) {
-        let Some(view) = self.journal.view(&self.me.service) else {
+    pub(crate) fn apply_new_views(&mut self, now: Time) {
+        let Some(view) = self.journal.view(&self.own_instance.service) else {
             return;
         };
         if self.home.view() >= Some(view.number) {
@@ -269,7 +275,7 @@
         if unheard || (!self.is_listed() && self.home.is_handed_over()) {
             return true;
         }
-        let ends = *self.handover_ends.get_or_insert_with(|| {
+        let ends = *self.handover_deadline.get_or_insert_with(|| {
             let ends = now + self.cfg.leave_timeout;
             self.timers.set(ends, Timer::Handover);
             ends
@@ -288,7 +294,7 @@
             Effect::Lease { to, message } => {
                 let version = PROTOCOL_VERSION;
                 let datagram = Datagram::Lease { version, message };
-                self.out.push(Output::Datagram { to, datagram });
+                self.outputs.push(Output::Datagram { to, datagram });
             }
             Effect::Transfer { to, transfer } => {
                 self.send(&to, Frame::Transfer(Box::new(transfer)));
@@ -299,11 +305,11 @@
             }
             Effect::Finished { to, record } => self.send(&to, Frame::Finished(Box::new(record))),
             Effect::FinishedDone { to, key } => self.send(&to, Frame::FinishedDone(key)),
-            Effect::Settled(slot) => self.release(now, |key| key.slot() == slot),
-            Effect::Leased => self.release(now, |_| true),
-            Effect::Ended(key) => self.on_ended_elsewhere(key),
-            Effect::Recall(key) => self.recall(now, key),
-            Effect::Behind => self.out.push(Output::ReadLog),
+            Effect::Settled(slot) => self.release_held_calls(now, |key| key.slot() == slot),
+            Effect::Leased => self.release_held_calls(now, |_| true),
+            Effect::Ended(key) => self.on_run_ended_elsewhere(key),
+            Effect::Recall(key) => self.recall_queued_run(now, key),
+            Effect::Behind => self.outputs.push(Output::ReadLog),
             Effect::Expelled => self.expel(now),
             Effect::Fault(fault) => {
                 debug_assert!(false, "{fault:?}");
@@ -313,11 +319,15 @@
     }
 
     /// A run at an earlier home has ended: whoever waits here begins again and finds its end.
-    fn on_ended_elsewhere(&mut self, key: KeyHash) {
-        if self.keys.get(&key).is_none_or(|work| work.run.is_some()) {
+    fn on_run_ended_elsewhere(&mut self, key: KeyHash) {
+        if self
+            .key_runs
+            .get(&key)
+            .is_none_or(|work| work.run.is_some())
+        {
             return;
         }
-        let Some(work) = self.keys.swap_remove(&key) else {
+        let Some(work) = self.key_runs.swap_remove(&key) else {
             return;
         };
         let outcome = match self.home.known(key) {
@@ -325,14 +335,14 @@
             Begin::NotRun(reason) => self.not_run(reason),
             _ => Outcome::Unknown(Reason::RecordLost),
         };
-        for id in work.waiting {
+        for id in work.waiting_calls {
             self.answer_call(id, 0, outcome.clone());
         }
     }
 
     /// A queued run is taken back, because its slot moves; its callers go to the new home.
-    fn recall(&mut self, now: Time, key: KeyHash) {
-        let run = self.keys.get(&key).and_then(|work| work.run);
+    fn recall_queued_run(&mut self, now: Time, key: KeyHash) {
+        let run = self.key_runs.get(&key).and_then(|work| work.run);
         let Some(run) = run.filter(|run| self.server.withdraw(run.number)) else {
             return;
         };
@@ -343,7 +353,10 @@
     /// An incarnation that departed never comes back. One that never saw itself in a view has
     /// nothing to hand over and ends at once; left running, it would ask to join for ever.
     pub(crate) fn check_departed(&mut self, now: Time) {
-        let departed = self.journal.departed.contains_key(&self.me.incarnation);
+        let departed = self
+            .journal
+            .departed
+            .contains_key(&self.own_instance.incarnation);
         if departed && !self.home.has_joined() && !self.stopping {
             self.expel(now);
         }
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -5,21 +5,21 @@
 //! the same code, each with a clock and a network of its own.
 
 mod admission;
-mod answered;
-mod appends;
+mod answer_cache;
+mod append_queue;
 mod calls;
 mod config;
 mod counter;
 mod engine;
-mod entry;
 mod fetch;
 mod freshness;
 mod gauges;
 mod hedge;
-mod homes;
 mod identity;
+mod ingress;
 mod io;
 mod job;
+mod keyed_calls;
 mod log;
 mod members;
 mod note;
--- a/crates/engine/src/log.rs
+++ b/crates/engine/src/log.rs
@@ -1,7 +1,7 @@
 //! The log controller: folds the topic of views, announces this node, and takes it out again.
 
-use crate::appends::AppendKey;
-use crate::appends::AppendQueue;
+use crate::append_queue::AppendKey;
+use crate::append_queue::AppendQueue;
 use crate::Counter;
 use crate::Engine;
 use crate::Output;
@@ -82,12 +82,12 @@
                     self.on_rules(now);
                 }
                 Change::View(_) => self.on_view_change(now),
-                Change::Gap => return self.out.push(Output::ReadLog),
+                Change::Gap => return self.outputs.push(Output::ReadLog),
             }
         }
         // What is read at the start is no news to anybody.
         if self.log.ready && self.journal.version > before {
-            self.spread_progress(true);
+            self.announce_progress(true);
         }
     }
 
@@ -118,7 +118,7 @@
         self.journal = newest;
         self.count(Counter::StateRestored);
         self.on_rules(now);
-        if let Some(view) = self.journal.view(&self.me.service).cloned() {
+        if let Some(view) = self.journal.view(&self.own_instance.service).cloned() {
             let effects = self.home.on_baseline(now, &view);
             self.apply_home(now, effects);
         }
@@ -130,7 +130,7 @@
     }
 
     fn on_rules(&mut self, now: Time) {
-        let limit = self.journal.rules.limit(&self.me.service);
+        let limit = self.journal.rules.limit(&self.own_instance.service);
         let operations = || self.journal.rules.all_operations();
         let longest = operations().map(|operation| operation.deadline).max();
         let ranks = match self.cfg.policy.ranks {
@@ -158,7 +158,7 @@
                 self.count(Counter::RulesInForce);
                 self.log.ready = true;
                 self.on_rules(now);
-                self.spread_progress(true);
+                self.announce_progress(true);
             }
             Change::Broken => self.count(Counter::PublicationRejected),
             _ => {}
@@ -169,12 +169,12 @@
         self.count(Counter::StateRestored);
         self.on_rules(now);
         // Views before the one in the state may have been missed.
-        self.update_home(now);
+        self.apply_new_views(now);
     }
 
     fn on_view_change(&mut self, now: Time) {
         self.update_roster(now);
-        self.update_home(now);
+        self.apply_new_views(now);
     }
 
     pub(crate) fn on_log_read(&mut self, now: Time) {
@@ -184,19 +184,26 @@
         self.check_departed(now);
         // An incarnation that the views have dropped never comes back: it ends, and its next start
         // is another one.
-        let dropped = self.journal.departed.contains_key(&self.me.incarnation);
-        if !self.stopping && !dropped && !self.is_listed() && self.journal.admits(&self.me) {
+        let dropped = self
+            .journal
+            .departed
+            .contains_key(&self.own_instance.incarnation);
+        if !self.stopping
+            && !dropped
+            && !self.is_listed()
+            && self.journal.admits(&self.own_instance)
+        {
             self.append(AppendKey::Join);
         }
         if self.is_oldest_member() && self.journal.to_forget().is_some() {
-            self.append(AppendKey::Forget);
+            self.append(AppendKey::DropDeparture);
         }
     }
 
     /// Whether this is the first instance that the views name: the one that drops what is old.
     fn is_oldest_member(&self) -> bool {
         let oldest = self.journal.instances().next();
-        oldest.is_some_and(|oldest| oldest.incarnation == self.me.incarnation)
+        oldest.is_some_and(|oldest| oldest.incarnation == self.own_instance.incarnation)
     }
 
     /// Has something said, unless it waits to be said already. It is tried until the fold shows its
@@ -212,28 +219,28 @@
     }
 
     fn record(&self, key: AppendKey) -> Option<Record> {
-        let mine = self.me.incarnation;
+        let mine = self.own_instance.incarnation;
         Some(match key {
-            AppendKey::Join => Record::Join(self.me.clone()),
+            AppendKey::Join => Record::Join(self.own_instance.clone()),
             AppendKey::Leave => Record::Leave(mine),
             AppendKey::Evict(incarnation) => Record::Evict {
                 incarnation,
                 by: mine,
             },
-            AppendKey::Forget => self.journal.to_forget()?,
+            AppendKey::DropDeparture => self.journal.to_forget()?,
         })
     }
 
     /// Drops what the topic shows by now, and starts the next append that is due.
     pub(crate) fn pump_appends(&mut self, now: Time) {
-        let mine = self.me.incarnation;
+        let mine = self.own_instance.incarnation;
         let journal = &self.journal;
         // A record that would change nothing must not land: it would take the key of one that did.
         self.log.appends.retain(|key| match key {
             AppendKey::Join => !journal.is_listed(mine),
             AppendKey::Leave => !journal.departed.contains_key(&mine),
             AppendKey::Evict(other) => journal.is_listed(other) && journal.is_listed(mine),
-            AppendKey::Forget => journal.to_forget().is_some(),
+            AppendKey::DropDeparture => journal.to_forget().is_some(),
         });
         if self.log.give_up.is_some_and(|give_up| give_up <= now) {
             self.log.give_up = None;
@@ -246,7 +253,7 @@
         if due.is_none_or(|due| due > now) || !self.log.may_append(self.journal.next) {
             return;
         }
-        let number = self.number();
+        let number = self.allocate_id();
         let Some(key) = self.log.appends.start(now, number) else {
             return;
         };
@@ -256,7 +263,7 @@
         self.log.join_sent |= key == AppendKey::Join;
         self.log.append_at = self.journal.next;
         self.log.overtaken = false;
-        self.out.push(Output::Append {
+        self.outputs.push(Output::Append {
             number,
             at: self.journal.next,
             entries: record.entries(),
@@ -264,7 +271,7 @@
     }
 
     pub(crate) fn on_appended(&mut self, now: Time, number: u64) {
-        let Some((key, _)) = self.log.appends.ended(number) else {
+        let Some((key, _)) = self.log.appends.finish(number) else {
             return;
         };
         match key {
@@ -272,13 +279,13 @@
             // The fold has the last word; meanwhile there is no reason to say it again.
             _ => self.log.appends.postpone(key, now + MAX_APPEND_RETRY),
         }
-        self.out.push(Output::ReadLog);
+        self.outputs.push(Output::ReadLog);
     }
 
     /// Another record came first, so this one was not appended and never will be. It is made anew
     /// once the other has been read.
     pub(crate) fn on_append_conflict(&mut self, now: Time, number: u64) {
-        let Some((key, attempts)) = self.log.appends.ended(number) else {
+        let Some((key, attempts)) = self.log.appends.finish(number) else {
             return;
         };
         self.count(Counter::AppendConflict);
@@ -293,7 +300,7 @@
     /// their answers together when the log goes down, so the next try waits longer each time and
     /// for a random part of it; else they would all come back at once.
     pub(crate) fn on_append_lost(&mut self, now: Time, number: u64) {
-        let Some((key, attempts)) = self.log.appends.ended(number) else {
+        let Some((key, attempts)) = self.log.appends.finish(number) else {
             return;
         };
         self.count(Counter::AppendLost);
@@ -303,14 +310,17 @@
             .min(MAX_APPEND_RETRY)
             .mul_f64(self.rng.random_range(0.5..1.0));
         self.log.appends.postpone(key, now + wait);
-        self.out.push(Output::ReadLog);
+        self.outputs.push(Output::ReadLog);
     }
 
     /// Says in the topic that this node leaves. A `Join` that may be on its way makes no difference:
     /// of the two, the one that is appended first keeps the other out or comes before it.
     pub(crate) fn leave_log(&mut self, now: Time) {
         self.log.appends.remove(AppendKey::Join);
-        let gone = self.journal.departed.contains_key(&self.me.incarnation);
+        let gone = self
+            .journal
+            .departed
+            .contains_key(&self.own_instance.incarnation);
         if !gone && (self.log.join_sent || self.is_listed()) {
             self.append(AppendKey::Leave);
             // In an outage of the log a stop would never end. The views go on naming this node
@@ -326,6 +336,6 @@
 
     /// Whether the log's views name this incarnation.
     pub fn is_listed(&self) -> bool {
-        self.journal.is_listed(self.me.incarnation)
+        self.journal.is_listed(self.own_instance.incarnation)
     }
 }
--- a/crates/engine/src/members.rs
+++ b/crates/engine/src/members.rs
@@ -1,6 +1,6 @@
 //! The membership controller: roster, probes, loads.
 
-use crate::appends::AppendKey;
+use crate::append_queue::AppendKey;
 use crate::Counter;
 use crate::Engine;
 use crate::LinkEvent;
@@ -71,7 +71,7 @@
     }
 
     pub(crate) fn tick_members(&mut self, now: Time) {
-        if std::mem::take(&mut self.roster_changed) {
+        if std::mem::take(&mut self.views_changed) {
             let effects = self.members.set_roster(now, self.journal.instances());
             self.apply_members(now, effects);
         }
@@ -91,7 +91,7 @@
     /// The log's views name instances that this node has perhaps not heard of yet. The members are
     /// told once for a batch of records, because a start reads the views' whole history.
     pub(crate) fn update_roster(&mut self, _now: Time) {
-        self.roster_changed = true;
+        self.views_changed = true;
     }
 
     pub(crate) fn load_report(&self) -> LoadReport {
@@ -103,8 +103,8 @@
 
     /// Sends a frame to a node that is known, or was lately.
     pub(crate) fn send_to(&mut self, to: Incarnation, frame: Frame) {
-        if to == self.me.incarnation {
-            let me = self.me.clone();
+        if to == self.own_instance.incarnation {
+            let me = self.own_instance.clone();
             return self.send(&me, frame);
         }
         match self.members.get(to) {
@@ -125,7 +125,7 @@
                         progress: self.journal.progress(),
                         message,
                     };
-                    self.out.push(Output::Datagram { to, datagram });
+                    self.outputs.push(Output::Datagram { to, datagram });
                 }
                 Effect::Changed { incarnation, state } => {
                     self.count(Counter::PeerChanged);
--- a/crates/engine/src/own_server.rs
+++ b/crates/engine/src/own_server.rs
@@ -62,7 +62,7 @@
     }
 
     fn on_heartbeat(&mut self, now: Time, heartbeat: Heartbeat) {
-        if heartbeat.service != self.me.service {
+        if heartbeat.service != self.own_instance.service {
             return self.count(Counter::WrongServiceHeartbeat);
         }
         match &mut self.own_server {
@@ -99,7 +99,11 @@
         if !self.has_rules() {
             return;
         }
-        let path = self.journal.rules.health_paths.get(&self.me.service);
+        let path = self
+            .journal
+            .rules
+            .health_paths
+            .get(&self.own_instance.service);
         let Some(known) = self.own_server.as_mut() else {
             return;
         };
@@ -110,7 +114,7 @@
             Some(path) => {
                 known.check = Check::Asked;
                 let (id, path) = (known.heartbeat.id.clone(), path.clone());
-                self.out.push(Output::CheckServer { id, path });
+                self.outputs.push(Output::CheckServer { id, path });
             }
             None => {
                 known.check = Check::Passed;
@@ -153,7 +157,7 @@
 
     fn note_own_server(&mut self, open: bool) {
         if let Some(known) = &self.own_server {
-            self.out.push(Output::Note(Note::OwnServer {
+            self.outputs.push(Output::Note(Note::OwnServer {
                 id: known.heartbeat.id.clone(),
                 open,
                 sequence: known.heartbeat.sequence,
@@ -196,7 +200,7 @@
     /// The bounds of the rules; a server that tells its slots is never given more than those,
     /// because what it has to queue, or can't, it may never answer.
     pub(crate) fn set_server_bounds(&mut self) {
-        let limit = self.journal.rules.limit(&self.me.service);
+        let limit = self.journal.rules.limit(&self.own_instance.service);
         let slots = self.own_server.as_ref().map(|known| known.heartbeat.slots);
         let most = slots.map_or(limit.max_concurrency, |slots| {
             below_knee(slots).min(limit.max_concurrency)
--- a/crates/engine/src/peer_notes.rs
+++ b/crates/engine/src/peer_notes.rs
@@ -50,7 +50,7 @@
             return self.peer_notes.counted.add(state);
         }
         self.peer_notes.told += 1;
-        self.out.push(Output::Note(Note::Peer {
+        self.outputs.push(Output::Note(Note::Peer {
             incarnation,
             addr: peer.instance.addr,
             state,
@@ -68,6 +68,7 @@
         for peer in self.members.peers() {
             known.add(peer.state);
         }
-        self.out.push(Output::Note(Note::Peers { changed, known }));
+        self.outputs
+            .push(Output::Note(Note::Peers { changed, known }));
     }
 }
--- a/crates/engine/src/quota.rs
+++ b/crates/engine/src/quota.rs
@@ -154,7 +154,7 @@
         let live = self.members.peers();
         let live = live.filter(|peer| peer.state == PeerState::Alive);
         let peers = live.map(|peer| peer.instance.incarnation);
-        let me = (!self.stopping).then_some(self.me.incarnation);
+        let me = (!self.stopping).then_some(self.own_instance.incarnation);
         let borrower = &self.quota.borrower;
         let nodes = peers
             .chain(me)
@@ -169,7 +169,7 @@
             vote,
             wanted,
         } = loans;
-        let me = self.me.incarnation;
+        let me = self.own_instance.incarnation;
         if lender == me {
             let (stamp, lent) = self.lend(now, group, me, vote, &wanted);
             return self.on_lent(now, me, group, number, stamp, &lent);
@@ -190,7 +190,7 @@
     }
 
     pub(crate) fn on_quota_message(&mut self, now: Time, addr: SocketAddr, message: QuotaMessage) {
-        let me = self.me.incarnation;
+        let me = self.own_instance.incarnation;
         match message {
             QuotaMessage::Borrow {
                 from,
@@ -296,7 +296,7 @@
             match self.quota.borrower.take_waiting(now, id) {
                 Some(credit) => {
                     if let Some((_, arrival)) = self.quota.waiting.shift_remove(&token) {
-                        self.on_credit(now, arrival, credit);
+                        self.on_quota_granted(now, arrival, credit);
                     }
                 }
                 None => return,
@@ -380,6 +380,6 @@
             version: PROTOCOL_VERSION,
             message,
         };
-        self.out.push(Output::Datagram { to, datagram });
+        self.outputs.push(Output::Datagram { to, datagram });
     }
 }
--- a/crates/engine/src/reattach.rs
+++ b/crates/engine/src/reattach.rs
@@ -36,7 +36,7 @@
             } else {
                 self.selector.on_ended(peer);
                 self.timers.clear(call.deadline, Timer::Deadline(id));
-                self.after_lost(now, call, Reason::PeerLost);
+                self.on_attempt_lost(now, call, Reason::PeerLost);
             }
         }
     }
@@ -56,7 +56,7 @@
             } else {
                 call.account.give_back(call.lent, call.lent);
                 let refusal = self.refusal(Reason::PeerLost);
-                self.after_not_run(now, call, refusal);
+                self.on_not_run(now, call, refusal);
             }
         }
     }
@@ -72,7 +72,7 @@
             .is_none_or(|peer| peer.state == PeerState::Dead);
         let elsewhere = call.idempotent && call.account.left() > 0;
         if gone || elsewhere || call.reattaches >= MAX_REATTACHES {
-            return self.after_lost(now, call, Reason::PeerLost);
+            return self.on_attempt_lost(now, call, Reason::PeerLost);
         }
         let wait = REATTACH_WAIT * (1 << call.reattaches);
         call.reattaches += 1;
--- a/crates/engine/src/resends.rs
+++ b/crates/engine/src/resends.rs
@@ -109,13 +109,13 @@
     /// answer must come before the re-send's own deadline.
     fn leader(&self, sent: Sent, draft: &Draft) -> Option<Token> {
         let token = self.resends.in_flight.get(&sent)?;
-        let call = self.calls.get(&self.open.get(token)?.call)?;
+        let call = self.calls.get(&self.open_requests.get(token)?.call)?;
         let fits = call.request == draft.request && call.deadline <= draft.deadline;
         fits.then_some(*token)
     }
 
     fn follow(&mut self, leader: Token, draft: Draft) {
-        let Some(open) = self.open.get_mut(&leader) else {
+        let Some(open) = self.open_requests.get_mut(&leader) else {
             return;
         };
         if open.followers.len() >= MAX_FOLLOWERS {
@@ -131,18 +131,18 @@
     /// wait. Gives whether the work is still wanted.
     pub(crate) fn unfollow(&mut self, token: Token) -> bool {
         if let Some(leader) = self.followers.swap_remove(&token) {
-            if let Some(open) = self.open.get_mut(&leader) {
+            if let Some(open) = self.open_requests.get_mut(&leader) {
                 open.followers.retain(|follower| *follower != token);
             }
             // Every token gets an answer, or whoever holds it waits for ever.
-            self.out.push(Output::Answer {
+            self.outputs.push(Output::Answer {
                 token,
                 outcome: Outcome::Unknown(Reason::CallerGone),
                 made_key: None,
             });
             return true;
         }
-        let open = self.open.get(&token);
+        let open = self.open_requests.get(&token);
         open.is_some_and(|open| !open.followers.is_empty())
     }
 }
--- a/crates/engine/src/routing.rs
+++ b/crates/engine/src/routing.rs
@@ -18,15 +18,15 @@
 
     pub(crate) fn choose_server(&mut self, now: Time, call: &Outgoing) -> Option<Instance> {
         let service = &call.request.service;
-        let mine = self.me.incarnation;
-        if self.me.service == *service {
+        let mine = self.own_instance.incarnation;
+        if self.own_instance.service == *service {
             self.enter_self(now);
         }
         let chosen = self
             .selector
             .choose(now, service, &call.avoid, &mut self.rng)?;
         if chosen == mine {
-            return Some(self.me.clone());
+            return Some(self.own_instance.clone());
         }
         self.members.get(chosen).map(|peer| peer.instance.clone())
     }
@@ -38,7 +38,7 @@
         } else {
             Standing::Ready
         };
-        let (mine, service) = (self.me.incarnation, &self.me.service);
+        let (mine, service) = (self.own_instance.incarnation, &self.own_instance.service);
         self.selector
             .set(now, mine, service, Place::SameDomain, standing);
         self.selector.on_report(now, mine, self.server.report());
@@ -67,9 +67,9 @@
     }
 
     pub(crate) fn place(&self, peer: &Instance) -> Place {
-        if peer.failure_domain == self.me.failure_domain {
+        if peer.failure_domain == self.own_instance.failure_domain {
             Place::SameDomain
-        } else if peer.region == self.me.region {
+        } else if peer.region == self.own_instance.region {
             Place::SameRegion
         } else {
             Place::OtherRegion
--- a/crates/engine/src/serve.rs
+++ b/crates/engine/src/serve.rs
@@ -1,7 +1,7 @@
 //! Calls from other nodes, and work on the own backend server.
 
-use crate::admission::shed;
-use crate::answered::Seen;
+use crate::admission::shed_refusal;
+use crate::answer_cache::CachedAnswer;
 use crate::job::Job;
 use crate::job::JobOwner;
 use crate::operation_key::operation_key;
@@ -61,17 +61,17 @@
         if self.inbound.contains_key(&call.id) {
             return;
         }
-        match self.answered.get(call.id) {
-            Seen::Answered(answer) => {
+        match self.answer_cache.get(call.id) {
+            CachedAnswer::Found(answer) => {
                 let frame = Frame::Answer(call.id, Box::new(answer.clone()));
                 return self.send_to(from, frame);
             }
-            Seen::Forgotten => return self.answer_forgotten(from, call.id),
-            Seen::Never => {}
+            CachedAnswer::Evicted => return self.answer_forgotten(from, call.id),
+            CachedAnswer::Absent => {}
         }
         match call.leg {
             Leg::Serve => self.serve(now, call),
-            Leg::Home => self.on_home_call(now, call),
+            Leg::Home => self.on_keyed_call(now, call),
         }
     }
 
@@ -101,8 +101,8 @@
     /// Enters work for the own backend server.
     pub(crate) fn new_job(&mut self, now: Time, owner: JobOwner, call: Call) -> RunId {
         let run = RunId {
-            at: self.me.incarnation,
-            number: self.number(),
+            at: self.own_instance.incarnation,
+            number: self.allocate_id(),
         };
         let request = call.request;
         let rules = &self.journal.rules;
@@ -139,7 +139,7 @@
             self.timers.set(job.deadline, Timer::Run(run));
         }
         if !job.request.id.is_empty() {
-            self.jobs_by_id.insert(job.request.id.clone(), run);
+            self.jobs_by_request_id.insert(job.request.id.clone(), run);
         }
         self.jobs.insert(run, job);
         run
@@ -173,7 +173,7 @@
             let level = self.path_level(now, run);
             if admission_value(ticket.class, ticket.dice) < level {
                 self.server.refused_before(now, ticket.class);
-                let refusal = shed(level, ticket.class, ticket.dice);
+                let refusal = shed_refusal(level, ticket.class, ticket.dice);
                 if let Some(job) = self.jobs.get_mut(&run) {
                     job.met
                         .extend(job.operation.clone().map(|own| (own, level)));
@@ -196,14 +196,14 @@
     fn path_level(&self, now: Time, run: RunId) -> u16 {
         let job = self.jobs.get(&run).filter(|_| self.cfg.policy.levels);
         let operation = job.and_then(|job| job.operation.as_ref());
-        operation.map_or(0, |operation| self.admission.path(now, operation))
+        operation.map_or(0, |operation| self.admission.level_below(now, operation))
     }
 
     /// Lets the queue move.
     pub(crate) fn pump_server(&mut self, now: Time) {
         while let Some((ticket, offer)) = self.server.next(now) {
             let run = RunId {
-                at: self.me.incarnation,
+                at: self.own_instance.incarnation,
                 number: ticket.id,
             };
             self.after_offer(now, run, offer);
@@ -222,7 +222,7 @@
         let Some((owner, class)) = self.jobs.get(&run).map(|job| (job.owner, job.class)) else {
             return;
         };
-        let start_within = match self.right_to_start(now, owner) {
+        let start_within = match self.start_permit(now, owner) {
             Ok(start_within) => start_within,
             Err(reason) => {
                 self.server.finished(now, class, policy::Ended::Failed);
@@ -237,7 +237,7 @@
         job.expect = expect.clone();
         let request = job.request.clone();
         let remaining = now.until(job.deadline);
-        self.out.push(Output::Run {
+        self.outputs.push(Output::Run {
             run,
             request,
             expect,
@@ -245,7 +245,7 @@
             start_within,
         });
         self.count(Counter::Run(class));
-        self.watch_run(now, run);
+        self.set_hedge_timer(now, run);
     }
 
     pub(crate) fn on_run_ended(&mut self, now: Time, run: RunId, end: RunEnd) {
@@ -257,7 +257,7 @@
         let expect = job.expect.clone();
         let made_calls = matches!(job.owner, JobOwner::Key(_)) && !job.children.is_empty();
         let ended = job.ended(now, &end);
-        self.learn_run(now, run, ended);
+        self.record_run_time(now, run, ended);
         self.server.finished(now, class, ended);
         let outcome = match end {
             RunEnd::Response(response) => {
@@ -296,7 +296,7 @@
         if let Some(at) = job.late_at {
             self.timers.clear(at, Timer::LateRun(run));
         }
-        self.out.push(Output::Note(Note::Ran {
+        self.outputs.push(Output::Note(Note::Ran {
             request: job.request.id.clone(),
             class: job.class,
             depth: job.depth,
@@ -305,20 +305,20 @@
             left_ms: now.until(job.deadline).as_millis() as u64,
             server: self.server_state(),
         }));
-        if self.jobs_by_id.get(&job.request.id) == Some(&run) {
-            self.jobs_by_id.swap_remove(&job.request.id);
+        if self.jobs_by_request_id.get(&job.request.id) == Some(&run) {
+            self.jobs_by_request_id.swap_remove(&job.request.id);
         }
         let unspent = job.account.left();
         let below = job.below();
         if let Some(operation) = job.operation.as_ref().filter(|_| job.started.is_some()) {
-            self.admission.hear_path(now, operation, below);
+            self.admission.record_below(now, operation, below);
         }
-        self.run_below = below;
+        self.ended_run_below = below;
         match job.owner {
             JobOwner::Call(call) => self.answer_call(call, unspent, outcome),
-            JobOwner::Key(key) => self.end_key(now, key, unspent, outcome),
+            JobOwner::Key(key) => self.finish_keyed_run(now, key, unspent, outcome),
         }
-        self.run_below = Below::default();
+        self.ended_run_below = Below::default();
         self.next_suspect(now, run);
     }
 
@@ -328,7 +328,7 @@
         };
         match inbound.work {
             Work::Run(run) => self.cancel_run(now, run),
-            Work::Key(key) => self.cancel_key(now, key, id),
+            Work::Key(key) => self.cancel_keyed_call(now, key, id),
             Work::Held => self.cancel_held(id),
         }
     }
@@ -339,7 +339,7 @@
         if self.withdraw(run) {
             return self.withdraw_job(now, run);
         }
-        self.out.push(Output::CancelRun(run));
+        self.outputs.push(Output::CancelRun(run));
         let Some(job) = self.jobs.get_mut(&run) else {
             return;
         };
@@ -384,9 +384,9 @@
             outcome,
             unspent,
             load: self.load_report(),
-            below: self.run_below,
+            below: self.ended_run_below,
         };
-        self.answered.insert(id, answer.clone());
+        self.answer_cache.insert(id, answer.clone());
         self.send_to(id.from, Frame::Answer(id, Box::new(answer)));
     }
 
