--- a/crates/engine/src/admission.rs
+++ b/crates/engine/src/admission.rs
@@ -20,11 +20,11 @@
 use stdx::Time;
 
 /// Instances and operations whose levels are kept.
-const LEVELS_KEPT: usize = 2048;
+const MAX_TRACKED_LEVELS: usize = 2048;
 
 /// Levels heard of.
 #[derive(Debug)]
-pub(crate) struct Admission {
+pub(crate) struct AdmissionLevels {
     /// By instance, from its own answers.
     instances: BoundedMap<Incarnation, ReportedLevel>,
     /// By operation, of the services below it.
@@ -40,7 +40,7 @@
     runs: RunTimes,
 }
 
-impl Default for Admission {
+impl Default for AdmissionLevels {
     fn default() -> Self {
         Self {
             instances: BoundedMap::new(LEVELS_KEPT),
@@ -50,7 +50,7 @@
     }
 }
 
-impl Admission {
+impl AdmissionLevels {
     /// Other rules are in force.
     pub(crate) fn set_ranks(&mut self, ranks: PriorityBands) {
         self.ranks = ranks;
@@ -64,7 +64,7 @@
     }
 
     /// An instance reports its own level.
-    pub(crate) fn hear_instance(&mut self, now: Time, from: Incarnation, level: u16) {
+    pub(crate) fn record_instance_level(&mut self, now: Time, from: Incarnation, level: u16) {
         if let Some(heard) = self.instances.get_mut(&from) {
             return heard.observe(now, level);
         }
@@ -97,21 +97,21 @@
                 calls: 0,
                 runs: RunTimes::default(),
             };
-            self.paths.insert(operation.clone(), path);
+            self.operations.insert(operation.clone(), path);
         }
-        let path = self.paths.get_mut(operation);
+        let path = self.operations.get_mut(operation);
         path.expect("it was entered just now")
     }
 
-    fn instance(&self, now: Time, incarnation: Incarnation) -> u16 {
+    fn instance_level(&self, now: Time, incarnation: Incarnation) -> u16 {
         let heard = self.instances.get(&incarnation);
         heard.map_or(0, |heard| heard.get(now))
     }
 
     /// The level of the services below an operation.
-    pub(crate) fn path(&self, now: Time, operation: &OperationKey) -> u16 {
-        let path = self.paths.get(operation);
-        path.map_or(0, |path| path.level.get(now))
+    pub(crate) fn level_below(&self, now: Time, operation: &OperationKey) -> u16 {
+        let path = self.operations.get(operation);
+        path.map_or(0, |path| path.level_below.get(now))
     }
 
     /// A run of an operation on the own backend server took this long.
@@ -126,7 +126,9 @@
 
     /// The calls that the last run of an operation made.
     pub(crate) fn calls_below(&self, operation: &OperationKey) -> u16 {
-        self.paths.get(operation).map_or(0, |path| path.calls)
+        self.operations
+            .get(operation)
+            .map_or(0, |path| path.calls_below)
     }
 }
 
@@ -154,9 +156,9 @@
         // What its first hop admitted is not shed further down: the work done so far would be lost.
         let begins_here = call.depth == 0;
         let sheds = self.cfg.policy.levels && unknown && begins_here;
-        let path = self.admission.path(now, &call.operation);
+        let path = self.admission.level_below(now, &call.operation);
         if sheds && value < path {
-            return Err(shed(path, call.class, call.dice));
+            return Err(shed_refusal(path, call.class, call.dice));
         }
         if sheds {
             call.passed_level = path;
@@ -164,7 +166,7 @@
         let (target, level) = match call.key {
             Some((key, _)) => {
                 let home = self.home_of(&call.request.service, key);
-                let level = home.as_ref().map(|home| self.level_of(now, home));
+                let level = home.as_ref().map(|home| self.instance_level(now, home));
                 (home, level.filter(|level| sheds && value < *level))
             }
             None if begins_here => self.choose_admitting(now, call, value),
@@ -172,7 +174,7 @@
             None => (self.in_turn(call), None),
         };
         match (target, level) {
-            (_, Some(level)) => Err(shed(level, call.class, call.dice)),
+            (_, Some(level)) => Err(shed_refusal(level, call.class, call.dice)),
             (Some(target), None) => Ok(target),
             (None, None) => Err(self.refusal(Reason::NoInstance)),
         }
@@ -187,7 +189,7 @@
         value: u16,
     ) -> (Option<Instance>, Option<u16>) {
         if !self.cfg.policy.by_load {
-            return (self.in_turn(call), None);
+            return (self.choose_round_robin(call), None);
         }
         if !self.cfg.policy.levels {
             return (self.choose_instance(now, call), None);
@@ -195,7 +197,7 @@
         let avoided = call.avoid.len();
         let mut passed = None;
         let mut sheds = None;
-        for (incarnation, level) in self.levels(now, &call.request.service) {
+        for (incarnation, level) in self.instance_levels(now, &call.request.service) {
             if call.avoid[..avoided].contains(&incarnation) {
                 continue;
             }
@@ -221,8 +223,8 @@
         let peers = peers.map(|peer| &peer.instance);
         let fits = |instance: &&Instance| !call.avoid.contains(&instance.incarnation);
         let mut all: Vec<&Instance> = peers.filter(fits).collect();
-        if self.me.service == call.request.service && fits(&&self.me) {
-            all.push(&self.me);
+        if self.own_instance.service == call.request.service && fits(&&self.own_instance) {
+            all.push(&self.own_instance);
         }
         let turn = turn.checked_rem(all.len())?;
         Some(all[turn].clone())
@@ -237,7 +239,7 @@
     }
 
     /// The instances of a service that may be used, and their levels.
-    fn levels<'a>(
+    fn instance_levels<'a>(
         &'a self,
         now: Time,
         service: &'a str,
@@ -249,14 +251,14 @@
             .map(|peer| &peer.instance);
         own.into_iter()
             .chain(peers)
-            .map(move |instance| (instance.incarnation, self.level_of(now, instance)))
+            .map(move |instance| (instance.incarnation, self.instance_level(now, instance)))
     }
 
-    fn level_of(&self, now: Time, instance: &Instance) -> u16 {
-        if instance.incarnation == self.me.incarnation {
+    fn instance_level(&self, now: Time, instance: &Instance) -> u16 {
+        if instance.incarnation == self.own_instance.incarnation {
             self.server.level()
         } else {
-            self.admission.instance(now, instance.incarnation)
+            self.admission.instance_level(now, instance.incarnation)
         }
     }
 }
--- a/crates/engine/src/calls.rs
+++ b/crates/engine/src/calls.rs
@@ -36,7 +36,7 @@
     pub(crate) fn route_first(&mut self, now: Time, draft: RequestDraft) {
         let call = OutgoingCall {
             token: draft.token,
-            target: self.me.clone(),
+            target: self.own_instance.clone(),
             action: draft.action,
             dice: draft.dice,
             class: draft.class,
@@ -96,14 +96,14 @@
             call.account.delegate_all()
         };
         let id = CallId {
-            from: self.me.incarnation,
-            number: self.number(),
+            from: self.own_instance.incarnation,
+            number: self.allocate_id(),
         };
-        if let Some(open) = self.open.get_mut(&call.token) {
+        if let Some(open) = self.open_requests.get_mut(&call.token) {
             open.call = id;
         }
         if let Some(earlier) = &call.earlier {
-            self.earlier.insert(earlier.id, id);
+            self.hedged_attempts.insert(earlier.id, id);
         }
         call.attempts += 1;
         self.timers.set(call.deadline, Timer::CallDeadline(id));
@@ -190,7 +190,7 @@
                 if reason == Reason::ServerLost {
                     self.record_call_crash(now, &call.request, call.target.incarnation);
                 }
-                self.after_lost(now, call, reason);
+                self.on_attempt_lost(now, call, reason);
             }
             outcome => {
                 self.record_call_completed(now, &call.request);
@@ -203,7 +203,7 @@
     pub(crate) fn after_not_run(&mut self, now: Time, mut call: OutgoingCall, refusal: Refusal) {
         let reason = refusal.reason;
         let elsewhere = match reason {
-            Reason::Moving | Reason::Draining => self.has_elsewhere(&call),
+            Reason::Moving | Reason::Draining => self.has_other_target(&call),
             // Never sent, and no refusal: the same node may take it over another connection.
             Reason::PeerLost => true,
             _ => false,
@@ -218,7 +218,7 @@
             reason,
             Reason::QueueFull | Reason::ServerRefused | Reason::ServerLost
         );
-        if busy && self.may_retry(now, &mut call) {
+        if busy && self.try_spend_retry(now, &mut call) {
             self.count(Counter::Retry(reason));
             call.avoid.push(call.target.incarnation);
             return self.route(now, call);
@@ -230,7 +230,7 @@
             }
             _ => refusal,
         };
-        self.conclude(now, call, Outcome::NotRun(refusal));
+        self.finish_call(now, call, Outcome::NotRun(refusal));
     }
 
     /// A call with a key goes to the key's home only. While this node knows no other home, sending
@@ -257,7 +257,7 @@
             call.avoid.push(call.target.incarnation);
             return self.route(now, call);
         }
-        self.conclude(now, call, Outcome::Unknown(reason));
+        self.finish_call(now, call, Outcome::Unknown(reason));
     }
 
     /// Takes a retry from the action and from this node's part of the fleet's retries at the service,
@@ -289,7 +289,7 @@
             return;
         };
         self.send(&call.target, Frame::Cancel(id));
-        self.conclude(now, call, Outcome::Unknown(Reason::Deadline));
+        self.finish_call(now, call, Outcome::Unknown(Reason::Deadline));
     }
 
     pub(crate) fn abandon_call(&mut self, now: Time, id: CallId) {
@@ -297,15 +297,15 @@
             return;
         };
         self.send(&call.target, Frame::Cancel(id));
-        self.conclude(now, call, Outcome::Unknown(Reason::CallerGone));
+        self.finish_call(now, call, Outcome::Unknown(Reason::CallerGone));
     }
 
     fn conclude(&mut self, now: Time, mut call: OutgoingCall, outcome: Outcome) {
         if let Some(earlier) = call.earlier.take() {
-            if self.waits_for_earlier(now, &call, &outcome) {
-                return self.resume_earlier(call, earlier);
+            if self.awaits_original(now, &call, &outcome) {
+                return self.resume_original(call, earlier);
             }
-            self.drop_earlier(earlier);
+            self.cancel_original(earlier);
         }
         let met = DownstreamSummary {
             level: self.level_met(now, &call),
@@ -314,7 +314,7 @@
                 .calls_below
                 .saturating_add(call.attempts.saturating_sub(1)),
         };
-        self.tell_parent(now, &call, met);
+        self.report_to_parent(now, &call, met);
         // A later attempt that did not run says nothing of an earlier one that may have.
         let outcome = match outcome {
             Outcome::NotRun(refusal) if call.may_have_run => Outcome::Unknown(refusal.reason),
@@ -328,14 +328,14 @@
     /// a level below would let in too much for the time of a whole call tree.
     fn tell_parent(&mut self, now: Time, call: &Outgoing, met: DownstreamSummary) {
         let operation = call.operation.clone();
-        let Some(job) = self.parent_of(call.token) else {
+        let Some(job) = self.parent_job(call.token) else {
             return;
         };
         job.child_levels.insert(operation, met.level);
         job.calls_below = job.calls_below.saturating_add(met.calls);
         let level = job.below().level;
         if let Some(parent) = job.operation.clone() {
-            self.admission.hear_level(now, &parent, level);
+            self.admission.record_level_below(now, &parent, level);
         }
     }
 
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -1,10 +1,8 @@
 //! The engine's state, and how inputs reach the controllers.
 
-use crate::admission::Admission;
-use crate::answered::Answered;
-use crate::fetch::FetchLink;
-use crate::homes::HeldCalls;
-use crate::homes::KeyWork;
+use crate::admission::AdmissionLevels;
+use crate::answer_cache::AnswerCache;
+use crate::fetch::FetchSchedule;
 use crate::job::Job;
 use crate::log::LogController;
 use crate::outgoing::OutgoingCall;
@@ -49,7 +47,7 @@
 
 /// How many entries the tables of what is in flight have.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Tables {
+pub struct TableSizes {
     /// Requests of callers and of the own backend server.
     pub requests: usize,
     /// Calls to nodes.
@@ -64,13 +62,13 @@
 
 /// How long a leaving node still takes calls that only it can take: those for keys that it is home
 /// to, until the log names the next home.
-const CLOSE_AFTER: Duration = Duration::from_millis(2500);
+const KEYED_CALLS_GRACE: Duration = Duration::from_millis(2500);
 
 /// A node's decisions and state.
 #[derive(Debug)]
 pub struct Engine {
     pub(crate) cfg: Config,
-    pub(crate) me: Instance,
+    pub(crate) own_instance: Instance,
     pub(crate) rng: StdRng,
     /// What nodes share through the store.
     pub(crate) journal: State,
@@ -80,7 +78,7 @@
     pub(crate) selector: InstanceSelector,
     pub(crate) peer_notes: PeerNotes,
     /// The views have changed since the members were told.
-    pub(crate) roster_changed: bool,
+    pub(crate) views_changed: bool,
     pub(crate) home: Home,
     pub(crate) server: ServerAdmission,
     /// The own backend server, once it has announced itself.
@@ -92,17 +90,17 @@
     /// Calls to nodes (this one included), by the id of the present attempt.
     pub(crate) calls: IndexMap<CallId, OutgoingCall>,
     /// Attempts whose answers are late, and those that were sent after them.
-    pub(crate) earlier: IndexMap<CallId, CallId>,
+    pub(crate) hedged_attempts: IndexMap<CallId, CallId>,
     /// Calls from nodes (this one included) that are not answered yet.
     pub(crate) inbound: IndexMap<CallId, InboundCall>,
     /// Answers given lately, for calls that attach again.
-    pub(crate) answered: Answered,
+    pub(crate) answer_cache: AnswerCache,
     /// Work for the own backend server, queued or running.
     pub(crate) jobs: IndexMap<RunId, Job>,
     /// The job of each request that has an id of its caller's.
-    pub(crate) jobs_by_id: IndexMap<Arc<str>, RunId>,
+    pub(crate) jobs_by_request_id: IndexMap<Arc<str>, RunId>,
     /// Who waits for the run of a key.
-    pub(crate) keys: IndexMap<KeyHash, KeyWork>,
+    pub(crate) key_runs: IndexMap<KeyHash, KeyRun>,
     /// What the run met that is being answered just now.
     pub(crate) run_below: DownstreamSummary,
     pub(crate) admission: Admission,
@@ -113,25 +111,25 @@
     /// Whether the rules here are the newest, as far as keys of organisations go.
     pub(crate) freshness: Freshness,
     /// This node asks the store on behalf of its failure domain.
-    pub(crate) leads: bool,
+    pub(crate) is_domain_leader: bool,
     /// Whether keys were trusted when that was last looked at.
-    pub(crate) trusts_keys: bool,
+    pub(crate) keys_were_trusted: bool,
     /// What is lent and borrowed of the quotas of organisations.
     pub(crate) quota: QuotaController,
     /// Calls that wait for a slot on its way here.
-    pub(crate) held: HeldCalls,
+    pub(crate) held_calls: HeldCalls,
     /// When a stop no longer waits for its slots to be taken.
-    pub(crate) handover_ends: Option<Time>,
+    pub(crate) handover_deadline: Option<Time>,
     pub(crate) timers: Timers,
     pub(crate) stopping: bool,
     /// From then on a stopping node starts no work at all on its backend server.
     pub(crate) closed_at: Time,
     /// Until then a stopping node still takes new requests from its callers.
-    pub(crate) lingers_until: Time,
-    next_number: u64,
+    pub(crate) accepts_until: Time,
+    last_id: u64,
     /// Frames of this node to itself.
     loopback: VecDeque<Frame>,
-    pub(crate) out: Vec<Output>,
+    pub(crate) outputs: Vec<Output>,
 }
 
 impl Engine {
@@ -165,7 +163,7 @@
             members,
             selector: InstanceSelector::with_switches(cfg.policy),
             peer_notes: PeerNotes::default(),
-            roster_changed: false,
+            views_changed: false,
             home: Home::new(cfg.once.clone(), incarnation),
             server: ServerAdmission::new(
                 cfg.policy,
@@ -174,12 +172,12 @@
                 defaults.queue,
             ),
             own_server: None,
-            open: IndexMap::new(),
+            open_requests: IndexMap::new(),
             followers: IndexMap::new(),
             calls: IndexMap::new(),
-            earlier: IndexMap::new(),
+            hedged_attempts: IndexMap::new(),
             inbound: IndexMap::new(),
-            answered: Answered::new(),
+            answer_cache: AnswerCache::new(),
             jobs: IndexMap::new(),
             jobs_by_id: IndexMap::new(),
             keys: IndexMap::new(),
@@ -197,12 +195,12 @@
             timers: Timers::default(),
             stopping: false,
             closed_at: Time::ZERO,
-            lingers_until: Time::ZERO,
-            next_number: 0,
+            accepts_until: Time::ZERO,
+            last_id: 0,
             loopback: VecDeque::new(),
-            out: Vec::new(),
+            outputs: Vec::new(),
             cfg,
-            me,
+            own_instance,
         }
     }
 
@@ -264,7 +262,7 @@
             Input::Stop => self.on_stop(now),
             Input::Tick => {}
         }
-        self.run_due(now);
+        self.fire_timers(now);
         self.drain_loopback(now);
         // What came from this node itself may have freed a place, or have to leave the queue.
         self.start_queued_jobs(now);
@@ -272,7 +270,7 @@
         self.run_fetch(now);
         self.start_due_append(now);
         self.check_stopped(now);
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.outputs)
     }
 
     /// When [`Input::Tick`] has to come at the latest.
@@ -326,17 +324,17 @@
     }
 
     /// How much is in flight.
-    pub fn tables(&self) -> Tables {
-        Tables {
-            requests: self.open.len(),
+    pub fn table_sizes(&self) -> TableSizes {
+        TableSizes {
+            requests: self.open_requests.len(),
             calls: self.calls.len(),
             inbound: self.inbound.len(),
             jobs: self.jobs.len(),
-            keys: self.keys.len(),
+            keys: self.key_runs.len(),
         }
     }
 
-    fn run_due(&mut self, now: Time) {
+    fn fire_timers(&mut self, now: Time) {
         while let Some(timer) = self.timers.pop(now) {
             match timer {
                 Timer::CallDeadline(call) => self.on_deadline(now, call),
@@ -357,7 +355,7 @@
 
     /// Handles what this node sent itself, as if it had come from another.
     fn drain_loopback(&mut self, now: Time) {
-        let me = self.me.incarnation;
+        let me = self.own_instance.incarnation;
         while let Some(frame) = self.loopback.pop_front() {
             self.on_frame(now, me, frame);
         }
@@ -377,17 +375,17 @@
             // The shell answers the frames that are about the connection itself.
             frame => {
                 if !self.on_home_frame(now, from, frame) {
-                    self.count(Counter::Unexpected);
+                    self.count(Counter::UnexpectedMessage);
                 }
             }
         }
     }
 
     pub(crate) fn send(&mut self, to: &Instance, frame: Frame) {
-        if to.incarnation == self.me.incarnation {
+        if to.incarnation == self.own_instance.incarnation {
             self.loopback.push_back(frame);
         } else {
-            self.out.push(Output::Send {
+            self.outputs.push(Output::Send {
                 to: to.clone(),
                 frame,
             });
@@ -395,13 +393,13 @@
     }
 
     pub(crate) fn count(&mut self, counter: Counter) {
-        self.out.push(Output::Count(counter));
+        self.outputs.push(Output::Count(counter));
     }
 
     /// A number that this incarnation has never used.
-    pub(crate) fn number(&mut self) -> u64 {
-        self.next_number += 1;
-        self.next_number
+    pub(crate) fn allocate_id(&mut self) -> u64 {
+        self.last_id += 1;
+        self.last_id
     }
 
     pub(crate) fn on_stop(&mut self, now: Time) {
@@ -416,17 +414,17 @@
     }
 
     fn check_stopped(&mut self, now: Time) {
-        let idle = self.open.is_empty()
+        let idle = self.open_requests.is_empty()
             && self.inbound.is_empty()
             && self.jobs.is_empty()
             && !self.quota.has_waiting();
         if self.stopping
-            && now >= self.lingers_until
+            && now >= self.accepts_until
             && idle
             && self.log.leave_settled()
             && self.has_handed_over(now)
         {
-            self.out.push(Output::Stopped);
+            self.outputs.push(Output::Stopped);
         }
     }
 }
--- a/crates/engine/src/freshness.rs
+++ b/crates/engine/src/freshness.rs
@@ -15,27 +15,27 @@
 use stdx::Time;
 
 /// So many of the first tries go to neighbours, the others to any node.
-const NEIGHBOURS_ASKED: u32 = 2;
+const OWN_DOMAIN_ATTEMPTS: u32 = 2;
 
 impl Engine {
     /// Evidence is needed only where a key can be revoked.
     fn needs_freshness(&self) -> bool {
-        self.cfg.revocation.is_some() && self.journal.rules.organisations.is_some()
+        self.cfg.revocation_bound.is_some() && self.journal.rules.organisations.is_some()
     }
 
     pub(crate) fn next_freshness_timer(&self) -> Option<Time> {
         if !self.needs_freshness() {
             return None;
         }
-        self.freshness.next_timer(self.leads)
+        self.freshness.next_timer(self.is_domain_leader)
     }
 
     pub(crate) fn tick_freshness(&mut self, now: Time) {
         if !self.needs_freshness() {
             return;
         }
-        self.note_trust(now);
-        let due = self.freshness.next_timer(self.leads);
+        self.log_key_trust_change(now);
+        let due = self.freshness.next_timer(self.is_domain_leader);
         if due.is_none_or(|due| now < due) {
             return;
         }
@@ -116,7 +116,7 @@
             return self.on_rules_unchecked(now);
         }
         self.freshness.on_store_confirmed(asked);
-        self.note_trust(now);
+        self.log_key_trust_change(now);
     }
 
     pub(crate) fn on_rules_unchecked(&mut self, now: Time) {
@@ -124,9 +124,9 @@
     }
 
     /// Writes down when keys begin or cease to be trusted.
-    fn note_trust(&mut self, now: Time) {
+    fn log_key_trust_change(&mut self, now: Time) {
         let trusts = self.freshness.may_trust(now);
-        if trusts == std::mem::replace(&mut self.trusts_keys, trusts) {
+        if trusts == std::mem::replace(&mut self.keys_were_trusted, trusts) {
             return;
         }
         self.out.push(Output::Diagnostic(Diagnostic::Keys {
@@ -141,6 +141,6 @@
             version: PROTOCOL_VERSION,
             message,
         };
-        self.out.push(Output::Datagram { to, datagram });
+        self.outputs.push(Output::Datagram { to, datagram });
     }
 }
--- a/crates/engine/src/hedge.rs
+++ b/crates/engine/src/hedge.rs
@@ -22,7 +22,7 @@
 impl Engine {
     /// Has this node look again when a run on its server takes longer than others. Only reads that make no
     /// calls are sent twice: a second run of a whole tree costs more than it saves.
-    pub(crate) fn watch_run(&mut self, now: Time, run: RunId) {
+    pub(crate) fn set_hedge_timer(&mut self, now: Time, run: RunId) {
         let Some(job) = self.jobs.get_mut(&run) else {
             return;
         };
@@ -65,12 +65,12 @@
     }
 
     /// A call is late where it runs.
-    pub(crate) fn on_late(&mut self, now: Time, id: CallId) {
+    pub(crate) fn on_late_notice(&mut self, now: Time, id: CallId) {
         let Some(mut call) = self.calls.swap_remove(&id) else {
             return;
         };
         let may = call.idempotent && call.key.is_none() && call.earlier.is_none();
-        if !may || !self.may_retry(now, &mut call) {
+        if !may || !self.try_spend_retry(now, &mut call) {
             self.calls.insert(id, call);
             return;
         }
@@ -92,8 +92,8 @@
 
     /// Looks at an answer to an attempt after which another one was sent. A whole one takes the later
     /// attempt's place; any other is dropped while that one is under way.
-    pub(crate) fn drops_answer_of_earlier(&mut self, id: CallId, answer: &Answer) -> bool {
-        let Some(later) = self.earlier.swap_remove(&id) else {
+    pub(crate) fn discards_original_answer(&mut self, id: CallId, answer: &Answer) -> bool {
+        let Some(later) = self.hedged_attempts.swap_remove(&id) else {
             return false;
         };
         let Some(call) = self.calls.get_mut(&later) else {
@@ -106,10 +106,10 @@
             self.selector.on_ended(earlier.target.incarnation);
             return true;
         }
-        self.count(Counter::LateAnswerFirst);
+        self.count(Counter::OriginalAnsweredFirst);
         if let Some(call) = self.take_call(later) {
             self.send(&call.target, Frame::Cancel(later));
-            self.await_earlier(call, earlier);
+            self.track_original(call, earlier);
         }
         false
     }
@@ -139,7 +139,7 @@
     fn await_earlier(&mut self, mut call: OutgoingCall, earlier: EarlierAttempt) {
         call.target = earlier.target;
         call.lent = earlier.lent;
-        if let Some(open) = self.open.get_mut(&call.token) {
+        if let Some(open) = self.open_requests.get_mut(&call.token) {
             open.call = earlier.id;
         }
         self.timers
--- a/crates/engine/src/entry.rs
+++ b/crates/engine/src/ingress.rs
@@ -36,10 +36,10 @@
     pub(crate) fn on_request(&mut self, now: Time, mut arrival: Arrival) {
         let dice = self.rng.random();
         let admitted = self
-            .filter_state(&mut arrival.request, dice)
+            .filter_rules(&mut arrival.request, dice)
             .and_then(|operation| self.filter_identity(now, &mut arrival, operation));
         match admitted {
-            Ok((operation, None)) => self.enter(now, arrival, operation, dice, None),
+            Ok((operation, None)) => self.process_arrival(now, arrival, operation, dice, None),
             Ok((operation, Some((organisation, quota)))) => {
                 match self.quota.borrower.try_spend(now, organisation, quota) {
                     Some(credit) => self.enter(now, arrival, operation, dice, Some(credit)),
@@ -54,10 +54,10 @@
     pub(crate) fn on_credit(&mut self, now: Time, mut arrival: Arrival, credit: QuotaToken) {
         let dice = self.rng.random();
         let admitted = self
-            .filter_state(&mut arrival.request, dice)
+            .filter_rules(&mut arrival.request, dice)
             .and_then(|operation| self.filter_identity(now, &mut arrival, operation));
         match admitted {
-            Ok((operation, _)) => self.enter(now, arrival, operation, dice, Some(credit)),
+            Ok((operation, _)) => self.process_arrival(now, arrival, operation, dice, Some(credit)),
             Err(reason) => {
                 self.return_credit(now, Some(credit));
                 self.refuse_arrival(&arrival, reason);
@@ -65,7 +65,7 @@
         }
     }
 
-    fn enter(
+    fn process_arrival(
         &mut self,
         now: Time,
         arrival: Arrival,
@@ -89,7 +89,7 @@
         let patience = caller_timeout.map(|patience| patience.saturating_sub(now.since(at)));
         let draft = self
             .filter_context(now, token, parents, dice, operation, request)
-            .map(|draft| shorten(draft, now, patience, latest))
+            .map(|draft| limit_deadline(draft, now, patience, latest))
             .and_then(|draft| self.filter_key(draft, &caller, key));
         match draft {
             Ok(draft) => {
@@ -137,11 +137,11 @@
     }
 
     /// Refuses what this node cannot judge or no rule allows.
-    fn filter_state(&mut self, request: &mut Request, dice: u16) -> Result<Operation, Reason> {
+    fn filter_rules(&mut self, request: &mut Request, dice: u16) -> Result<Operation, Reason> {
         if !self.has_rules() {
             return Err(Reason::NoRules);
         }
-        if self.open.len() >= self.cfg.max_calls {
+        if self.open_requests.len() >= self.cfg.max_open_requests {
             return Err(Reason::TableFull);
         }
         let rules = &self.journal.rules;
@@ -174,7 +174,7 @@
             ParentInfo { parent, .. } => parent.and_then(|id| self.jobs_by_id.get(&id).copied()),
         };
         let Some(run) = run else {
-            return self.root(now, token, dice, operation, request);
+            return self.root_draft(now, token, dice, operation, request);
         };
         let job = self.jobs.get_mut(&run).ok_or(Reason::ParentGone)?;
         if job.depth >= self.cfg.max_depth {
@@ -208,7 +208,7 @@
         })
     }
 
-    fn root(
+    fn root_draft(
         &mut self,
         now: Time,
         token: RequestToken,
@@ -217,7 +217,7 @@
         request: Request,
     ) -> Result<RequestDraft, Reason> {
         // A planned stop still finishes its runs, whose child calls come with a context.
-        if self.stopping && now >= self.lingers_until {
+        if self.stopping && now >= self.accepts_until {
             return Err(Reason::Draining);
         }
         Ok(RequestDraft {
@@ -246,7 +246,7 @@
     /// The retries of an action that begins with this operation.
     fn tree_retries(&self, operation: &Operation) -> u16 {
         match self.cfg.tree_retries {
-            TreeRetries::ByCalls(calls_each) if operation.retries > 0 => {
+            TreeRetries::ScaledByCalls(calls_each) if operation.retries > 0 => {
                 let calls = self.admission.calls_below(&operation_key(operation));
                 operation.retries + calls.div_ceil(calls_each.max(1))
             }
@@ -266,7 +266,7 @@
         }
         if key
             .as_ref()
-            .is_some_and(|key| key.is_empty() || key.len() > self.cfg.max_key)
+            .is_some_and(|key| key.is_empty() || key.len() > self.cfg.max_key_len)
         {
             return Err(Reason::BadKey);
         }
@@ -274,7 +274,8 @@
         let service = draft.request.service.clone();
         // A keyed run may be asked for again, and its second attempt must not make new children.
         let parent_keyed = draft.parent.is_some_and(|run| self.is_first_run(run));
-        if key.is_none() && !parent_keyed && self.cfg.keyless == Keyless::Own {
+        if key.is_none() && !parent_keyed && self.cfg.keyless_calls == KeylessCalls::OwnedByIngress
+        {
             return Ok(draft);
         }
         let key = match (draft.parent, key) {
@@ -350,7 +351,7 @@
         let token = draft.token;
         let open = OpenRequest {
             call: CallId {
-                from: self.me.incarnation,
+                from: self.own_instance.incarnation,
                 number: 0,
             },
             parent: draft.parent,
@@ -361,11 +362,11 @@
             request_hash: draft.request_hash,
             followers: Vec::new(),
         };
-        self.open.insert(token, open);
+        self.open_requests.insert(token, open);
         if let Some(job) = draft.parent.and_then(|run| self.jobs.get_mut(&run)) {
             job.on_child_started(now, token);
         }
-        self.route_first(now, draft);
+        self.start_call(now, draft);
     }
 
     /// Ends a request: one answer, at once, and the unspent retries go back to the parent.
@@ -376,7 +377,7 @@
         unspent: u16,
         outcome: Outcome,
     ) {
-        let Some(open) = self.open.swap_remove(&token) else {
+        let Some(open) = self.open_requests.swap_remove(&token) else {
             return;
         };
         if let Some(job) = open.parent.and_then(|run| self.jobs.get_mut(&run)) {
@@ -391,7 +392,7 @@
         }
         for follower in open.followers {
             self.followers.swap_remove(&follower);
-            self.out.push(Output::Answer {
+            self.outputs.push(Output::Answer {
                 token: follower,
                 outcome: outcome.clone(),
                 generated_key: None,
@@ -402,7 +403,7 @@
             Outcome::NotRun(refusal) => Counter::NotRun(refusal.reason),
             Outcome::Unknown(reason) => Counter::Unknown(*reason),
         });
-        self.out.push(Output::Answer {
+        self.outputs.push(Output::Answer {
             token,
             outcome,
             generated_key: open.generated_key,
@@ -413,7 +414,7 @@
     pub(crate) fn refuse(&mut self, token: RequestToken, refusal: Refusal) {
         self.count(Counter::NotRun(refusal.reason));
         let outcome = Outcome::NotRun(refusal);
-        self.out.push(Output::Answer {
+        self.outputs.push(Output::Answer {
             token,
             outcome,
             generated_key: None,
@@ -424,7 +425,7 @@
         if self.unfollow(token) || self.cancel_quota_wait(token) {
             return;
         }
-        if let Some(open) = self.open.get(&token) {
+        if let Some(open) = self.open_requests.get(&token) {
             self.abandon_call(now, open.call);
         }
     }
--- a/crates/engine/src/homes.rs
+++ b/crates/engine/src/keyed_calls.rs
@@ -27,17 +27,17 @@
 use stdx::Time;
 
 /// The most calls that wait for slots on their way.
-const MAX_HELD: usize = 1024;
+const MAX_HELD_CALLS: usize = 1024;
 
 /// How long a call waits for a slot on its way.
-const HOLD: Duration = Duration::from_secs(2);
+const MAX_HOLD_TIME: Duration = Duration::from_secs(2);
 
 /// The run of a key that is under way.
 #[derive(Debug)]
-pub(crate) struct KeyWork {
+pub(crate) struct KeyRun {
     /// `None` if it runs at an earlier home.
     run: Option<RunId>,
-    waiting: Vec<CallId>,
+    waiting_calls: Vec<CallId>,
 }
 
 /// A call that waits for its slot.
@@ -72,30 +72,30 @@
         }
     }
 
-    fn start_key(&mut self, now: Time, key: KeyHash, call: Call) {
+    fn start_keyed_run(&mut self, now: Time, key: KeyHash, call: Call) {
         let id = call.id;
         let run = self.new_job(now, JobOwner::Key(key), call);
-        self.keys.insert(
+        self.key_runs.insert(
             key,
-            KeyWork {
+            KeyRun {
                 run: Some(run),
-                waiting: vec![id],
+                waiting_calls: vec![id],
             },
         );
-        self.wait_for_key(key, id);
+        self.add_waiting_call(key, id);
         self.offer(now, run);
     }
 
     /// A re-send waits for the run in flight. What it was lent is not given back, as if it were
     /// spent: too few retries do no harm, too many do.
-    fn attach(&mut self, key: KeyHash, id: CallId) {
-        let work = self.keys.entry(key).or_insert_with(|| KeyWork {
+    fn attach_to_run(&mut self, key: KeyHash, id: CallId) {
+        let work = self.key_runs.entry(key).or_insert_with(|| KeyRun {
             run: None,
-            waiting: Vec::new(),
+            waiting_calls: Vec::new(),
         });
-        work.waiting.push(id);
-        self.wait_for_key(key, id);
-        self.count(Counter::Attached);
+        work.waiting_calls.push(id);
+        self.add_waiting_call(key, id);
+        self.count(Counter::ResendAttached);
     }
 
     fn wait_for_key(&mut self, key: KeyHash, id: CallId) {
@@ -129,7 +129,7 @@
     }
 
     /// A call has waited long enough.
-    pub(crate) fn on_held_too_long(&mut self, id: CallId) {
+    pub(crate) fn on_hold_timeout(&mut self, id: CallId) {
         if let Some(held) = self.take_held(id) {
             self.answer_call(id, held.call.retry_allowance, self.not_run(Reason::Moving));
         }
@@ -146,8 +146,8 @@
     }
 
     /// Calls that waited begin again.
-    fn release(&mut self, now: Time, may_go_on: impl Fn(KeyHash) -> bool) {
-        let waiting = self.held.iter();
+    fn release_held_calls(&mut self, now: Time, may_go_on: impl Fn(KeyHash) -> bool) {
+        let waiting = self.held_calls.iter();
         let waiting: Vec<CallId> = waiting
             .filter(|(_, held)| may_go_on(held.key))
             .map(|(id, _)| *id)
@@ -156,25 +156,31 @@
             let Some(mut held) = self.take_held(id) else {
                 continue;
             };
-            let waited = HOLD.saturating_sub(now.until(held.until));
+            let waited = MAX_HOLD_TIME.saturating_sub(now.until(held.until));
             let waited = u32::try_from(waited.as_millis()).unwrap_or(u32::MAX);
             held.call.remaining_ms = held.call.remaining_ms.saturating_sub(waited);
-            self.on_home_call(now, held.call);
+            self.on_keyed_call(now, held.call);
         }
     }
 
     /// The run of a key has ended: the record first, then everyone who waits.
-    pub(crate) fn end_key(&mut self, now: Time, key: KeyHash, unspent: u16, outcome: Outcome) {
+    pub(crate) fn finish_keyed_run(
+        &mut self,
+        now: Time,
+        key: KeyHash,
+        unspent: u16,
+        outcome: Outcome,
+    ) {
         let end = match &outcome {
             Outcome::Completed(response) => End::Done(response.clone()),
             Outcome::NotRun(_) => End::NotRun,
             Outcome::Unknown(_) => End::Unknown,
         };
         let effects = self.home.finish(now, key, end);
-        let Some(work) = self.keys.swap_remove(&key) else {
+        let Some(work) = self.key_runs.swap_remove(&key) else {
             return self.apply_home(now, effects);
         };
-        for (id, first) in work.waiting.into_iter().zip((0..).map(|n| n == 0)) {
+        for (id, first) in work.waiting_calls.into_iter().zip((0..).map(|n| n == 0)) {
             let unspent = if first { unspent } else { 0 };
             self.answer_call(id, unspent, outcome.clone());
         }
@@ -183,13 +189,13 @@
 
     /// A caller has gone. A run that began goes on and keeps its record; only one that nobody
     /// waits for any more and that never left the queue is taken back.
-    pub(crate) fn cancel_key(&mut self, now: Time, key: KeyHash, id: CallId) {
+    pub(crate) fn cancel_keyed_call(&mut self, now: Time, key: KeyHash, id: CallId) {
         self.inbound.swap_remove(&id);
-        let Some(work) = self.keys.get_mut(&key) else {
+        let Some(work) = self.key_runs.get_mut(&key) else {
             return;
         };
-        work.waiting.retain(|waiting| *waiting != id);
-        if !work.waiting.is_empty() {
+        work.waiting_calls.retain(|waiting| *waiting != id);
+        if !work.waiting_calls.is_empty() {
             return;
         }
         let run = work.run;
@@ -197,13 +203,13 @@
             Some(run) if self.withdraw(run) => self.end_withdrawn_job(now, run),
             Some(_) => {}
             None => {
-                self.keys.swap_remove(&key);
+                self.key_runs.swap_remove(&key);
             }
         }
     }
 
     /// Whether a job may start now, and for how long it may still be on its way to the server.
-    pub(crate) fn right_to_start(
+    pub(crate) fn start_permit(
         &mut self,
         now: Time,
         owner: JobOwner,
@@ -242,8 +248,8 @@
     /// Takes the service's views from the topic's state, if they are newer than the home's, one by
     /// one. A state that was taken from a peer may have skipped more than it remembers, and after
     /// departures that were forgotten nobody can tell what was before the first view.
-    pub(crate) fn update_home(&mut self, now: Time) {
-        let Some(view) = self.journal.view(&self.me.service) else {
+    pub(crate) fn apply_new_views(&mut self, now: Time) {
+        let Some(view) = self.journal.view(&self.own_instance.service) else {
             return;
         };
         if self.home.view_number() >= Some(view.number) {
@@ -260,7 +266,7 @@
             return self.apply_home(now, effects);
         };
         for view in missed {
-            self.count(Counter::ViewTaken);
+            self.count(Counter::ViewApplied);
             let effects = self.home.on_view(now, &view);
             self.apply_home(now, effects);
         }
@@ -297,7 +303,7 @@
             Effect::SendLease { to, message } => {
                 let version = PROTOCOL_VERSION;
                 let datagram = Datagram::Lease { version, message };
-                self.out.push(Output::Datagram { to, datagram });
+                self.outputs.push(Output::Datagram { to, datagram });
             }
             Effect::SendTransfer { to, transfer } => {
                 self.send(&to, Frame::Transfer(Box::new(transfer)));
@@ -316,17 +322,21 @@
             Effect::Expelled => self.expel(now),
             Effect::InvariantViolation(fault) => {
                 debug_assert!(false, "{fault:?}");
-                self.count(Counter::Fault);
+                self.count(Counter::InvariantViolated);
             }
         }
     }
 
     /// A run at an earlier home has ended: whoever waits here begins again and finds its end.
-    fn on_ended_elsewhere(&mut self, key: KeyHash) {
-        if self.keys.get(&key).is_none_or(|work| work.run.is_some()) {
+    fn on_run_ended_elsewhere(&mut self, key: KeyHash) {
+        if self
+            .key_runs
+            .get(&key)
+            .is_none_or(|work| work.run.is_some())
+        {
             return;
         }
-        let Some(work) = self.keys.swap_remove(&key) else {
+        let Some(work) = self.key_runs.swap_remove(&key) else {
             return;
         };
         let outcome = match self.home.known(key) {
@@ -334,7 +344,7 @@
             Begin::NotRun(reason) => self.not_run(reason),
             _ => Outcome::Unknown(Reason::RecordLost),
         };
-        for id in work.waiting {
+        for id in work.waiting_calls {
             self.answer_call(id, 0, outcome.clone());
         }
     }
@@ -352,7 +362,10 @@
     /// An incarnation that departed never comes back. One that never saw itself in a view has
     /// nothing to hand over and ends at once; left running, it would ask to join for ever.
     pub(crate) fn check_departed(&mut self, now: Time) {
-        let departed = self.journal.departed.contains_key(&self.me.incarnation);
+        let departed = self
+            .journal
+            .departed
+            .contains_key(&self.own_instance.incarnation);
         if departed && !self.home.has_joined() && !self.stopping {
             self.expel(now);
         }
--- a/crates/engine/src/log.rs
+++ b/crates/engine/src/log.rs
@@ -1,7 +1,7 @@
 //! The log controller: folds the topic of views, announces this node, and takes it out again.
 
-use crate::appends::AppendKey;
-use crate::appends::AppendQueue;
+use crate::append_queue::AppendKey;
+use crate::append_queue::AppendQueue;
 use crate::Counter;
 use crate::Engine;
 use crate::Output;
@@ -82,7 +82,7 @@
                     self.on_rules(now);
                 }
                 Change::View(_) => self.on_view_change(now),
-                Change::Gap => return self.out.push(Output::ReadLog),
+                Change::Gap => return self.outputs.push(Output::ReadLog),
             }
         }
         // What is read at the start is no news to anybody.
@@ -113,12 +113,12 @@
         let rules_back = newest.version < self.journal.version;
         let views_back = newest.next_offset < self.journal.next_offset;
         if rules_back || views_back {
-            return self.count(Counter::BrokenRecord);
+            return self.count(Counter::MalformedRecord);
         }
         self.journal = newest;
-        self.count(Counter::Restored);
+        self.count(Counter::StateRestored);
         self.on_rules(now);
-        if let Some(view) = self.journal.view(&self.me.service).cloned() {
+        if let Some(view) = self.journal.view(&self.own_instance.service).cloned() {
             let effects = self.home.on_baseline(now, &view);
             self.apply_home(now, effects);
         }
@@ -158,7 +158,7 @@
                 self.count(Counter::RulesInForce);
                 self.log.synced = true;
                 self.on_rules(now);
-                self.spread_progress(true);
+                self.announce_progress(true);
             }
             Change::Invalid => self.count(Counter::RejectedPublication),
             _ => {}
@@ -169,7 +169,7 @@
         self.count(Counter::Restored);
         self.on_rules(now);
         // Views before the one in the state may have been missed.
-        self.update_home(now);
+        self.apply_new_views(now);
     }
 
     fn on_view_change(&mut self, now: Time) {
@@ -196,7 +196,7 @@
     /// Whether this is the first instance that the views name: the one that drops what is old.
     fn is_oldest_member(&self) -> bool {
         let oldest = self.journal.instances().next();
-        oldest.is_some_and(|oldest| oldest.incarnation == self.me.incarnation)
+        oldest.is_some_and(|oldest| oldest.incarnation == self.own_instance.incarnation)
     }
 
     /// Has something said, unless it waits to be said already. It is tried until the fold shows its
@@ -206,15 +206,15 @@
             return;
         }
         if !self.log.appends.has_room(key) {
-            return self.count(Counter::AppendLeftOut);
+            return self.count(Counter::AppendDropped);
         }
         self.log.appends.push(key);
     }
 
     fn record(&self, key: AppendKey) -> Option<Record> {
-        let mine = self.me.incarnation;
+        let mine = self.own_instance.incarnation;
         Some(match key {
-            AppendKey::Join => Record::Join(self.me.clone()),
+            AppendKey::Join => Record::Join(self.own_instance.clone()),
             AppendKey::Leave => Record::Leave(mine),
             AppendKey::Evict(incarnation) => Record::Evict {
                 incarnation,
@@ -239,14 +239,14 @@
             self.log.give_up = None;
             if !self.log.leave_settled() {
                 self.log.appends.remove(AppendKey::Leave);
-                self.count(Counter::LeaveUnsaid);
+                self.count(Counter::LeaveNotAppended);
             }
         }
         let due = self.log.appends.next_due();
         if due.is_none_or(|due| due > now) || !self.log.may_append(self.journal.next_offset) {
             return;
         }
-        let number = self.number();
+        let number = self.allocate_id();
         let Some(key) = self.log.appends.start(now, number) else {
             return;
         };
@@ -256,7 +256,7 @@
         self.log.join_sent |= key == AppendKey::Join;
         self.log.append_at = self.journal.next_offset;
         self.log.overtaken = false;
-        self.out.push(Output::Append {
+        self.outputs.push(Output::Append {
             number,
             at: self.journal.next_offset,
             entries: record.entries(),
@@ -264,7 +264,7 @@
     }
 
     pub(crate) fn on_appended(&mut self, now: Time, number: u64) {
-        let Some((key, _)) = self.log.appends.ended(number) else {
+        let Some((key, _)) = self.log.appends.finish(number) else {
             return;
         };
         match key {
@@ -272,13 +272,13 @@
             // The fold has the last word; meanwhile there is no reason to say it again.
             _ => self.log.appends.postpone(key, now + MAX_APPEND_RETRY),
         }
-        self.out.push(Output::ReadLog);
+        self.outputs.push(Output::ReadLog);
     }
 
     /// Another record came first, so this one was not appended and never will be. It is made anew
     /// once the other has been read.
     pub(crate) fn on_append_conflict(&mut self, now: Time, number: u64) {
-        let Some((key, attempts)) = self.log.appends.ended(number) else {
+        let Some((key, attempts)) = self.log.appends.finish(number) else {
             return;
         };
         self.count(Counter::AppendConflict);
@@ -293,29 +293,32 @@
     /// their answers together when the log goes down, so the next try waits longer each time and
     /// for a random part of it; else they would all come back at once.
     pub(crate) fn on_append_lost(&mut self, now: Time, number: u64) {
-        let Some((key, attempts)) = self.log.appends.ended(number) else {
+        let Some((key, attempts)) = self.log.appends.finish(number) else {
             return;
         };
         self.count(Counter::AppendLost);
         let doublings = attempts.saturating_sub(1).min(MAX_DOUBLINGS);
-        let wait = self.cfg.append_retry * (1 << doublings);
+        let wait = self.cfg.append_retry_delay * (1 << doublings);
         let wait = wait
             .min(MAX_APPEND_RETRY)
             .mul_f64(self.rng.random_range(0.5..1.0));
         self.log.appends.postpone(key, now + wait);
-        self.out.push(Output::ReadLog);
+        self.outputs.push(Output::ReadLog);
     }
 
     /// Says in the topic that this node leaves. A `Join` that may be on its way makes no difference:
     /// of the two, the one that is appended first keeps the other out or comes before it.
     pub(crate) fn queue_leave(&mut self, now: Time) {
         self.log.appends.remove(AppendKey::Join);
-        let gone = self.journal.departed.contains_key(&self.me.incarnation);
+        let gone = self
+            .journal
+            .departed
+            .contains_key(&self.own_instance.incarnation);
         if !gone && (self.log.join_sent || self.is_listed()) {
             self.append(AppendKey::Leave);
             // In an outage of the log a stop would never end. The views go on naming this node
             // then, until another one evicts it.
-            self.log.give_up = Some(now + self.cfg.leave_patience);
+            self.log.give_up = Some(now + self.cfg.leave_timeout);
         }
     }
 
@@ -326,6 +329,6 @@
 
     /// Whether the log's views name this incarnation.
     pub fn is_listed(&self) -> bool {
-        self.journal.is_listed(self.me.incarnation)
+        self.journal.is_listed(self.own_instance.incarnation)
     }
 }
--- a/crates/engine/src/members.rs
+++ b/crates/engine/src/members.rs
@@ -1,6 +1,6 @@
 //! The membership controller: roster, probes, loads.
 
-use crate::appends::AppendKey;
+use crate::append_queue::AppendKey;
 use crate::Counter;
 use crate::Engine;
 use crate::LinkEvent;
@@ -71,7 +71,7 @@
     }
 
     pub(crate) fn tick_members(&mut self, now: Time) {
-        if std::mem::take(&mut self.roster_changed) {
+        if std::mem::take(&mut self.views_changed) {
             let effects = self.members.set_roster(now, self.journal.instances());
             self.apply_membership_effects(now, effects);
         }
@@ -103,8 +103,8 @@
 
     /// Sends a frame to a node that is known, or was lately.
     pub(crate) fn send_to(&mut self, to: Incarnation, frame: Frame) {
-        if to == self.me.incarnation {
-            let me = self.me.clone();
+        if to == self.own_instance.incarnation {
+            let me = self.own_instance.clone();
             return self.send(&me, frame);
         }
         match self.members.get(to) {
@@ -112,7 +112,7 @@
                 let instance = peer.instance.clone();
                 self.send(&instance, frame);
             }
-            None => self.count(Counter::Unexpected),
+            None => self.count(Counter::UnexpectedMessage),
         }
     }
 
@@ -125,7 +125,7 @@
                         progress: self.journal.progress(),
                         message,
                     };
-                    self.out.push(Output::Datagram { to, datagram });
+                    self.outputs.push(Output::Datagram { to, datagram });
                 }
                 Effect::PeerChanged { incarnation, state } => {
                     self.count(Counter::PeerChanged);
@@ -139,7 +139,7 @@
                     }
                 }
                 Effect::Evict(incarnation) => {
-                    self.count(Counter::EvictionAsked);
+                    self.count(Counter::EvictionRequested);
                     self.append(AppendKey::Evict(incarnation));
                 }
                 Effect::TableFull => self.count(Counter::PeerTableFull),
--- a/crates/engine/src/own_server.rs
+++ b/crates/engine/src/own_server.rs
@@ -62,8 +62,8 @@
     }
 
     fn on_heartbeat(&mut self, now: Time, heartbeat: Heartbeat) {
-        if heartbeat.service != self.me.service {
-            return self.count(Counter::StrangeServer);
+        if heartbeat.service != self.own_instance.service {
+            return self.count(Counter::WrongServiceHeartbeat);
         }
         match &mut self.own_server {
             Some(known) if !known.is_overtaken_by(&heartbeat) => {
@@ -99,7 +99,11 @@
         if !self.has_rules() {
             return;
         }
-        let path = self.journal.rules.health_paths.get(&self.me.service);
+        let path = self
+            .journal
+            .rules
+            .health_paths
+            .get(&self.own_instance.service);
         let Some(known) = self.own_server.as_mut() else {
             return;
         };
@@ -110,7 +114,7 @@
             Some(path) => {
                 known.check = Check::Asked;
                 let (id, path) = (known.heartbeat.id.clone(), path.clone());
-                self.out.push(Output::CheckServer { id, path });
+                self.outputs.push(Output::CheckServer { id, path });
             }
             None => {
                 known.check = Check::Passed;
--- a/crates/engine/src/resends.rs
+++ b/crates/engine/src/resends.rs
@@ -130,25 +130,25 @@
         }
         open.followers.push(draft.token);
         self.followers.insert(draft.token, leader);
-        self.count(Counter::Attached);
+        self.count(Counter::ResendAttached);
     }
 
     /// A caller has gone that waited for another request's answer, or for whose request others
     /// wait. Gives whether the work is still wanted.
     pub(crate) fn unfollow(&mut self, token: RequestToken) -> bool {
         if let Some(leader) = self.followers.swap_remove(&token) {
-            if let Some(open) = self.open.get_mut(&leader) {
+            if let Some(open) = self.open_requests.get_mut(&leader) {
                 open.followers.retain(|follower| *follower != token);
             }
             // Every token gets an answer, or whoever holds it waits for ever.
-            self.out.push(Output::Answer {
+            self.outputs.push(Output::Answer {
                 token,
                 outcome: Outcome::Unknown(Reason::CallerGone),
                 generated_key: None,
             });
             return true;
         }
-        let open = self.open.get(&token);
+        let open = self.open_requests.get(&token);
         open.is_some_and(|open| !open.followers.is_empty())
     }
 }
--- a/crates/engine/src/routing.rs
+++ b/crates/engine/src/routing.rs
@@ -26,7 +26,7 @@
             .selector
             .choose(now, service, &call.avoid, &mut self.rng)?;
         if chosen == mine {
-            return Some(self.me.clone());
+            return Some(self.own_instance.clone());
         }
         self.members.get(chosen).map(|peer| peer.instance.clone())
     }
@@ -38,7 +38,7 @@
         } else {
             Eligibility::Ready
         };
-        let (mine, service) = (self.me.incarnation, &self.me.service);
+        let (mine, service) = (self.own_instance.incarnation, &self.own_instance.service);
         self.selector
             .set_instance(now, mine, service, Proximity::SameDomain, standing);
         self.selector.on_report(now, mine, self.server.report());
--- a/crates/engine/tests/log/outage.rs
+++ b/crates/engine/tests/log/outage.rs
@@ -154,8 +154,8 @@
     d.feed(Input::StateFetched(old.slice(..old.len() / 2)));
     d.feed(Input::StateFetched(old));
     assert_eq!(d.engine.rules_version(), 2);
-    assert_eq!(d.count(Counter::BrokenRecord), 1);
-    assert_eq!(d.count(Counter::Restored), 0);
+    assert_eq!(d.count(Counter::MalformedRecord), 1);
+    assert_eq!(d.count(Counter::StateRestored), 0);
 }
 
 /// The store answers some nodes and not others while instances come and go. A node that took only the
