--- a/crates/engine/src/admission.rs
+++ b/crates/engine/src/admission.rs
@@ -28,23 +28,23 @@
     /// By instance, from its own answers.
     instances: BoundedMap<Incarnation, ReportedLevel>,
     /// By operation, of the services below it.
-    paths: BoundedMap<OperationKey, Path>,
+    operations: BoundedMap<OperationKey, OperationStats>,
     ranks: PriorityBands,
 }
 
 /// What lies below an operation.
 #[derive(Debug)]
-struct Path {
-    level: ReportedLevel,
-    calls: u16,
-    runs: RunTimes,
+struct OperationStats {
+    level_below: ReportedLevel,
+    calls_below: u16,
+    run_times: RunTimes,
 }
 
 impl Default for AdmissionLevels {
     fn default() -> Self {
         Self {
-            instances: BoundedMap::new(LEVELS_KEPT),
-            paths: BoundedMap::new(LEVELS_KEPT),
+            instances: BoundedMap::new(MAX_TRACKED_LEVELS),
+            operations: BoundedMap::new(MAX_TRACKED_LEVELS),
             ranks: PriorityBands::default(),
         }
     }
@@ -74,28 +74,30 @@
     }
 
     /// A run of an operation that is still under way met a level below it.
-    pub(crate) fn hear_level(&mut self, now: Time, operation: &OperationKey, level: u16) {
-        self.path_of(now, operation).level.observe(now, level);
+    pub(crate) fn record_level_below(&mut self, now: Time, operation: &OperationKey, level: u16) {
+        self.stats_mut(now, operation)
+            .level_below
+            .observe(now, level);
     }
 
     /// A run of an operation met something below it.
-    pub(crate) fn hear_path(
+    pub(crate) fn record_below(
         &mut self,
         now: Time,
         operation: &OperationKey,
         below: DownstreamSummary,
     ) {
-        let path = self.path_of(now, operation);
-        path.level.observe(now, below.level);
-        path.calls = below.calls;
+        let path = self.stats_mut(now, operation);
+        path.level_below.observe(now, below.level);
+        path.calls_below = below.calls;
     }
 
-    fn path_of(&mut self, now: Time, operation: &OperationKey) -> &mut Path {
-        if self.paths.get(operation).is_none() {
-            let path = Path {
-                level: ReportedLevel::new(now),
-                calls: 0,
-                runs: RunTimes::default(),
+    fn stats_mut(&mut self, now: Time, operation: &OperationKey) -> &mut OperationStats {
+        if self.operations.get(operation).is_none() {
+            let path = OperationStats {
+                level_below: ReportedLevel::new(now),
+                calls_below: 0,
+                run_times: RunTimes::default(),
             };
             self.operations.insert(operation.clone(), path);
         }
@@ -115,13 +117,13 @@
     }
 
     /// A run of an operation on the own backend server took this long.
-    pub(crate) fn learn_run(&mut self, now: Time, operation: &OperationKey, took: Duration) {
-        self.path_of(now, operation).runs.record(took);
+    pub(crate) fn record_run_time(&mut self, now: Time, operation: &OperationKey, took: Duration) {
+        self.stats_mut(now, operation).run_times.record(took);
     }
 
     /// After how long such a run is late, if that is known.
     pub(crate) fn late_after(&self, operation: &OperationKey) -> Option<Duration> {
-        self.paths.get(operation)?.runs.late_threshold()
+        self.operations.get(operation)?.run_times.late_threshold()
     }
 
     /// The calls that the last run of an operation made.
@@ -171,7 +173,7 @@
             }
             None if begins_here => self.choose_admitting(now, call, value),
             None if self.cfg.policy.by_load => (self.choose_instance(now, call), None),
-            None => (self.in_turn(call), None),
+            None => (self.choose_round_robin(call), None),
         };
         match (target, level) {
             (_, Some(level)) => Err(shed_refusal(level, call.class, call.dice)),
@@ -217,8 +219,8 @@
     }
 
     /// All instances of a service in turn, whatever their load.
-    fn in_turn(&mut self, call: &OutgoingCall) -> Option<Instance> {
-        let turn = self.number() as usize;
+    fn choose_round_robin(&mut self, call: &OutgoingCall) -> Option<Instance> {
+        let turn = self.allocate_id() as usize;
         let peers = self.members.usable_peers(&call.request.service);
         let peers = peers.map(|peer| &peer.instance);
         let fits = |instance: &&Instance| !call.avoid.contains(&instance.incarnation);
@@ -233,9 +235,9 @@
     /// The highest level that a call meets: below its operation, or at the instance that it went
     /// to. Others may have room, but mostly nothing is known of those that are far away, and a call
     /// that finds the near ones full goes there by itself.
-    pub(crate) fn level_met(&self, now: Time, call: &OutgoingCall) -> u16 {
-        let below = self.admission.path(now, &call.operation);
-        below.max(self.level_of(now, &call.target))
+    pub(crate) fn highest_level(&self, now: Time, call: &OutgoingCall) -> u16 {
+        let below = self.admission.level_below(now, &call.operation);
+        below.max(self.instance_level(now, &call.target))
     }
 
     /// The instances of a service that may be used, and their levels.
@@ -244,7 +246,7 @@
         now: Time,
         service: &'a str,
     ) -> impl Iterator<Item = (Incarnation, u16)> + 'a {
-        let own = (*self.me.service == *service).then_some(&self.me);
+        let own = (*self.own_instance.service == *service).then_some(&self.own_instance);
         let peers = self
             .members
             .usable_peers(service)
@@ -264,6 +266,6 @@
 }
 
 /// A refusal that says when it is worth coming back.
-pub(crate) fn shed(level: u16, class: Class, dice: u16) -> Refusal {
+pub(crate) fn shed_refusal(level: u16, class: Class, dice: u16) -> Refusal {
     Refusal::new(Reason::Shed, retry_delay(level, class, dice))
 }
--- a/crates/engine/src/answer_cache.rs
+++ b/crates/engine/src/answer_cache.rs
@@ -29,7 +29,7 @@
     answers: IndexMap<CallId, Answer>,
     order: VecDeque<CallId>,
     bytes: usize,
-    forgotten: BoundedMap<Incarnation, u64>,
+    evicted_up_to: BoundedMap<Incarnation, u64>,
 }
 
 /// What is known of a call that has come.
@@ -49,7 +49,7 @@
             answers: IndexMap::new(),
             order: VecDeque::new(),
             bytes: 0,
-            forgotten: BoundedMap::new(MAX_NODES),
+            evicted_up_to: BoundedMap::new(MAX_CALLERS),
         }
     }
 
--- a/crates/engine/src/calls.rs
+++ b/crates/engine/src/calls.rs
@@ -33,7 +33,7 @@
 
 impl Engine {
     /// Sends a new request's first attempt.
-    pub(crate) fn route_first(&mut self, now: Time, draft: RequestDraft) {
+    pub(crate) fn start_call(&mut self, now: Time, draft: RequestDraft) {
         let call = OutgoingCall {
             token: draft.token,
             target: self.own_instance.clone(),
@@ -55,8 +55,8 @@
             calls_below: 0,
             attempts: 0,
             retries_left: match self.cfg.tree_retries {
-                TreeRetries::OfOperation => u16::MAX,
-                TreeRetries::ByCalls(_) => draft.operation.retries,
+                TreeRetries::PerOperation => u16::MAX,
+                TreeRetries::ScaledByCalls(_) => draft.operation.retries,
             },
             hop_retries: self.cfg.policy.hop_retries,
             earlier: None,
@@ -67,7 +67,8 @@
         };
         // A call of a run that was itself tried again is a retry too.
         if !call.again {
-            self.retries.record_first_send(now, &call.request.service);
+            self.retry_budget
+                .record_first_send(now, &call.request.service);
         }
         self.route(now, call);
     }
@@ -76,13 +77,13 @@
     fn route(&mut self, now: Time, mut call: OutgoingCall) {
         if now >= call.deadline {
             let refusal = call.scope_refusal(self.refusal(Reason::Deadline));
-            return self.conclude(now, call, Outcome::NotRun(refusal));
+            return self.finish_call(now, call, Outcome::NotRun(refusal));
         }
         match self.admit(now, &mut call) {
             Ok(target) => self.send_to_target(now, call, target),
             Err(refusal) => {
                 let refusal = call.scope_refusal(refusal);
-                self.conclude(now, call, Outcome::NotRun(refusal));
+                self.finish_call(now, call, Outcome::NotRun(refusal));
             }
         }
     }
@@ -90,7 +91,7 @@
     /// Sends one attempt.
     pub(crate) fn send_to_target(&mut self, now: Time, mut call: OutgoingCall, target: Instance) {
         call.target = target;
-        call.lent = if self.keeps_a_retry(&call) {
+        call.lent = if self.reserves_retry(&call) {
             call.account.delegate_all_but_one()
         } else {
             call.account.delegate_all()
@@ -115,13 +116,13 @@
     /// What is lent is gone if the answer is lost, so one retry stays where alone it can be spent then.
     /// A second run needs all for the calls below it, and where one would not be enough for those, it
     /// is of use only farther down: kept at each hop, no read of a deep tree would ever be tried again.
-    fn keeps_a_retry(&self, call: &OutgoingCall) -> bool {
+    fn reserves_retry(&self, call: &OutgoingCall) -> bool {
         let below = self.admission.calls_below(&call.operation);
         call.idempotent && !call.again && call.account.remaining() > below
     }
 
-    pub(crate) fn send_attempt(&mut self, now: Time, id: CallId, call: &Outgoing) {
-        let role = if call.key.is_some() {
+    pub(crate) fn send_attempt(&mut self, now: Time, id: CallId, call: &OutgoingCall) {
+        let leg = if call.key.is_some() {
             CallRole::Home
         } else {
             CallRole::Serve
@@ -133,8 +134,8 @@
             class: call.class,
             priority: call.priority,
             passed_level: call.passed_level,
-            role,
-            remaining_ms: self.remaining_ms(now, call),
+            role: leg,
+            remaining_ms: self.callee_remaining_ms(now, call),
             retry_allowance: call.lent,
             possible_repeat: call.again,
             idempotent: call.idempotent,
@@ -147,7 +148,7 @@
     }
 
     /// What is left for the callee: its answer has to travel back.
-    fn remaining_ms(&self, now: Time, call: &OutgoingCall) -> u32 {
+    fn callee_remaining_ms(&self, now: Time, call: &OutgoingCall) -> u32 {
         let travel = match self.place(&call.target) {
             Proximity::SameDomain => Duration::from_millis(1),
             Proximity::SameRegion => Duration::from_millis(2),
@@ -159,32 +160,33 @@
 
     pub(crate) fn on_answer(&mut self, now: Time, from: Incarnation, id: CallId, answer: Answer) {
         self.record_load(now, from, answer.load);
-        self.admission.hear_instance(now, from, answer.load.level);
-        if self.drops_answer_of_earlier(id, &answer) {
+        self.admission
+            .record_instance_level(now, from, answer.load.level);
+        if self.discards_original_answer(id, &answer) {
             return;
         }
         // An answer to an attempt that was given up, or a second one to the same attempt, is late.
         let Some(mut call) = self.take_call(id) else {
             return;
         };
-        call.account.reclaim(call.lent, answer.unspent);
-        call.calls_below = call.calls_below.saturating_add(answer.below.calls);
+        call.account.reclaim(call.lent, answer.unspent_retries);
+        call.calls_below = call.calls_below.saturating_add(answer.downstream.calls);
         // A refusal says how many calls lie below only if the run has got there.
         match answer.outcome {
             Outcome::NotRun(refusal) if answer.downstream.calls == 0 => {
                 if refusal.reason == Reason::Shed && answer.downstream.level > 0 {
                     let (operation, level) = (&call.operation, answer.downstream.level);
-                    self.admission.hear_level(now, operation, level);
+                    self.admission.record_level_below(now, operation, level);
                 }
             }
             _ => self
                 .admission
-                .hear_path(now, &call.operation, answer.downstream),
+                .record_below(now, &call.operation, answer.downstream),
         }
         match answer.outcome {
             Outcome::NotRun(refusal) => {
                 call.again |= answer.downstream.calls > 0 && self.cfg.policy.hop_retries == 0;
-                self.after_not_run(now, call, refusal);
+                self.on_not_run(now, call, refusal);
             }
             Outcome::Unknown(reason @ (Reason::ServerLost | Reason::PeerLost)) => {
                 if reason == Reason::ServerLost {
@@ -194,13 +196,13 @@
             }
             outcome => {
                 self.record_call_completed(now, &call.request);
-                self.conclude(now, call, outcome);
+                self.finish_call(now, call, outcome);
             }
         }
     }
 
     /// A call that did not run goes elsewhere, if that may help.
-    pub(crate) fn after_not_run(&mut self, now: Time, mut call: OutgoingCall, refusal: Refusal) {
+    pub(crate) fn on_not_run(&mut self, now: Time, mut call: OutgoingCall, refusal: Refusal) {
         let reason = refusal.reason;
         let elsewhere = match reason {
             Reason::Moving | Reason::Draining => self.has_other_target(&call),
@@ -235,7 +237,7 @@
 
     /// A call with a key goes to the key's home only. While this node knows no other home, sending
     /// the call there again would get the same refusal a few times over, within milliseconds.
-    fn has_elsewhere(&self, call: &OutgoingCall) -> bool {
+    fn has_other_target(&self, call: &OutgoingCall) -> bool {
         let Some((key, _)) = call.key else {
             return true;
         };
@@ -246,12 +248,12 @@
     /// Nobody will tell how the attempt ended. Only an idempotent call may be tried again.
     /// The calls below count as retries then, so there must be enough for all of them: with less
     /// the second run could not end, and would be wasted.
-    pub(crate) fn after_lost(&mut self, now: Time, mut call: OutgoingCall, reason: Reason) {
+    pub(crate) fn on_attempt_lost(&mut self, now: Time, mut call: OutgoingCall, reason: Reason) {
         call.may_have_run = true;
         let below = self.admission.calls_below(&call.operation);
         let needed = 1 + below.max(call.calls_below);
         let allowed = call.account.remaining() >= needed || call.hop_retries > 0;
-        if call.idempotent && allowed && self.may_retry(now, &mut call) {
+        if call.idempotent && allowed && self.try_spend_retry(now, &mut call) {
             self.count(Counter::Retry(reason));
             call.again = self.cfg.policy.hop_retries == 0;
             call.avoid.push(call.target.incarnation);
@@ -262,7 +264,7 @@
 
     /// Takes a retry from the action and from this node's part of the fleet's retries at the service,
     /// which keeps them a small share of the calls to it even if every action has some left.
-    pub(crate) fn may_retry(&mut self, now: Time, call: &mut OutgoingCall) -> bool {
+    pub(crate) fn try_spend_retry(&mut self, now: Time, call: &mut OutgoingCall) -> bool {
         if now >= call.deadline {
             return false;
         }
@@ -270,17 +272,21 @@
             call.hop_retries -= 1;
             return true;
         }
-        if call.account.remaining() == 0 || call.own_retries == 0 {
+        if call.account.remaining() == 0 || call.retries_left == 0 {
             return false;
         }
         let limited = self.cfg.policy.retry_budget;
         let nodes = self.members.fleet_size();
         let service = &call.request.service;
-        if limited && !self.retries.try_withdraw(now, service, call.class, nodes) {
+        if limited
+            && !self
+                .retry_budget
+                .try_withdraw(now, service, call.class, nodes)
+        {
             self.count(Counter::RetryBudgetSpent);
             return false;
         }
-        call.own_retries -= 1;
+        call.retries_left -= 1;
         call.account.try_withdraw()
     }
 
@@ -300,7 +306,7 @@
         self.finish_call(now, call, Outcome::Unknown(Reason::CallerGone));
     }
 
-    fn conclude(&mut self, now: Time, mut call: OutgoingCall, outcome: Outcome) {
+    fn finish_call(&mut self, now: Time, mut call: OutgoingCall, outcome: Outcome) {
         if let Some(earlier) = call.earlier.take() {
             if self.awaits_original(now, &call, &outcome) {
                 return self.resume_original(call, earlier);
@@ -308,7 +314,7 @@
             self.cancel_original(earlier);
         }
         let met = DownstreamSummary {
-            level: self.level_met(now, &call),
+            level: self.highest_level(now, &call),
             // The first attempt was counted when the call began.
             calls: call
                 .calls_below
@@ -320,13 +326,13 @@
             Outcome::NotRun(refusal) if call.may_have_run => Outcome::Unknown(refusal.reason),
             outcome => outcome,
         };
-        self.note_answered(now, &call, met.level, &outcome);
+        self.log_answered(now, &call, met.level, &outcome);
         self.close_request(now, call.token, call.account.remaining(), outcome);
     }
 
     /// A run's own first hop hears at once what the run meets. Heard of only at the end of the run,
     /// a level below would let in too much for the time of a whole call tree.
-    fn tell_parent(&mut self, now: Time, call: &Outgoing, met: DownstreamSummary) {
+    fn report_to_parent(&mut self, now: Time, call: &OutgoingCall, met: DownstreamSummary) {
         let operation = call.operation.clone();
         let Some(job) = self.parent_job(call.token) else {
             return;
@@ -339,8 +345,8 @@
         }
     }
 
-    fn note_answered(&mut self, now: Time, call: &OutgoingCall, level: u16, outcome: &Outcome) {
-        self.out.push(Output::Diagnostic(Diagnostic::Answered {
+    fn log_answered(&mut self, now: Time, call: &OutgoingCall, level: u16, outcome: &Outcome) {
+        self.outputs.push(Output::Diagnostic(Diagnostic::Answered {
             request: call.request.id.clone(),
             service: call.request.service.clone(),
             class: call.class,
@@ -354,8 +360,8 @@
         }));
     }
 
-    fn parent_of(&mut self, token: RequestToken) -> Option<&mut Job> {
-        let parent = self.open.get(&token)?.parent?;
+    fn parent_job(&mut self, token: RequestToken) -> Option<&mut Job> {
+        let parent = self.open_requests.get(&token)?.parent?;
         self.jobs.get_mut(&parent)
     }
 
--- a/crates/engine/src/config.rs
+++ b/crates/engine/src/config.rs
@@ -42,11 +42,11 @@
     /// How retries are allowed within one action.
     pub tree_retries: TreeRetries,
     /// What the whole fleet may try again at each service.
-    pub retries: policy::FleetRetryLimits,
+    pub retry_budget: policy::FleetRetryLimits,
     /// A key is refused by every node within this time after its revocation; unbounded without it.
     pub revocation_bound: Option<Duration>,
     /// How strictly the quotas of organisations hold.
-    pub quotas: organisation::QuotaTolerance,
+    pub quota_bounds: organisation::QuotaTolerance,
 }
 
 /// What becomes of a non-idempotent call that comes without a key.
@@ -85,14 +85,14 @@
             append_retry_delay: Duration::from_secs(1),
             leave_timeout: Duration::from_secs(10),
             parse_rules: |file| rules::Rules::parse(file).ok(),
-            keyless: Keyless::MakeKey,
-            announced: false,
-            shares_reads: false,
-            linger: Duration::ZERO,
-            tree_retries: TreeRetries::OfOperation,
-            retries: policy::FleetRetryLimits::default(),
-            revocation: None,
-            quotas: organisation::QuotaTolerance::default(),
+            keyless_calls: KeylessCalls::GenerateKey,
+            server_announces: false,
+            shared_store_reads: false,
+            stop_grace_period: Duration::ZERO,
+            tree_retries: TreeRetries::PerOperation,
+            retry_budget: policy::FleetRetryLimits::default(),
+            revocation_bound: None,
+            quota_bounds: organisation::QuotaTolerance::default(),
         }
     }
 }
--- a/crates/engine/src/diagnostic.rs
+++ b/crates/engine/src/diagnostic.rs
@@ -163,9 +163,9 @@
 impl OutcomeSummary {
     pub(crate) fn of(outcome: &Outcome) -> Self {
         match outcome {
-            Outcome::Completed(response) => Ending::Whole(response.status),
-            Outcome::NotRun(refusal) => Ending::NotRun(refusal.reason),
-            Outcome::Unknown(reason) => Ending::Unknown(*reason),
+            Outcome::Completed(response) => OutcomeSummary::Whole(response.status),
+            Outcome::NotRun(refusal) => OutcomeSummary::NotRun(refusal.reason),
+            Outcome::Unknown(reason) => OutcomeSummary::Unknown(*reason),
         }
     }
 }
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -4,6 +4,8 @@
 use crate::answer_cache::AnswerCache;
 use crate::fetch::FetchSchedule;
 use crate::job::Job;
+use crate::keyed_calls::HeldCalls;
+use crate::keyed_calls::KeyRun;
 use crate::log::LogController;
 use crate::outgoing::OutgoingCall;
 use crate::own_server::OwnServer;
@@ -30,7 +32,6 @@
 use policy::InstanceSelector;
 use policy::RetryBudget;
 use policy::ServerAdmission;
-use proto::Below;
 use proto::CallId;
 use proto::DownstreamSummary;
 use proto::Frame;
@@ -73,10 +74,10 @@
     /// What nodes share through the store.
     pub(crate) journal: State,
     pub(crate) log: LogController,
-    pub(crate) fetch: FetchLink,
+    pub(crate) fetch: FetchSchedule,
     pub(crate) members: Membership,
     pub(crate) selector: InstanceSelector,
-    pub(crate) peer_notes: PeerNotes,
+    pub(crate) peer_notes: PeerDiagnostics,
     /// The views have changed since the members were told.
     pub(crate) views_changed: bool,
     pub(crate) home: Home,
@@ -84,7 +85,7 @@
     /// The own backend server, once it has announced itself.
     pub(crate) own_server: Option<OwnServer>,
     /// Requests of callers and of the own backend server, in flight.
-    pub(crate) open: IndexMap<RequestToken, OpenRequest>,
+    pub(crate) open_requests: IndexMap<RequestToken, OpenRequest>,
     /// Requests that wait for the answer to another one.
     pub(crate) followers: IndexMap<RequestToken, RequestToken>,
     /// Calls to nodes (this one included), by the id of the present attempt.
@@ -102,12 +103,12 @@
     /// Who waits for the run of a key.
     pub(crate) key_runs: IndexMap<KeyHash, KeyRun>,
     /// What the run met that is being answered just now.
-    pub(crate) run_below: DownstreamSummary,
-    pub(crate) admission: Admission,
+    pub(crate) ended_run_below: DownstreamSummary,
+    pub(crate) admission: AdmissionLevels,
     pub(crate) resends: Resends,
     pub(crate) suspects: CrashSuspects,
     /// This node's part of the fleet's retries at each service.
-    pub(crate) retries: RetryBudget,
+    pub(crate) retry_budget: RetryBudget,
     /// Whether the rules here are the newest, as far as keys of organisations go.
     pub(crate) freshness: Freshness,
     /// This node asks the store on behalf of its failure domain.
@@ -150,19 +151,23 @@
     /// };
     /// assert_eq!(Engine::new(Config::default(), me).rules_version(), 0);
     /// ```
-    pub fn new(cfg: Config, me: Instance) -> Self {
+    pub fn new(cfg: Config, own_instance: Instance) -> Self {
         let defaults = rules::ServiceLimits::default();
-        let incarnation = me.incarnation;
-        let mut members = Membership::new(cfg.membership.clone(), me.clone(), cfg.contacts.clone());
-        members.set_accepting_work(!cfg.announced);
+        let incarnation = own_instance.incarnation;
+        let mut members = Membership::new(
+            cfg.membership.clone(),
+            own_instance.clone(),
+            cfg.contacts.clone(),
+        );
+        members.set_accepting_work(!cfg.server_announces);
         Self {
             rng: StdRng::seed_from_u64(cfg.seed),
             journal: State::default(),
             log: LogController::default(),
-            fetch: FetchLink::default(),
+            fetch: FetchSchedule::default(),
             members,
             selector: InstanceSelector::with_switches(cfg.policy),
-            peer_notes: PeerNotes::default(),
+            peer_notes: PeerDiagnostics::default(),
             views_changed: false,
             home: Home::new(cfg.once.clone(), incarnation),
             server: ServerAdmission::new(
@@ -179,19 +184,19 @@
             inbound: IndexMap::new(),
             answer_cache: AnswerCache::new(),
             jobs: IndexMap::new(),
-            jobs_by_id: IndexMap::new(),
-            keys: IndexMap::new(),
-            run_below: DownstreamSummary::default(),
-            admission: Admission::default(),
+            jobs_by_request_id: IndexMap::new(),
+            key_runs: IndexMap::new(),
+            ended_run_below: DownstreamSummary::default(),
+            admission: AdmissionLevels::default(),
             resends: Resends::new(),
-            suspects: Suspects::new(),
-            retries: RetryBudget::new(cfg.retries, incarnation.0),
-            freshness: Freshness::new(cfg.revocation),
-            leads: false,
-            trusts_keys: false,
-            quota: QuotaController::new(cfg.quotas),
-            held: HeldCalls::new(),
-            handover_ends: None,
+            suspects: CrashSuspects::new(),
+            retry_budget: RetryBudget::new(cfg.retry_budget, incarnation.0),
+            freshness: Freshness::new(cfg.revocation_bound),
+            is_domain_leader: false,
+            keys_were_trusted: false,
+            quota: QuotaController::new(cfg.quota_bounds),
+            held_calls: HeldCalls::new(),
+            handover_deadline: None,
             timers: Timers::default(),
             stopping: false,
             closed_at: Time::ZERO,
@@ -214,7 +219,7 @@
                 parent,
                 key,
                 credential,
-                caller_timeout,
+                caller_timeout: patience,
                 request,
             } => {
                 let arrival = Arrival {
@@ -224,7 +229,7 @@
                     parents: ParentInfo { context, parent },
                     key,
                     credential,
-                    caller_timeout,
+                    caller_timeout: patience,
                     request,
                 };
                 self.on_request(now, arrival);
@@ -248,7 +253,7 @@
             Input::RulesPublished { version, file } => self.on_rules_published(now, version, &file),
             Input::Directory(addrs) => {
                 let effects = self.members.add_contacts(&addrs);
-                self.apply_members(now, effects);
+                self.apply_membership_effects(now, effects);
             }
             Input::Server(announcement) => self.on_server_announcement(now, announcement),
             Input::ServerChecked { id, healthy } => self.on_server_checked(now, &id, healthy),
@@ -267,7 +272,7 @@
         // What came from this node itself may have freed a place, or have to leave the queue.
         self.start_queued_jobs(now);
         self.drain_loopback(now);
-        self.run_fetch(now);
+        self.fetch_if_due(now);
         self.start_due_append(now);
         self.check_stopped(now);
         std::mem::take(&mut self.outputs)
@@ -341,7 +346,7 @@
                 Timer::LateRun(run) => self.on_late_run(run),
                 Timer::CrashReports => self.resend_crash_reports(now),
                 Timer::RunDeadline(run) => self.on_run_deadline(now, run),
-                Timer::HeldCallTimeout(call) => self.on_held_too_long(call),
+                Timer::HeldCallTimeout(call) => self.on_hold_timeout(call),
                 Timer::HandoverTimeout | Timer::StopGracePeriod => {}
                 Timer::Reattach(call) => self.on_reattach_timer(now, call),
             }
@@ -366,7 +371,7 @@
             Frame::Call(call) => self.on_call(now, from, *call),
             Frame::Answer(id, answer) => self.on_answer(now, from, id, *answer),
             Frame::Cancel(id) => self.on_cancel(now, from, id),
-            Frame::SlowCall(id) => self.on_late(now, id),
+            Frame::SlowCall(id) => self.on_late_notice(now, id),
             Frame::CrashReport {
                 service,
                 request,
@@ -404,9 +409,9 @@
 
     pub(crate) fn on_stop(&mut self, now: Time) {
         self.stopping = true;
-        self.closed_at = now + CLOSE_AFTER;
-        self.lingers_until = now + self.cfg.linger;
-        self.timers.set(self.lingers_until, Timer::StopGracePeriod);
+        self.closed_at = now + KEYED_CALLS_GRACE;
+        self.accepts_until = now + self.cfg.stop_grace_period;
+        self.timers.set(self.accepts_until, Timer::StopGracePeriod);
         self.leave_home(now);
         self.resign_lender(now);
         self.announce_leave(now);
--- a/crates/engine/src/fetch.rs
+++ b/crates/engine/src/fetch.rs
@@ -44,7 +44,7 @@
 pub(crate) struct FetchSchedule {
     pub(crate) due: Option<Time>,
     /// A peer that knows more than this node, and how far it is.
-    ahead: Option<(SocketAddr, SyncProgress)>,
+    newest_peer: Option<(SocketAddr, SyncProgress)>,
     /// Fetches in a row that were asked for.
     consecutive_fetches: u32,
     /// Peers that tell at the same time are not all asked.
@@ -53,14 +53,14 @@
 
 impl Engine {
     /// This node's state for a peer that knows so much; nothing if this node knows no more itself.
-    pub fn state_beyond(&self, theirs: SyncProgress) -> Option<Bytes> {
-        let has_more = self.log.ready && self.journal.progress().is_ahead_of(theirs);
+    pub fn state_newer_than(&self, theirs: SyncProgress) -> Option<Bytes> {
+        let has_more = self.log.synced && self.journal.progress().is_ahead_of(theirs);
         has_more.then(|| Bytes::from(proto::encode(&self.journal)))
     }
 
     /// Whether this node reads the store, or leaves that to others and hears of what is new from them.
     pub fn reads_store(&self, now: Time) -> bool {
-        !self.cfg.shares_reads || !self.has_rules() || self.members.is_store_reader(now)
+        !self.cfg.shared_store_reads || !self.has_rules() || self.members.is_store_reader(now)
     }
 
     /// A peer says how much it knows.
@@ -86,13 +86,13 @@
     }
 
     fn waits_for_store(&self, now: Time) -> bool {
-        let starts = self.cfg.shares_reads && !self.has_rules();
+        let starts = self.cfg.shared_store_reads && !self.has_rules();
         !self.log.unreachable && !starts && self.reads_store(now)
     }
 
     fn is_in_own_domain(&self, addr: SocketAddr) -> bool {
         let peer = self.members.peer_at(addr);
-        peer.is_some_and(|peer| peer.instance.failure_domain == self.me.failure_domain)
+        peer.is_some_and(|peer| peer.instance.failure_domain == self.own_instance.failure_domain)
     }
 
     /// Tells others at once how much this node knows. Probes tell as well, but only one peer a second, and
@@ -143,13 +143,13 @@
         }
         self.fetch.due = None;
         let known = self.journal.progress();
-        let ahead = self.fetch.ahead;
+        let ahead = self.fetch.newest_peer;
         let ahead = ahead.filter(|(_, theirs)| theirs.is_ahead_of(known));
-        if ahead.is_none() && self.log.ready {
+        if ahead.is_none() && self.log.synced {
             self.fetch = FetchSchedule::default();
             return;
         }
-        let in_vain = self.fetch.asked >= MAX_ASKED && self.log.synced;
+        let in_vain = self.fetch.consecutive_fetches >= MAX_CONSECUTIVE_FETCHES && self.log.synced;
         if in_vain {
             self.fetch = FetchSchedule::default();
             return;
@@ -166,7 +166,7 @@
             self.outputs.push(Output::FetchState { from, known });
         }
         if !self.log.synced {
-            let wait = INTERVAL.mul_f64(self.rng.random_range(0.5..1.0));
+            let wait = MAX_STARTUP_INTERVAL.mul_f64(self.rng.random_range(0.5..1.0));
             self.schedule_fetch(now, wait);
         } else if self.cfg.shared_store_reads {
             self.schedule_fetch(now, FETCH_RETRY_INTERVAL);
@@ -204,13 +204,13 @@
             Change::Restored => {
                 self.log.synced = true;
                 self.on_state_restored(now);
-                self.spread_progress(false);
+                self.announce_progress(false);
                 // A node that leaves reading to others has all that there is.
                 if !self.cfg.shared_store_reads {
                     self.outputs.push(Output::ReadLog);
                 }
             }
-            Change::Invalid => self.count(Counter::BrokenRecord),
+            Change::Invalid => self.count(Counter::MalformedRecord),
             _ => {}
         }
     }
--- a/crates/engine/src/freshness.rs
+++ b/crates/engine/src/freshness.rs
@@ -39,16 +39,19 @@
         if due.is_none_or(|due| now < due) {
             return;
         }
-        self.leads = self.members.is_domain_leader(now);
-        for step in self.freshness.tick(now, self.leads, &mut self.rng) {
+        self.is_domain_leader = self.members.is_domain_leader(now);
+        for step in self
+            .freshness
+            .tick(now, self.is_domain_leader, &mut self.rng)
+        {
             match step {
-                FreshnessAction::QueryStore => self.out.push(Output::CheckRules),
+                FreshnessAction::QueryStore => self.outputs.push(Output::CheckRules),
                 FreshnessAction::QueryPeer {
-                    request_id,
+                    request_id: number,
                     attempt,
                 } => {
-                    if let Some(to) = self.freshness_source(attempt) {
-                        self.send_freshness(to, FreshnessMessage::Query { request_id });
+                    if let Some(to) = self.freshness_peer(attempt) {
+                        self.send_freshness(to, FreshnessMessage::Query { request_id: number });
                     }
                 }
             }
@@ -56,8 +59,8 @@
     }
 
     /// The nodes that lead the own failure domain, then any: the whole domain may be cut off from the store.
-    fn freshness_source(&mut self, attempt: u32) -> Option<SocketAddr> {
-        if attempt < NEIGHBOURS_ASKED {
+    fn freshness_peer(&mut self, attempt: u32) -> Option<SocketAddr> {
+        if attempt < OWN_DOMAIN_ATTEMPTS {
             let leader = self.members.domain_leader_candidate(attempt as usize);
             if let Some(leader) = leader {
                 return Some(leader.addr);
@@ -79,33 +82,33 @@
         message: FreshnessMessage,
     ) {
         match message {
-            FreshnessMessage::Query { request_id } => {
+            FreshnessMessage::Query { request_id: number } => {
                 // A node without evidence says so, so that another is asked at once.
                 let age = self.freshness.age(now).unwrap_or(Duration::MAX);
                 let age_ms = age.as_millis().saturating_add(1);
                 let report = FreshnessMessage::Report {
-                    request_id,
+                    request_id: number,
                     rules: self.journal.version,
                     age_ms: u32::try_from(age_ms).unwrap_or(u32::MAX),
                 };
                 self.send_freshness(from, report);
             }
             FreshnessMessage::Report {
-                request_id,
+                request_id: number,
                 rules,
                 age_ms,
             } => {
                 if rules > self.journal.version {
                     // What was confirmed there are not the rules that are held here.
-                    let theirs = Progress {
-                        version: rules,
-                        next: self.journal.next_offset,
+                    let theirs = SyncProgress {
+                        rules_version: rules,
+                        next_offset: self.journal.next_offset,
                     };
                     return self.on_peer_progress(now, from, theirs);
                 }
                 let age = Duration::from_millis(age_ms.into());
-                self.freshness.on_report(now, request_id, age);
-                self.note_trust(now);
+                self.freshness.on_report(now, number, age);
+                self.log_key_trust_change(now);
             }
         }
     }
@@ -129,7 +132,7 @@
         if trusts == std::mem::replace(&mut self.keys_were_trusted, trusts) {
             return;
         }
-        self.out.push(Output::Diagnostic(Diagnostic::Keys {
+        self.outputs.push(Output::Diagnostic(Diagnostic::Keys {
             trusted: trusts,
             rules: self.journal.version,
             age: self.freshness.age(now),
--- a/crates/engine/src/hedge.rs
+++ b/crates/engine/src/hedge.rs
@@ -47,20 +47,20 @@
             return;
         };
         if let JobOwner::Call(id) = job.owner {
-            if !job.cancelled && job.waiting.is_empty() {
+            if !job.cancelled && job.pending_children.is_empty() {
                 self.send_to(id.from, Frame::SlowCall(id));
             }
         }
     }
 
     /// Learns how long runs of an operation take here.
-    pub(crate) fn learn_run(&mut self, now: Time, run: RunId, ended: WorkOutcome) {
-        let WorkOutcome::Completed { elapsed, .. } = ended else {
+    pub(crate) fn record_run_time(&mut self, now: Time, run: RunId, ended: WorkOutcome) {
+        let WorkOutcome::Completed { elapsed: took, .. } = ended else {
             return;
         };
         let operation = self.jobs.get(&run).and_then(|job| job.operation.clone());
         if let Some(operation) = operation {
-            self.admission.learn_run(now, &operation, elapsed);
+            self.admission.record_run_time(now, &operation, took);
         }
     }
 
@@ -115,7 +115,7 @@
     }
 
     /// Whether the earlier attempt may still bring what the later one did not.
-    pub(crate) fn waits_for_earlier(
+    pub(crate) fn awaits_original(
         &self,
         now: Time,
         call: &OutgoingCall,
@@ -130,13 +130,13 @@
     }
 
     /// The later attempt has failed: the call waits for the earlier one again.
-    pub(crate) fn resume_earlier(&mut self, mut call: OutgoingCall, earlier: EarlierAttempt) {
-        self.earlier.swap_remove(&earlier.id);
+    pub(crate) fn resume_original(&mut self, mut call: OutgoingCall, earlier: EarlierAttempt) {
+        self.hedged_attempts.swap_remove(&earlier.id);
         call.may_have_run = true;
-        self.await_earlier(call, earlier);
+        self.track_original(call, earlier);
     }
 
-    fn await_earlier(&mut self, mut call: OutgoingCall, earlier: EarlierAttempt) {
+    fn track_original(&mut self, mut call: OutgoingCall, earlier: EarlierAttempt) {
         call.target = earlier.target;
         call.lent = earlier.lent;
         if let Some(open) = self.open_requests.get_mut(&call.token) {
@@ -148,8 +148,8 @@
     }
 
     /// Nobody waits for the earlier attempt any more.
-    pub(crate) fn drop_earlier(&mut self, earlier: EarlierAttempt) {
-        self.earlier.swap_remove(&earlier.id);
+    pub(crate) fn cancel_original(&mut self, earlier: EarlierAttempt) {
+        self.hedged_attempts.swap_remove(&earlier.id);
         self.selector.on_ended(earlier.target.incarnation);
         self.send(&earlier.target, Frame::Cancel(earlier.id));
     }
--- a/crates/engine/src/identity.rs
+++ b/crates/engine/src/identity.rs
@@ -42,8 +42,8 @@
     }
 
     /// Whether a run of the own backend server makes this call. It is part of a request that was admitted.
-    fn is_child(&self, parents: &ParentInfo) -> bool {
-        let known = |id| self.jobs_by_id.contains_key(id);
+    fn is_child_call(&self, parents: &ParentInfo) -> bool {
+        let known = |id| self.jobs_by_request_id.contains_key(id);
         parents.context.is_some() || parents.parent.as_ref().is_some_and(known)
     }
 }
--- a/crates/engine/src/ingress.rs
+++ b/crates/engine/src/ingress.rs
@@ -10,11 +10,11 @@
 use crate::Counter;
 use crate::Diagnostic;
 use crate::Engine;
-use crate::Keyless;
+use crate::KeylessCalls;
 use crate::Output;
 use crate::RequestToken;
 use crate::TreeRetries;
-use organisation::Credit;
+use organisation::QuotaToken;
 use policy::RetryAllowance;
 use proto::ActionId;
 use proto::CallId;
@@ -42,7 +42,9 @@
             Ok((operation, None)) => self.process_arrival(now, arrival, operation, dice, None),
             Ok((operation, Some((organisation, quota)))) => {
                 match self.quota.borrower.try_spend(now, organisation, quota) {
-                    Some(credit) => self.enter(now, arrival, operation, dice, Some(credit)),
+                    Some(credit) => {
+                        self.process_arrival(now, arrival, operation, dice, Some(credit))
+                    }
                     None => self.wait_for_quota(now, arrival, organisation),
                 }
             }
@@ -51,7 +53,7 @@
     }
 
     /// Admits a request that has waited for its organisation's quota. The rules may have changed meanwhile.
-    pub(crate) fn on_credit(&mut self, now: Time, mut arrival: Arrival, credit: QuotaToken) {
+    pub(crate) fn on_quota_granted(&mut self, now: Time, mut arrival: Arrival, credit: QuotaToken) {
         let dice = self.rng.random();
         let admitted = self
             .filter_rules(&mut arrival.request, dice)
@@ -79,14 +81,14 @@
             caller,
             parents,
             key,
-            caller_timeout,
+            caller_timeout: patience,
             request,
             ..
         } = arrival;
         self.count(Counter::Request(operation.class));
         let refused = RefusedRequest::new(token, key.is_some(), &request);
         let latest = at + operation.deadline;
-        let patience = caller_timeout.map(|patience| patience.saturating_sub(now.since(at)));
+        let patience = patience.map(|patience| patience.saturating_sub(now.since(at)));
         let draft = self
             .filter_context(now, token, parents, dice, operation, request)
             .map(|draft| limit_deadline(draft, now, patience, latest))
@@ -127,7 +129,7 @@
         } else {
             refusal
         };
-        self.out.push(Output::Diagnostic(Diagnostic::Refused {
+        self.outputs.push(Output::Diagnostic(Diagnostic::Refused {
             request,
             organisation,
             reason,
@@ -171,7 +173,9 @@
                 context: Some(context),
                 ..
             } => Some(RunId::parse(&context).ok_or(Reason::BadRequest)?),
-            ParentInfo { parent, .. } => parent.and_then(|id| self.jobs_by_id.get(&id).copied()),
+            ParentInfo { parent, .. } => {
+                parent.and_then(|id| self.jobs_by_request_id.get(&id).copied())
+            }
         };
         let Some(run) = run else {
             return self.root_draft(now, token, dice, operation, request);
@@ -184,8 +188,8 @@
             return Err(Reason::AllowanceSpent);
         }
         let lent = job.account.delegate_half();
-        let (class, priority) = job.standing_of_child(&operation);
-        Ok(Draft {
+        let (class, priority) = job.child_class_and_priority(&operation);
+        Ok(RequestDraft {
             token,
             action: job.action,
             dice: job.dice,
@@ -382,7 +386,7 @@
         };
         if let Some(job) = open.parent.and_then(|run| self.jobs.get_mut(&run)) {
             job.account.reclaim(open.lent, unspent);
-            job.child_ended(now, token);
+            job.on_child_ended(now, token);
         }
         if matches!(outcome, Outcome::NotRun(_)) {
             self.return_credit(now, open.credit);
@@ -399,7 +403,7 @@
             });
         }
         self.count(match &outcome {
-            Outcome::Completed(_) => Counter::Whole(open.operation.class),
+            Outcome::Completed(_) => Counter::Completed(open.operation.class),
             Outcome::NotRun(refusal) => Counter::NotRun(refusal.reason),
             Outcome::Unknown(reason) => Counter::Unknown(*reason),
         });
@@ -432,7 +436,7 @@
 }
 
 /// The time that a request has waited for a token is part of what it has.
-fn shorten(
+fn limit_deadline(
     mut draft: RequestDraft,
     now: Time,
     patience: Option<Duration>,
--- a/crates/engine/src/job.rs
+++ b/crates/engine/src/job.rs
@@ -92,7 +92,7 @@
     /// What the run has met so far in the calls that it made.
     pub(crate) fn below(&self) -> DownstreamSummary {
         DownstreamSummary {
-            level: self.met.values().copied().max().unwrap_or(0),
+            level: self.child_levels.values().copied().max().unwrap_or(0),
             calls: self.calls_below,
         }
     }
@@ -112,13 +112,13 @@
             RunEnd::Response(response) if response.status >= 500 => WorkOutcome::Failed,
             RunEnd::Response(_) => WorkOutcome::Completed {
                 elapsed: took,
-                own_time: took.saturating_sub(self.waited),
+                own_time: took.saturating_sub(self.child_wait),
             },
             RunEnd::Refused { .. } => WorkOutcome::Refused,
             RunEnd::NeverSent => WorkOutcome::Unreachable,
-            RunEnd::TimedOut if self.waiting.is_empty() => WorkOutcome::Abandoned {
+            RunEnd::TimedOut if self.pending_children.is_empty() => WorkOutcome::Abandoned {
                 elapsed: took,
-                own_time: took.saturating_sub(self.waited),
+                own_time: took.saturating_sub(self.child_wait),
             },
             RunEnd::Misdirected | RunEnd::TimedOut => WorkOutcome::Failed,
             RunEnd::Lost => WorkOutcome::Lost,
--- a/crates/engine/src/keyed_calls.rs
+++ b/crates/engine/src/keyed_calls.rs
@@ -52,23 +52,23 @@
 pub(crate) type HeldCalls = IndexMap<CallId, HeldCall>;
 
 impl Engine {
-    pub(crate) fn on_home_call(&mut self, now: Time, call: Call) {
+    pub(crate) fn on_keyed_call(&mut self, now: Time, call: Call) {
         let (id, allowance) = (call.id, call.retry_allowance);
         let Some((key, fingerprint)) = call.key else {
             return self.answer_call(id, allowance, self.not_run(Reason::BadKey));
         };
         match self.home.begin(now, key, fingerprint, call.first_attempt) {
-            Begin::Start => self.start_key(now, key, call),
-            Begin::Attach => self.attach(key, id),
-            Begin::Done(response) => {
-                self.count(Counter::Replayed);
+            BeginResult::Start => self.start_keyed_run(now, key, call),
+            BeginResult::Attach => self.attach_to_run(key, id),
+            BeginResult::Done(response) => {
+                self.count(Counter::ResponseReplayed);
                 self.answer_call(id, allowance, Outcome::Completed(response));
             }
             BeginResult::NotRun(reason) => self.answer_call(id, allowance, self.not_run(reason)),
             BeginResult::Unknown => {
                 self.answer_call(id, allowance, Outcome::Unknown(Reason::RecordLost));
             }
-            BeginResult::Wait => self.hold(now, key, call),
+            BeginResult::Wait => self.hold_call(now, key, call),
         }
     }
 
@@ -98,19 +98,19 @@
         self.count(Counter::ResendAttached);
     }
 
-    fn wait_for_key(&mut self, key: KeyHash, id: CallId) {
+    fn add_waiting_call(&mut self, key: KeyHash, id: CallId) {
         let work = InboundWork::Key(key);
         self.inbound.insert(id, InboundCall { work });
     }
 
     /// The slot is on its way. A refusal would send the call round the nodes while the records are
     /// under way for a few milliseconds; so it waits, for a bounded time, in a bounded table.
-    fn hold(&mut self, now: Time, key: KeyHash, call: Call) {
+    fn hold_call(&mut self, now: Time, key: KeyHash, call: Call) {
         let (id, allowance) = (call.id, call.retry_allowance);
-        if self.held.len() >= MAX_HELD {
+        if self.held_calls.len() >= MAX_HELD_CALLS {
             return self.answer_call(id, allowance, self.not_run(Reason::Moving));
         }
-        let until = now + HOLD.min(Duration::from_millis(u64::from(call.remaining_ms)));
+        let until = now + MAX_HOLD_TIME.min(Duration::from_millis(u64::from(call.remaining_ms)));
         self.timers.set(until, Timer::HeldCallTimeout(id));
         self.inbound.insert(
             id,
@@ -118,11 +118,11 @@
                 work: InboundWork::Held,
             },
         );
-        self.held.insert(id, HeldCall { call, key, until });
+        self.held_calls.insert(id, HeldCall { call, key, until });
     }
 
     fn take_held(&mut self, id: CallId) -> Option<HeldCall> {
-        let held = self.held.swap_remove(&id)?;
+        let held = self.held_calls.swap_remove(&id)?;
         self.timers.clear(held.until, Timer::HeldCallTimeout(id));
         self.inbound.swap_remove(&id);
         Some(held)
@@ -172,9 +172,9 @@
         outcome: Outcome,
     ) {
         let end = match &outcome {
-            Outcome::Completed(response) => End::Done(response.clone()),
-            Outcome::NotRun(_) => End::NotRun,
-            Outcome::Unknown(_) => End::Unknown,
+            Outcome::Completed(response) => RunOutcome::Done(response.clone()),
+            Outcome::NotRun(_) => RunOutcome::NotRun,
+            Outcome::Unknown(_) => RunOutcome::Unknown,
         };
         let effects = self.home.finish(now, key, end);
         let Some(work) = self.key_runs.swap_remove(&key) else {
@@ -229,9 +229,9 @@
     pub(crate) fn on_home_frame(&mut self, now: Time, from: Incarnation, frame: Frame) -> bool {
         let effects = match frame {
             Frame::Transfer(transfer) => self.home.on_transfer(now, *transfer),
-            Frame::TransferAck { slot, view } => self.home.on_transfer_done(now, from, slot, view),
+            Frame::TransferAck { slot, view } => self.home.on_transfer_ack(now, from, slot, view),
             Frame::RunFinished(record) => self.home.on_finished(now, from, *record),
-            Frame::RunFinishedAck(key) => self.home.on_finished_done(now, key),
+            Frame::RunFinishedAck(key) => self.home.on_finished_ack(now, key),
             _ => return false,
         };
         self.apply_home(now, effects);
@@ -256,7 +256,7 @@
             return;
         }
         let view = view.clone();
-        let missed = match self.home.newest() {
+        let missed = match self.home.latest_view() {
             Some(known) => view.views_since(known),
             None if self.journal.last_forgotten.is_some() => None,
             None => view.history(),
@@ -284,8 +284,8 @@
         if unheard || (!self.is_listed() && self.home.is_handed_over()) {
             return true;
         }
-        let ends = *self.handover_ends.get_or_insert_with(|| {
-            let ends = now + self.cfg.leave_patience;
+        let ends = *self.handover_deadline.get_or_insert_with(|| {
+            let ends = now + self.cfg.leave_timeout;
             self.timers.set(ends, Timer::HandoverTimeout);
             ends
         });
@@ -312,13 +312,15 @@
                 self.count(Counter::SlotMoved);
                 self.send(&to, Frame::TransferAck { slot, view });
             }
-            Effect::Finished { to, record } => self.send(&to, Frame::RunFinished(Box::new(record))),
-            Effect::FinishedDone { to, key } => self.send(&to, Frame::RunFinishedAck(key)),
-            Effect::Settled(slot) => self.release(now, |key| key.slot() == slot),
-            Effect::Leased => self.release(now, |_| true),
-            Effect::Ended(key) => self.on_ended_elsewhere(key),
-            Effect::Recall(key) => self.recall(now, key),
-            Effect::Behind => self.out.push(Output::ReadLog),
+            Effect::SendFinished { to, record } => {
+                self.send(&to, Frame::RunFinished(Box::new(record)))
+            }
+            Effect::AckFinished { to, key } => self.send(&to, Frame::RunFinishedAck(key)),
+            Effect::MoveEnded(slot) => self.release_held_calls(now, |key| key.slot() == slot),
+            Effect::LeaseAcquired => self.release_held_calls(now, |_| true),
+            Effect::RemoteRunEnded(key) => self.on_run_ended_elsewhere(key),
+            Effect::CancelQueued(key) => self.recall_queued_run(now, key),
+            Effect::ViewOutdated => self.outputs.push(Output::ReadLog),
             Effect::Expelled => self.expel(now),
             Effect::InvariantViolation(fault) => {
                 debug_assert!(false, "{fault:?}");
@@ -339,9 +341,9 @@
         let Some(work) = self.key_runs.swap_remove(&key) else {
             return;
         };
-        let outcome = match self.home.known(key) {
-            Begin::Done(response) => Outcome::Completed(response),
-            Begin::NotRun(reason) => self.not_run(reason),
+        let outcome = match self.home.lookup(key) {
+            BeginResult::Done(response) => Outcome::Completed(response),
+            BeginResult::NotRun(reason) => self.not_run(reason),
             _ => Outcome::Unknown(Reason::RecordLost),
         };
         for id in work.waiting_calls {
@@ -350,8 +352,8 @@
     }
 
     /// A queued run is taken back, because its slot moves; its callers go to the new home.
-    fn recall(&mut self, now: Time, key: KeyHash) {
-        let run = self.keys.get(&key).and_then(|work| work.run);
+    fn recall_queued_run(&mut self, now: Time, key: KeyHash) {
+        let run = self.key_runs.get(&key).and_then(|work| work.run);
         let Some(run) = run.filter(|run| self.server.cancel(run.number)) else {
             return;
         };
--- a/crates/engine/src/log.rs
+++ b/crates/engine/src/log.rs
@@ -76,7 +76,7 @@
         for (offset, value) in records {
             match self.journal.apply(offset, &value) {
                 Change::Unchanged | Change::Stale | Change::Restored => {}
-                Change::Invalid => self.count(Counter::BrokenRecord),
+                Change::Invalid => self.count(Counter::MalformedRecord),
                 Change::Rules => {
                     self.count(Counter::RulesInForce);
                     self.on_rules(now);
@@ -87,13 +87,13 @@
         }
         // What is read at the start is no news to anybody.
         if self.log.synced && self.journal.version > before {
-            self.spread_progress(true);
+            self.announce_progress(true);
         }
     }
 
     /// Takes the newest record of each key, at a start or after records that this node lacks have
     /// expired.
-    pub(crate) fn on_newest(&mut self, now: Time, values: Vec<(u64, Bytes)>, end: u64) {
+    pub(crate) fn on_topic_snapshot(&mut self, now: Time, values: Vec<(u64, Bytes)>, end: u64) {
         let values = journal::sorted_before(values, end);
         let newest = State::from_newest(&values, end);
         if !newest.is_complete_since(self.journal.next_offset) {
@@ -130,11 +130,14 @@
     }
 
     fn on_rules(&mut self, now: Time) {
-        let limit = self.journal.rules.service_limits(&self.me.service);
+        let limit = self
+            .journal
+            .rules
+            .service_limits(&self.own_instance.service);
         let operations = || self.journal.rules.all_operations();
         let longest = operations().map(|operation| operation.deadline).max();
         let ranks = match self.cfg.policy.ranks {
-            true => PriorityBands::new(self.journal.rules.standings()),
+            true => PriorityBands::new(self.journal.rules.class_priorities()),
             false => PriorityBands::default(),
         };
         self.server.set_priority_bands(ranks.clone());
@@ -142,7 +145,7 @@
         self.update_quotas();
         let longest = longest.unwrap_or(limit.key_retention);
         self.home.set_time_limits(limit.key_retention, longest);
-        self.set_server_bounds();
+        self.update_concurrency_bounds();
         self.check_server(now);
         self.mark_roster_changed(now);
     }
@@ -160,13 +163,13 @@
                 self.on_rules(now);
                 self.announce_progress(true);
             }
-            Change::Invalid => self.count(Counter::RejectedPublication),
+            Change::Invalid => self.count(Counter::PublicationRejected),
             _ => {}
         }
     }
 
     pub(crate) fn on_state_restored(&mut self, now: Time) {
-        self.count(Counter::Restored);
+        self.count(Counter::StateRestored);
         self.on_rules(now);
         // Views before the one in the state may have been missed.
         self.apply_new_views(now);
@@ -174,7 +177,7 @@
 
     fn on_view_change(&mut self, now: Time) {
         self.mark_roster_changed(now);
-        self.update_home(now);
+        self.apply_new_views(now);
     }
 
     pub(crate) fn on_log_caught_up(&mut self, now: Time) {
@@ -184,12 +187,19 @@
         self.check_departed(now);
         // An incarnation that the views have dropped never comes back: it ends, and its next start
         // is another one.
-        let dropped = self.journal.departed.contains_key(&self.me.incarnation);
-        if !self.stopping && !dropped && !self.is_listed() && self.journal.can_join(&self.me) {
+        let dropped = self
+            .journal
+            .departed
+            .contains_key(&self.own_instance.incarnation);
+        if !self.stopping
+            && !dropped
+            && !self.is_listed()
+            && self.journal.can_join(&self.own_instance)
+        {
             self.append(AppendKey::Join);
         }
         if self.is_oldest_member() && self.journal.next_forget_record().is_some() {
-            self.append(AppendKey::Forget);
+            self.append(AppendKey::DropDeparture);
         }
     }
 
@@ -220,20 +230,20 @@
                 incarnation,
                 by: mine,
             },
-            AppendKey::Forget => self.journal.next_forget_record()?,
+            AppendKey::DropDeparture => self.journal.next_forget_record()?,
         })
     }
 
     /// Drops what the topic shows by now, and starts the next append that is due.
     pub(crate) fn start_due_append(&mut self, now: Time) {
-        let mine = self.me.incarnation;
+        let mine = self.own_instance.incarnation;
         let journal = &self.journal;
         // A record that would change nothing must not land: it would take the key of one that did.
         self.log.appends.retain(|key| match key {
             AppendKey::Join => !journal.is_listed(mine),
             AppendKey::Leave => !journal.departed.contains_key(&mine),
             AppendKey::Evict(other) => journal.is_listed(other) && journal.is_listed(mine),
-            AppendKey::Forget => journal.next_forget_record().is_some(),
+            AppendKey::DropDeparture => journal.next_forget_record().is_some(),
         });
         if self.log.give_up.is_some_and(|give_up| give_up <= now) {
             self.log.give_up = None;
--- a/crates/engine/src/members.rs
+++ b/crates/engine/src/members.rs
@@ -64,7 +64,7 @@
     }
 
     /// Takes a report that came with an answer.
-    pub(crate) fn hear_load(&mut self, now: Time, from: Incarnation, load: LoadReport) {
+    pub(crate) fn record_load(&mut self, now: Time, from: Incarnation, load: LoadReport) {
         self.members.on_load_report(now, from, load);
         self.selector.on_report(now, from, load);
         self.selector.on_answered(from);
@@ -91,7 +91,7 @@
     /// The log's views name instances that this node has perhaps not heard of yet. The members are
     /// told once for a batch of records, because a start reads the views' whole history.
     pub(crate) fn mark_roster_changed(&mut self, _now: Time) {
-        self.roster_changed = true;
+        self.views_changed = true;
     }
 
     pub(crate) fn load_report(&self) -> LoadReport {
--- a/crates/engine/src/outgoing.rs
+++ b/crates/engine/src/outgoing.rs
@@ -1,7 +1,7 @@
 //! A call of this node to another, or to itself.
 
 use crate::operation_key::OperationKey;
-use crate::Token;
+use crate::RequestToken;
 use policy::RetryAllowance;
 use proto::ActionId;
 use proto::CallId;
--- a/crates/engine/src/own_server.rs
+++ b/crates/engine/src/own_server.rs
@@ -145,10 +145,10 @@
     }
 
     fn on_server_changed(&mut self, now: Time, another: bool) {
-        self.set_server_bounds();
-        let open = self.server_is_open();
-        if self.members.set_accepting_work(open) || another {
-            self.note_own_server(open);
+        self.update_concurrency_bounds();
+        let accepts_work = self.server_accepts_work();
+        if self.members.set_accepting_work(accepts_work) || another {
+            self.note_own_server(accepts_work);
         }
         if !accepts_work {
             self.refuse_queued_jobs(now);
@@ -157,7 +157,7 @@
 
     fn note_own_server(&mut self, accepts_work: bool) {
         if let Some(known) = &self.own_server {
-            self.out.push(Output::Diagnostic(Diagnostic::OwnServer {
+            self.outputs.push(Output::Diagnostic(Diagnostic::OwnServer {
                 id: known.heartbeat.id.clone(),
                 accepts_work,
                 sequence: known.heartbeat.sequence,
@@ -179,7 +179,7 @@
 
     /// Whether the own backend server may be given new work.
     pub(crate) fn server_accepts_work(&self) -> bool {
-        !self.cfg.announced || self.own_server.as_ref().is_some_and(OwnServer::is_open)
+        !self.cfg.server_announces || self.own_server.as_ref().is_some_and(OwnServer::is_open)
     }
 
     /// The incarnation that work is meant for. The address may belong to another server by now,
@@ -199,8 +199,11 @@
 
     /// The bounds of the rules; a server that tells its slots is never given more than those,
     /// because what it has to queue, or can't, it may never answer.
-    pub(crate) fn set_server_bounds(&mut self) {
-        let limit = self.journal.rules.service_limits(&self.me.service);
+    pub(crate) fn update_concurrency_bounds(&mut self) {
+        let limit = self
+            .journal
+            .rules
+            .service_limits(&self.own_instance.service);
         let slots = self.own_server.as_ref().map(|known| known.heartbeat.slots);
         let most = slots.map_or(limit.max_concurrency, |slots| {
             below_knee(slots).min(limit.max_concurrency)
--- a/crates/engine/src/peer_diagnostics.rs
+++ b/crates/engine/src/peer_diagnostics.rs
@@ -50,11 +50,11 @@
             return self.peer_notes.counted.add(state);
         }
         self.peer_notes.told += 1;
-        self.out.push(Output::Diagnostic(Diagnostic::Peer {
+        self.outputs.push(Output::Diagnostic(Diagnostic::Peer {
             incarnation,
             addr: peer.instance.addr,
             state,
-            open: peer.accepts_work,
+            accepts_work: peer.accepts_work,
         }));
     }
 
@@ -68,7 +68,7 @@
         for peer in self.members.peers() {
             known.add(peer.state);
         }
-        self.out
+        self.outputs
             .push(Output::Diagnostic(Diagnostic::Peers { changed, known }));
     }
 }
--- a/crates/engine/src/quarantine.rs
+++ b/crates/engine/src/quarantine.rs
@@ -119,7 +119,7 @@
     /// The connection broke while the request ran. The nodes of the service hear of it before the
     /// entry does, so that they know when its retry comes.
     pub(crate) fn suspect(&mut self, now: Time, request: Fingerprint) {
-        let me = self.me.incarnation;
+        let me = self.own_instance.incarnation;
         let crashes = self.suspects.known.record_crash(now, request, me);
         let Some(crashes) = crashes.filter(|_| self.suspects.may_report(now)) else {
             return;
@@ -148,7 +148,7 @@
     }
 
     fn report_suspect(&mut self, request: Fingerprint, crashes: u32) {
-        let service = self.me.service.clone();
+        let service = self.own_instance.service.clone();
         let peers = self.members.usable_peers(&service);
         let peers: Vec<Instance> = peers.map(|peer| peer.instance.clone()).collect();
         for peer in peers {
@@ -169,7 +169,7 @@
         request: Fingerprint,
         crashes: u32,
     ) {
-        if *service == self.me.service && from != self.me.incarnation {
+        if *service == self.own_instance.service && from != self.own_instance.incarnation {
             self.suspects
                 .known
                 .record_remote_crashes(now, request, from, crashes);
--- a/crates/engine/src/quota.rs
+++ b/crates/engine/src/quota.rs
@@ -61,7 +61,7 @@
     elected_at: Option<Time>,
 }
 
-impl QuotaLink {
+impl QuotaController {
     pub(crate) fn new(bounds: QuotaTolerance) -> Self {
         Self {
             borrower: Borrower::new(bounds),
@@ -143,7 +143,7 @@
             return;
         }
         self.quota.elected_at = Some(now);
-        self.quota.voters = self.members.voters(now);
+        self.quota.voters = self.members.voter_count(now);
         for group in 0..GROUP_COUNT {
             self.quota.elected[usize::from(group)] = self.elected(now, group);
         }
@@ -165,14 +165,14 @@
     fn ask_lender(&mut self, now: Time, group: u8, loans: LoanRequest) {
         let LoanRequest {
             lender,
-            request_id,
-            vote_stamp,
+            request_id: number,
+            vote_stamp: vote,
             wanted,
         } = loans;
         let me = self.own_instance.incarnation;
         if lender == me {
-            let (stamp, loans) = self.lend(now, group, me, vote_stamp, &wanted);
-            return self.on_lent(now, me, group, request_id, stamp, &loans);
+            let (stamp, lent) = self.lend(now, group, me, vote, &wanted);
+            return self.on_lent(now, me, group, number, stamp, &lent);
         }
         let Some(peer) = self.members.get(lender) else {
             return;
@@ -182,8 +182,8 @@
             from: me,
             to: lender,
             group,
-            request_id,
-            vote_stamp,
+            request_id: number,
+            vote_stamp: vote,
             wanted,
         };
         self.send_quota(to, message);
@@ -196,19 +196,19 @@
                 from,
                 to,
                 group,
-                request_id,
-                vote_stamp,
+                request_id: number,
+                vote_stamp: vote,
                 wanted,
             } if to == me && group < GROUP_COUNT => {
                 self.elect(now);
-                let (stamp, loans) = self.lend(now, group, from, vote_stamp, &wanted);
+                let (stamp, lent) = self.lend(now, group, from, vote, &wanted);
                 let message = QuotaMessage::Lend {
                     from: me,
                     to: from,
                     group,
-                    request_id,
+                    request_id: number,
                     stamp,
-                    loans,
+                    loans: lent,
                 };
                 self.send_quota(addr, message);
             }
@@ -216,25 +216,25 @@
                 from,
                 to,
                 group,
-                request_id,
+                request_id: number,
                 stamp,
-                loans,
+                loans: lent,
             } if to == me && group < GROUP_COUNT => {
-                self.on_lent(now, from, group, request_id, stamp, &loans);
+                self.on_lent(now, from, group, number, stamp, &lent);
             }
             // For an earlier incarnation at this address, which lends nothing any more and holds no vote.
             QuotaMessage::Borrow {
                 from,
                 to,
                 group,
-                request_id,
+                request_id: number,
                 ..
             } => {
                 let message = QuotaMessage::Lend {
                     from: to,
                     to: from,
                     group,
-                    request_id,
+                    request_id: number,
                     stamp: 0,
                     loans: Vec::new(),
                 };
@@ -375,7 +375,7 @@
     pub(crate) fn resign_lender(&mut self, now: Time) {
         let voters = self.quota.voters;
         self.quota.lender.release_votes(now, voters);
-        self.quota.forget_election();
+        self.quota.invalidate_election();
     }
 
     fn send_quota(&mut self, to: SocketAddr, message: QuotaMessage) {
--- a/crates/engine/src/reattach.rs
+++ b/crates/engine/src/reattach.rs
@@ -36,13 +36,13 @@
             } else {
                 self.selector.on_ended(peer);
                 self.timers.clear(call.deadline, Timer::CallDeadline(id));
-                self.after_lost(now, call, Reason::PeerLost);
+                self.on_attempt_lost(now, call, Reason::PeerLost);
             }
         }
     }
 
     /// Frames could not be sent. A call's first sending certainly did not run.
-    pub(crate) fn on_unsent(&mut self, now: Time, peer: Incarnation, unsent: Vec<Frame>) {
+    pub(crate) fn on_peer_unreachable(&mut self, now: Time, peer: Incarnation, unsent: Vec<Frame>) {
         self.selector.on_connection_failed(now, peer, &mut self.rng);
         for frame in unsent {
             let Frame::Call(frame) = frame else {
--- a/crates/engine/src/request.rs
+++ b/crates/engine/src/request.rs
@@ -1,7 +1,7 @@
 //! A request from a caller or from the own backend server, as its entry holds it.
 
 use crate::RequestToken;
-use organisation::Credit;
+use organisation::QuotaToken;
 use policy::RetryAllowance;
 use proto::ActionId;
 use proto::CallId;
@@ -110,5 +110,5 @@
     /// Each attempt below counts as a retry.
     pub(crate) again: bool,
     pub(crate) credit: Option<QuotaToken>,
-    pub(crate) sent: Option<Sent>,
+    pub(crate) request_hash: Option<RequestHash>,
 }
--- a/crates/engine/src/resends.rs
+++ b/crates/engine/src/resends.rs
@@ -35,7 +35,7 @@
 pub(crate) struct Resends {
     in_flight: IndexMap<RequestHash, RequestToken>,
     /// When a refused caller may come back.
-    refused: BoundedMap<Sent, Time>,
+    refused: BoundedMap<RequestHash, Time>,
     budgets: ResendBudgets,
 }
 
@@ -115,13 +115,13 @@
     /// answer must come before the re-send's own deadline.
     fn leader(&self, request_hash: RequestHash, draft: &RequestDraft) -> Option<RequestToken> {
         let token = self.resends.in_flight.get(&request_hash)?;
-        let call = self.calls.get(&self.open.get(token)?.call)?;
+        let call = self.calls.get(&self.open_requests.get(token)?.call)?;
         let fits = call.request == draft.request && call.deadline <= draft.deadline;
         fits.then_some(*token)
     }
 
     fn follow(&mut self, leader: RequestToken, draft: RequestDraft) {
-        let Some(open) = self.open.get_mut(&leader) else {
+        let Some(open) = self.open_requests.get_mut(&leader) else {
             return;
         };
         if open.followers.len() >= MAX_FOLLOWERS {
--- a/crates/engine/src/routing.rs
+++ b/crates/engine/src/routing.rs
@@ -18,8 +18,8 @@
 
     pub(crate) fn choose_instance(&mut self, now: Time, call: &OutgoingCall) -> Option<Instance> {
         let service = &call.request.service;
-        let mine = self.me.incarnation;
-        if self.me.service == *service {
+        let mine = self.own_instance.incarnation;
+        if self.own_instance.service == *service {
             self.update_own_standing(now);
         }
         let chosen = self
@@ -50,7 +50,7 @@
             return;
         };
         let standing = match state {
-            _ if !peer.open => Eligibility::Excluded,
+            _ if !peer.accepts_work => Eligibility::Excluded,
             PeerState::Alive if !peer.load.draining => Eligibility::Ready,
             PeerState::Suspect if !peer.load.draining => Eligibility::LastResort,
             _ => Eligibility::Excluded,
@@ -67,9 +67,9 @@
     }
 
     pub(crate) fn place(&self, peer: &Instance) -> Proximity {
-        if peer.failure_domain == self.me.failure_domain {
+        if peer.failure_domain == self.own_instance.failure_domain {
             Proximity::SameDomain
-        } else if peer.region == self.me.region {
+        } else if peer.region == self.own_instance.region {
             Proximity::SameRegion
         } else {
             Proximity::OtherRegion
--- a/crates/engine/src/serve.rs
+++ b/crates/engine/src/serve.rs
@@ -70,8 +70,8 @@
             CachedAnswer::Absent => {}
         }
         match call.role {
-            CallRole::Serve => self.serve(now, call),
-            CallRole::Home => self.on_home_call(now, call),
+            CallRole::Serve => self.on_serve_call(now, call),
+            CallRole::Home => self.on_keyed_call(now, call),
         }
     }
 
@@ -113,8 +113,8 @@
             dice: call.admission_sample,
             depth: call.depth,
             deadline: now + Duration::from_millis(u64::from(call.remaining_ms)),
-            account: RetryAllowance::new(call.allowance),
-            again: call.again,
+            account: RetryAllowance::new(call.retry_allowance),
+            again: call.possible_repeat,
             operation: operation.map(operation_key),
             fingerprint: Fingerprint::of(&request),
             keyed: call.key.is_some(),
@@ -173,7 +173,7 @@
             let level = self.path_level(now, run);
             if admission_value(ticket.class, ticket.random_value) < level {
                 self.server.on_refused_before_offer(now, ticket.class);
-                let refusal = shed(level, ticket.class, ticket.random_value);
+                let refusal = shed_refusal(level, ticket.class, ticket.random_value);
                 if let Some(job) = self.jobs.get_mut(&run) {
                     job.child_levels
                         .extend(job.operation.clone().map(|own| (own, level)));
@@ -200,7 +200,7 @@
     }
 
     /// Lets the queue move.
-    pub(crate) fn pump_server(&mut self, now: Time) {
+    pub(crate) fn start_queued_jobs(&mut self, now: Time) {
         while let Some((ticket, offer)) = self.server.next_decision(now) {
             let run = RunId {
                 at: self.own_instance.incarnation,
@@ -258,7 +258,7 @@
         let expected_server = job.expected_server.clone();
         let made_calls = matches!(job.owner, JobOwner::Key(_)) && !job.child_counts.is_empty();
         let ended = job.ended(now, &end);
-        self.learn_run(now, run, ended);
+        self.record_run_time(now, run, ended);
         self.server.on_finished(now, class, ended);
         let outcome = match end {
             RunEnd::Response(response) => {
@@ -297,7 +297,7 @@
         if let Some(at) = job.late_at {
             self.timers.clear(at, Timer::LateRun(run));
         }
-        self.out.push(Output::Diagnostic(Diagnostic::Ran {
+        self.outputs.push(Output::Diagnostic(Diagnostic::Ran {
             request: job.request.id.clone(),
             class: job.class,
             depth: job.depth,
@@ -319,7 +319,7 @@
             JobOwner::Call(call) => self.answer_call(call, unspent, outcome),
             JobOwner::Key(key) => self.finish_keyed_run(now, key, unspent, outcome),
         }
-        self.run_below = DownstreamSummary::default();
+        self.ended_run_below = DownstreamSummary::default();
         self.next_suspect(now, run);
     }
 
@@ -329,7 +329,7 @@
         };
         match inbound.work {
             InboundWork::Run(run) => self.cancel_run(now, run),
-            InboundWork::Key(key) => self.cancel_key(now, key, id),
+            InboundWork::Key(key) => self.cancel_keyed_call(now, key, id),
             InboundWork::Held => self.cancel_held(id),
         }
     }
@@ -379,13 +379,13 @@
     }
 
     /// Answers an inbound call, once.
-    pub(crate) fn answer_call(&mut self, id: CallId, unspent_retries: u16, outcome: Outcome) {
+    pub(crate) fn answer_call(&mut self, id: CallId, unspent: u16, outcome: Outcome) {
         self.inbound.swap_remove(&id);
         let answer = Answer {
             outcome,
-            unspent_retries,
+            unspent_retries: unspent,
             load: self.load_report(),
-            downstream: self.run_below,
+            downstream: self.ended_run_below,
         };
         self.answer_cache.insert(id, answer.clone());
         self.send_to(id.from, Frame::Answer(id, Box::new(answer)));
--- a/crates/engine/tests/announced.rs
+++ b/crates/engine/tests/announced.rs
@@ -154,9 +154,9 @@
     let ends = outputs.into_iter().find_map(|output| match output {
         Output::Run {
             run,
-            expected_server,
+            expected_server: expect,
             ..
-        } => Some(Ok((run, expected_server.unwrap()))),
+        } => Some(Ok((run, expect.unwrap()))),
         Output::Answer {
             outcome: Outcome::NotRun(refusal),
             ..
--- a/crates/engine/tests/levels.rs
+++ b/crates/engine/tests/levels.rs
@@ -92,7 +92,7 @@
     }
 
     /// A lookup of this value comes from its entry.
-    fn lookup(&mut self, admission_sample: u16) -> Vec<Output> {
+    fn lookup(&mut self, dice: u16) -> Vec<Output> {
         self.calls += 1;
         let call = Call {
             id: CallId {
@@ -100,7 +100,7 @@
                 number: self.calls,
             },
             action: ActionId(u128::from(self.calls)),
-            admission_sample,
+            admission_sample: dice,
             class: Class::Lookup,
             priority: 0,
             passed_level: 0,
--- a/crates/engine/tests/load.rs
+++ b/crates/engine/tests/load.rs
@@ -116,13 +116,13 @@
     }
 
     /// Answers the oldest call.
-    fn reply(&mut self, outcome: Outcome, downstream: DownstreamSummary) {
+    fn reply(&mut self, outcome: Outcome, below: DownstreamSummary) {
         let (from, call) = self.calls.remove(0);
         let answer = Answer {
             outcome,
             unspent_retries: call.retry_allowance,
             load: LoadReport::default(),
-            downstream,
+            downstream: below,
         };
         let frame = Frame::Answer(call.id, Box::new(answer));
         self.input(Input::Frame { from, frame });
--- a/crates/engine/tests/log/outage.rs
+++ b/crates/engine/tests/log/outage.rs
@@ -90,8 +90,11 @@
     assert_eq!(refusal(&mut d), Some(Reason::NoRules));
     assert_eq!(d.fetches, [(instance(2).addr, SyncProgress::default())]);
 
-    let state = peer.engine.state_beyond(SyncProgress::default()).unwrap();
-    d.feed(Input::PeerState(state));
+    let state = peer
+        .engine
+        .state_newer_than(SyncProgress::default())
+        .unwrap();
+    d.feed(Input::StateFetched(state));
     assert_eq!(d.engine.rules_version(), 3);
     assert!(!d.engine.is_listed());
     assert_eq!(refusal(&mut d), None);
@@ -132,7 +135,7 @@
     let known = d.engine.journal().progress();
     assert_eq!(d.fetches, [(instance(2).addr, known)]);
     d.feed(Input::StateFetched(
-        peer.engine.state_beyond(known).unwrap(),
+        peer.engine.state_newer_than(known).unwrap(),
     ));
     assert_eq!(d.engine.rules_version(), 2);
 
@@ -148,7 +151,7 @@
 fn a_stale_state_is_refused() {
     let old = reader(2, 1)
         .engine
-        .state_beyond(SyncProgress::default())
+        .state_newer_than(SyncProgress::default())
         .unwrap();
     let mut d = reader(1, 2);
     d.feed(Input::StateFetched(old.slice(..old.len() / 2)));
@@ -170,7 +173,7 @@
         peer.show(&Record::Join(instance(n)));
     }
     d.feed(Input::StateFetched(
-        peer.engine.state_beyond(known).unwrap(),
+        peer.engine.state_newer_than(known).unwrap(),
     ));
     assert_eq!(d.engine.next_offset(), peer.engine.next_offset());
     d.pass(Duration::from_secs(60));
--- a/crates/journal/src/state.rs
+++ b/crates/journal/src/state.rs
@@ -57,10 +57,10 @@
 
 impl State {
     /// How much of what nodes share this state has.
-    pub fn progress(&self) -> Progress {
-        Progress {
-            version: self.version,
-            next: self.next_offset,
+    pub fn progress(&self) -> SyncProgress {
+        SyncProgress {
+            rules_version: self.version,
+            next_offset: self.next_offset,
         }
     }
 
--- a/crates/membership/src/digest.rs
+++ b/crates/membership/src/digest.rs
@@ -93,8 +93,8 @@
                 packets[last + 1].add(rumour);
             }
         }
-        for Packet { updates, .. } in packets {
-            self.send(from, MemberMessage::PullReply { updates });
+        for Packet { rumours, .. } in packets {
+            self.send(from, MemberMessage::PullReply { updates: rumours });
         }
     }
 
--- a/crates/membership/src/hear.rs
+++ b/crates/membership/src/hear.rs
@@ -45,8 +45,8 @@
             None if rumour.state == PeerState::Dead => {}
             None => self.discover(now, rumour),
             Some(entry) if entry.is_news(rumour) => {
-                let turned = entry.peer.open != rumour.accepts_work;
-                self.set_open_of(incarnation, rumour.accepts_work);
+                let turned = entry.peer.accepts_work != rumour.accepts_work;
+                self.set_peer_accepts_work(incarnation, rumour.accepts_work);
                 self.set_state(now, incarnation, rumour.state, rumour.revision);
                 if turned {
                     let state = rumour.state;
--- a/crates/membership/src/members.rs
+++ b/crates/membership/src/members.rs
@@ -213,8 +213,8 @@
             let told = self.peers.values().filter(recent).take(MAX_TOLD);
             let told: Vec<SocketAddr> = told.map(|entry| entry.peer.instance.addr).collect();
             for to in told {
-                let updates = vec![self.my_rumour()];
-                self.send(to, MemberMessage::Gossip { updates });
+                let rumours = vec![self.my_rumour()];
+                self.send(to, MemberMessage::Gossip { updates: rumours });
             }
         }
         std::mem::take(&mut self.effects)
@@ -359,9 +359,9 @@
         }
         self.gossip_at = now + self.cfg.gossip_interval;
         for to in self.pick_helpers(self.cfg.gossip_fanout, None) {
-            let updates = self.take_rumours(None);
-            if !updates.is_empty() {
-                self.send(to, MemberMessage::Gossip { updates });
+            let rumours = self.take_rumours(None);
+            if !rumours.is_empty() {
+                self.send(to, MemberMessage::Gossip { updates: rumours });
             }
         }
     }
--- a/crates/membership/src/rumours.rs
+++ b/crates/membership/src/rumours.rs
@@ -55,14 +55,14 @@
                 self.left.insert(about, left - 1);
             }
         }
-        packet.updates
+        packet.rumours
     }
 }
 
 /// Rumours of one datagram.
 #[derive(Debug, Default)]
 pub(crate) struct Packet {
-    pub(crate) updates: Vec<PeerUpdate>,
+    pub(crate) rumours: Vec<PeerUpdate>,
     bytes: usize,
 }
 
@@ -73,7 +73,7 @@
         let fits = self.bytes + bytes <= MAX_BYTES;
         if fits {
             self.bytes += bytes;
-            self.updates.push(rumour);
+            self.rumours.push(rumour);
         }
         fits
     }
--- a/crates/membership/src/table.rs
+++ b/crates/membership/src/table.rs
@@ -47,7 +47,7 @@
                 instance: rumour.instance,
                 state: rumour.state,
                 load: LoadReport::default(),
-                open: rumour.accepts_work,
+                accepts_work: rumour.accepts_work,
             },
             beat: rumour.revision,
             left: rumour_state == PeerState::Leaving,
@@ -82,7 +82,7 @@
             instance: self.peer.instance.clone(),
             state: self.peer.state,
             revision: self.beat,
-            accepts_work: self.peer.open,
+            accepts_work: self.peer.accepts_work,
         }
     }
 }
--- a/crates/membership/tests/probes.rs
+++ b/crates/membership/tests/probes.rs
@@ -167,13 +167,13 @@
         revision: 0,
         accepts_work: true,
     };
-    let (digest, load, updates) = (0, LoadReport::default(), Vec::new());
+    let (digest, load, rumours) = (0, LoadReport::default(), Vec::new());
     let ping = MemberMessage::Ping {
         from: from.clone(),
         seq: 1,
         digest,
         load,
-        updates: updates.clone(),
+        updates: rumours.clone(),
     };
     fleet.deliver(0, addr(1), ping);
     assert_eq!(fleet.state(0, 1), ALIVE);
@@ -186,7 +186,7 @@
         seq,
         digest,
         load,
-        updates,
+        updates: rumours,
     };
     fleet.deliver(0, addr(1), ack);
     assert_eq!(fleet.state(0, 1), DEAD);
@@ -202,7 +202,7 @@
     fleet.run(secs(5));
     let mut old = instance(4, 2, 2);
     old.incarnation = Incarnation(3);
-    let updates = vec![PeerUpdate {
+    let rumours = vec![PeerUpdate {
         instance: old,
         state: PeerState::Alive,
         revision: 50,
@@ -213,7 +213,7 @@
             to,
             addr(5),
             MemberMessage::Gossip {
-                updates: updates.clone(),
+                updates: rumours.clone(),
             },
         );
     }
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -7,7 +7,7 @@
 
 use engine::Switches;
 use ini::Ini;
-use organisation::QuotaBounds;
+use organisation::QuotaTolerance;
 use policy::FleetRetryLimits;
 use std::net::SocketAddr;
 use std::path::Path;
--- a/crates/once/src/home.rs
+++ b/crates/once/src/home.rs
@@ -295,8 +295,8 @@
     /// Enters the moves of slots from or to this node.
     fn move_slots(&mut self, now: Time, old: Option<&View>, view: &View) {
         for slot in 0..SLOT_COUNT {
-            let before = old.and_then(|old| owner(&old.members, slot));
-            let after = owner(&view.members, slot);
+            let before = old.and_then(|old| slot_owner(&old.members, slot));
+            let after = slot_owner(&view.members, slot);
             if before.map(|owner| owner.incarnation) == after.map(|owner| owner.incarnation) {
                 continue;
             }
--- a/crates/once/src/transfers.rs
+++ b/crates/once/src/transfers.rs
@@ -218,7 +218,7 @@
         }
         let parts = split(records, self.cfg.max_part_bytes);
         let count = u16::try_from(parts.len()).unwrap_or(u16::MAX);
-        let uncertain_ms = to_ms(now.until(held.doubt_until));
+        let doubt_ms = to_ms(now.until(held.doubt_until));
         let parts = parts.into_iter().zip(0..count);
         parts
             .map(|(records, part)| SlotTransfer {
@@ -229,7 +229,7 @@
                 part,
                 parts: count,
                 records,
-                uncertain_ms,
+                uncertain_ms: doubt_ms,
             })
             .collect()
     }
