--- a/crates/policy/examples/choose.rs
+++ b/crates/policy/examples/choose.rs
@@ -1,10 +1,10 @@
 //! Prints how calls spread over instances, and how many cross regions, by load:
 //! `cargo run --release -p bilberry-policy --example choose`.
 
-#[path = "../tests/many/mod.rs"]
-mod many;
+#[path = "../tests/cluster_sim/mod.rs"]
+mod cluster_sim;
 
-use many::Many;
+use cluster_sim::Many;
 
 fn main() {
     println!("36 nodes, 2 regions; skew: region 0's part of the demand; seed 1");
--- a/crates/policy/src/level.rs
+++ b/crates/policy/src/admission_level.rs
@@ -10,9 +10,9 @@
 //! the time of a whole call tree, a second or more: steps in that time swing between everything and
 //! nothing, and a service that was asked for 1.6 times what it can do stood idle half of the time.
 
-use crate::ranks::Group;
-use crate::ranks::PROBES;
-use crate::ranks::PROTECTED;
+use crate::priority_bands::Group;
+use crate::priority_bands::PROBES;
+use crate::priority_bands::PROTECTED;
 use crate::PriorityBands;
 use crate::WorkItem;
 use indexmap::IndexMap;
--- a/crates/policy/src/server.rs
+++ b/crates/policy/src/server_admission.rs
@@ -1,13 +1,13 @@
 //! The limit, the queue and the admission level in front of one backend server.
 
+use crate::admission_level::retry_jitter;
+use crate::admission_level::Level;
 use crate::admission_value;
-use crate::failing::Failing;
-use crate::hold::Hold;
-use crate::level::retry_jitter;
-use crate::level::Level;
-use crate::limit::Limit;
-use crate::pace::Pace;
+use crate::concurrency_limit::Limit;
+use crate::failure_share::Failing;
+use crate::lookup_hold::Hold;
 use crate::queue::Queue;
+use crate::slowdown::Pace;
 use crate::work::Estimate;
 use crate::AdmissionDecision;
 use crate::PriorityBands;
--- a/crates/policy/tests/choose.rs
+++ b/crates/policy/tests/instance_selector.rs
@@ -1,12 +1,12 @@
 //! Whom calls go to.
 
-mod many;
+mod cluster_sim;
 
 use bilberry_policy::Eligibility;
 use bilberry_policy::InstanceSelector;
 use bilberry_policy::Proximity;
 use bilberry_policy::Switches;
-use many::Many;
+use cluster_sim::Many;
 use proto::Incarnation;
 use proto::LoadReport;
 use rand::rngs::StdRng;
