--- a/crates/policy/examples/choose.rs
+++ b/crates/policy/examples/choose.rs
@@ -4,7 +4,7 @@
 #[path = "../tests/cluster_sim/mod.rs"]
 mod cluster_sim;
 
-use cluster_sim::Many;
+use cluster_sim::ClusterSim;
 
 fn main() {
     println!("36 nodes, 2 regions; skew: region 0's part of the demand; seed 1");
@@ -12,7 +12,7 @@
     for servers in [6, 12, 35] {
         for skew in [0.5, 0.7] {
             for demand in [0.1, 0.5, 0.7, 0.9, 0.95] {
-                let mut many = Many::new(36, servers);
+                let mut many = ClusterSim::new(36, servers);
                 many.run(3_000, demand, skew);
                 many.reset();
                 many.run(10_000, demand, skew);
--- a/crates/policy/src/admission_level.rs
+++ b/crates/policy/src/admission_level.rs
@@ -1,14 +1,16 @@
 //! Admission levels, after DAGOR (Zhou et al., "Overload Control for Scaling WeChat Microservices",
 //! SoCC 2018).
 //!
-//! Each action has one value, the same at every hop, so that all hops shed the same actions and no
-//! work is done for an action that a deeper service then sheds. Lookups have values in the lower
-//! half of the range and all else in the upper half, so every lookup goes before any order does.
+//! Each action has one admission value, the same at every hop, so that all hops shed the same
+//! actions and no work is done for an action that a deeper service then sheds. Lookups have values
+//! in the lower half of the range and protected classes in the upper half, so all lookups are shed
+//! before any order.
 //!
-//! DAGOR moves its level step by step while work waits. Here the level is computed from the load that
-//! would come if nothing were shed, because between a level and the calls that it lets through lies
-//! the time of a whole call tree, a second or more: steps in that time swing between everything and
-//! nothing, and a service that was asked for 1.6 times what it can do stood idle half of the time.
+//! DAGOR adjusts its level step by step while work is queued. Here the level is computed from the
+//! load that would arrive if nothing were shed, because a change of level takes effect only after
+//! the duration of a whole call tree, a second or more. Stepwise adjustment with that delay
+//! oscillates between admitting everything and nothing: a service offered 1.6 times its capacity
+//! stood idle half of the time.
 
 use crate::priority_bands::Group;
 use crate::priority_bands::PROBES;
@@ -20,21 +22,22 @@
 use std::time::Duration;
 use stdx::Time;
 
-/// The time between two decisions. The load below changes more slowly.
-const WINDOW: Duration = Duration::from_millis(20);
+/// Interval between updates of the level. The averaged load changes more slowly than this.
+const UPDATE_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Over how long the offered load is averaged. Shorter, a handful of actions decides. With two seconds
-/// a service of 16 slots served 0.77 of what it can do, with this 0.89, under a demand of 1.6 (decision
-/// logic alone, lookups with eight reads).
-const MEMORY: Duration = Duration::from_millis(600);
+/// Time constant of the moving average of the offered load. If it is much shorter, a handful of
+/// actions determines the level. With 2 s a service with 16 slots served 0.77 of its capacity under
+/// a demand of 1.6, with this value 0.89 (decision logic alone, lookups with eight reads).
+const LOAD_TIME_CONSTANT: Duration = Duration::from_millis(600);
 
-/// In this time the work that waits is to be gone; so much less is let in meanwhile. With two seconds,
-/// 14 calls waited at 16 slots on average, and lookups with eight reads in turn were late. Much
-/// shorter than the time of a call tree, the same work would be counted several times. No slots are
-/// held free beside this: with a fifth of their root, lookups were shed that would have fitted.
-const CATCH_UP: Duration = Duration::from_millis(500);
+/// Time in which the backlog should be worked off; the admitted load is reduced accordingly. With 2
+/// s, 14 calls were queued on average for 16 slots, and lookups with eight sequential reads were
+/// late. If it is much shorter than the duration of a call tree, the same work is counted several
+/// times. No further slots are reserved: reserving a fifth of the square root of their number shed
+/// lookups that would have fitted.
+const BACKLOG_DRAIN_TIME: Duration = Duration::from_millis(500);
 
-/// An action's admission value.
+/// The admission value of an action: its random value within the half of the range for its class.
 ///
 /// # Examples
 ///
@@ -45,8 +48,8 @@
 /// let lookup = bilberry_policy::admission_value(Class::Lookup, u16::MAX);
 /// assert!(order > lookup);
 /// ```
-pub fn admission_value(class: Class, dice: u16) -> u16 {
-    let half = dice >> 1;
+pub fn admission_value(class: Class, random_value: u16) -> u16 {
+    let half = random_value >> 1;
     if class.is_protected() {
         PROTECTED | half
     } else {
@@ -54,28 +57,27 @@
     }
 }
 
-/// Where between half and one and a half times the usual wait an action comes back. The dice decide
-/// as well who is shed, so they are mixed first: otherwise those who were shed would come back
-/// close together.
+/// The factor between 0.5 and 1.5 by which an action's retry delay is multiplied. The random value
+/// also determines which actions are shed, so it is hashed first: otherwise the shed actions would
+/// come back close together.
 ///
 /// # Examples
 ///
 /// ```
 /// assert!((0.5..=1.5).contains(&bilberry_policy::retry_jitter(7)));
 /// ```
-pub fn retry_jitter(dice: u16) -> f64 {
-    let mixed = dice.wrapping_mul(40_503) ^ (dice >> 7);
+pub fn retry_jitter(random_value: u16) -> f64 {
+    let mixed = random_value.wrapping_mul(40_503) ^ (random_value >> 7);
     0.5 + f64::from(mixed) / f64::from(u16::MAX)
 }
 
-/// After how long a caller comes back to a service that admits nearly all.
-/// Each attempt has as good a chance as the one before, so an early one is the only one that can
-/// still be answered in good time: with a second, 1,966 of 23,529 lookups of a surge were late, with
-/// this 330 of 23,528 (one run each).
-const RETURN: Duration = Duration::from_millis(300);
+/// Mean retry delay for a service that admits nearly everything. Every attempt has the same chance
+/// of being admitted, so only an early one can still be answered in time: with 1 s, 1,966 of 23,529
+/// lookups of a surge were late, with this value 330 of 23,528 (one run each).
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// When to come back to a service that sheds at `level`: later, the smaller the share is that it
-/// admits.
+/// How long to wait before calling a service that sheds at `level` again: the smaller the share
+/// that it admits, the longer.
 ///
 /// # Examples
 ///
@@ -85,102 +87,104 @@
 ///
 /// assert!(retry_delay(0x4000, Class::Lookup, 9) > retry_delay(0, Class::Lookup, 9));
 /// ```
-pub fn retry_delay(level: u16, class: Class, dice: u16) -> Duration {
+pub fn retry_delay(level: u16, class: Class, random_value: u16) -> Duration {
     let shed = if class.is_protected() {
         level.saturating_sub(PROTECTED)
     } else {
         level.min(PROTECTED)
     };
     let admitted = 1.0 - f64::from(shed) / f64::from(PROTECTED);
-    RETURN.mul_f64(retry_jitter(dice) / admitted.max(0.1))
+    MIN_RETRY_DELAY.mul_f64(retry_jitter(random_value) / admitted.max(0.1))
 }
 
-/// Load that would come if nothing were shed, in slots, averaged over [`MEMORY`].
+/// The load that would arrive if nothing were shed, in occupied slots, averaged with
+/// [`LOAD_TIME_CONSTANT`].
 #[derive(Debug, Default, Clone, Copy)]
-struct Offered {
+struct OfferedLoad {
     slots: f64,
-    at: Time,
+    updated: Time,
 }
 
-impl Offered {
+impl OfferedLoad {
     fn add(&mut self, now: Time, work: f64) {
-        self.slots = self.slots(now) + work / MEMORY.as_secs_f64();
-        self.at = now;
+        self.slots = self.slots(now) + work / LOAD_TIME_CONSTANT.as_secs_f64();
+        self.updated = now;
     }
 
     fn slots(&self, now: Time) -> f64 {
-        let memories = now.since(self.at).as_secs_f64() / MEMORY.as_secs_f64();
-        self.slots * (-memories).exp()
+        let age = now.since(self.updated).as_secs_f64() / LOAD_TIME_CONSTANT.as_secs_f64();
+        self.slots * (-age).exp()
     }
 }
 
-/// The level of one service at one node.
+/// The admission level of one service at one node.
 ///
-/// A call that comes was let through at its first hop by a level, which it carries, and stands for
-/// all those like it that were not: by one over the share that the level let through
-/// (Horvitz and Thompson, 1952). So the load that is offered is known though most of it never comes,
-/// and what is let in depends on it alone and not on how much was let in before.
+/// Each call carries the level that its action passed at the first hop, and is weighted by the
+/// inverse of the share that this level admits (Horvitz and Thompson, 1952), so that it also
+/// represents the calls of the same kind that were shed there. The offered load is thus known
+/// although most of it never arrives, and the level depends on that load only, not on how much was
+/// admitted before.
 #[derive(Debug)]
-pub(crate) struct Level {
-    ranks: PriorityBands,
-    offered: IndexMap<Group, Offered>,
-    decided: Time,
+pub(crate) struct AdmissionLevel {
+    bands: PriorityBands,
+    offered: IndexMap<Group, OfferedLoad>,
+    updated: Time,
     level: u16,
-    /// Offered load over capacity; at least 1.
+    /// Offered load divided by capacity; at least 1.
     pressure: f64,
 }
 
-impl Level {
+impl AdmissionLevel {
     pub(crate) fn new() -> Self {
         Self {
-            ranks: PriorityBands::default(),
+            bands: PriorityBands::default(),
             offered: IndexMap::new(),
-            decided: Time::ZERO,
+            updated: Time::ZERO,
             level: 0,
             pressure: 1.0,
         }
     }
 
-    pub(crate) fn set_ranks(&mut self, ranks: PriorityBands) {
-        self.ranks = ranks;
+    pub(crate) fn set_priority_bands(&mut self, bands: PriorityBands) {
+        self.bands = bands;
     }
 
-    /// An action passes when its value is at or above this.
+    /// Actions with an admission value at or above this level are admitted.
     pub(crate) fn get(&self) -> u16 {
         self.level
     }
 
-    /// How many times as much is offered as can be done; at least 1.
+    /// Offered load divided by capacity; at least 1.
     pub(crate) fn pressure(&self) -> f64 {
         self.pressure
     }
 
-    /// Work is offered that takes up a slot for so long.
-    pub(crate) fn offered(&mut self, now: Time, ticket: &WorkItem, takes: Duration) {
-        let group = Group::new(ticket.class, ticket.priority);
-        // A group that was shed whole still has the work that it had begun.
-        let share = self.ranks.share(group, ticket.passed_level).max(PROBES);
+    /// Records offered work that will occupy a slot for `slot_time`.
+    pub(crate) fn record_offered(&mut self, now: Time, item: &WorkItem, slot_time: Duration) {
+        let group = Group::new(item.class, item.priority);
+        // Calls of actions admitted earlier still arrive after their group was shed entirely.
+        let share = self.bands.share(group, item.passed_level).max(PROBES);
         if !self.offered.contains_key(&group) {
-            self.offered.insert_sorted(group, Offered::default());
+            self.offered.insert_sorted(group, OfferedLoad::default());
         }
-        self.offered[&group].add(now, takes.as_secs_f64() / share);
+        self.offered[&group].add(now, slot_time.as_secs_f64() / share);
     }
 
-    /// Decides anew if it is time: `slots` may be in use, and so much work waits, in seconds of one
-    /// slot.
-    pub(crate) fn decide(&mut self, now: Time, slots: u16, waiting: f64) {
-        if now.since(self.decided) < WINDOW {
+    /// Recomputes the level if [`UPDATE_INTERVAL`] has passed. `slots` is the concurrency limit,
+    /// and `backlog` the queued work in seconds of one slot.
+    pub(crate) fn update(&mut self, now: Time, slots: u16, backlog: f64) {
+        if now.since(self.updated) < UPDATE_INTERVAL {
             return;
         }
-        self.decided = now;
-        let capacity = f64::from(slots) - waiting / CATCH_UP.as_secs_f64();
+        self.updated = now;
+        let capacity = f64::from(slots) - backlog / BACKLOG_DRAIN_TIME.as_secs_f64();
         let loads = self
             .offered
             .iter()
             .map(|(group, load)| (*group, load.slots(now)));
         let loads: Vec<(Group, f64)> = loads.collect();
-        let all: f64 = loads.iter().map(|(_, load)| load).sum();
-        self.pressure = (all / capacity.max(1.0)).max(1.0);
-        self.level = self.ranks.level(&loads, capacity);
+        let total: f64 = loads.iter().map(|(_, load)| load).sum();
+        self.pressure = (total / capacity.max(1.0)).max(1.0);
+        self.level = self.bands.level(&loads, capacity);
     }
 }
--- a/crates/policy/src/concurrency_limit.rs
+++ b/crates/policy/src/concurrency_limit.rs
@@ -1,83 +1,88 @@
 //! The adaptive concurrency limit of one backend server.
 //!
-//! The measure is the backend server's own time, without its waits for child calls, against the
-//! time that it takes when nothing waits inside it. A longer time alone does not say whether work
-//! waits inside the server or the server itself has become slower: a gradient limit (Netflix's
-//! concurrency-limits) takes the second for the first, and goes down until the slots stand empty.
-//! So a large rise is put to the test once: with less concurrency the time falls if work waited
-//! inside, and stays if the server is slower. In the second case the new time becomes the measure
-//! and the limit comes back.
+//! The limit follows the ratio of the backend server's own time, without its waits for child calls,
+//! to the time that it takes when nothing is queued inside it. A longer time alone does not tell
+//! whether work is queued inside the server or the server itself has become slower. A gradient
+//! limit (Netflix's concurrency-limits) mistakes the second for the first and lowers the limit
+//! until slots stand empty. A large rise is therefore probed once with a lower limit: if work was
+//! queued inside the server, the time falls; if the server is slower, it does not. In the second
+//! case the new time becomes the expected time and the limit is restored.
 
 use proto::Class;
 use std::time::Duration;
 use stdx::Time;
 
-/// The limit of a server about which nothing is known yet.
-const COLD: f64 = 16.0;
+/// Initial limit of a server without measurements.
+const INITIAL_LIMIT: f64 = 16.0;
 
 /// Below this ratio of measured to expected time the limit rises.
 const RISE_BELOW: f64 = 1.15;
 
-/// Above this ratio it falls.
+/// Above this ratio of measured to expected time the limit falls.
 const FALL_ABOVE: f64 = 1.3;
 
-/// Above this ratio it is put to the test whether the server itself has become slower.
-const TEST_ABOVE: f64 = 2.0;
+/// Above this ratio the limit is lowered once to probe whether the server itself has become slower.
+const PROBE_ABOVE: f64 = 2.0;
 
-/// What is left of the limit during the test.
-const TEST_CUT: f64 = 0.7;
+/// Factor applied to the limit during a probe.
+const PROBE_FACTOR: f64 = 0.7;
 
-/// The fewest measurements that a decision rests on.
+/// Minimum number of measurements per decision.
 const MIN_SAMPLES: f64 = 30.0;
 
-/// The classes, each with an expected time of its own.
+/// Number of classes, each with an expected time of its own.
 const CLASSES: usize = 5;
 
 /// The adaptive concurrency limit of one backend server.
 #[derive(Debug)]
-pub(crate) struct Limit {
+pub(crate) struct ConcurrencyLimit {
     min: f64,
     max: f64,
     limit: f64,
-    /// Nothing has shown yet where the limit is: it doubles.
+    /// No congestion has been seen yet, so the limit doubles with each increase.
     cold: bool,
     /// The expected time by class, in seconds.
     expected: [Option<f64>; CLASSES],
     window: Window,
-    test: Option<Test>,
-    /// Work that began before this says nothing about the present limit.
-    not_before: Time,
+    probe: Option<Probe>,
+    /// Work that started before this is not measured, because it ran under another limit.
+    measure_from: Time,
 }
 
 /// Measurements since the last decision.
 #[derive(Debug, Default)]
 struct Window {
     samples: u32,
-    took: f64,
+    /// Sum of the measured times, in seconds.
+    measured: f64,
+    /// Sum of the expected times, in seconds.
     expected: f64,
+    /// Measurements taken while the limit was reached.
     full: u32,
+    /// Whether the server refused work by itself.
     refused: bool,
+    /// Number and sum of the measured times by class.
     by_class: [(u32, f64); CLASSES],
 }
 
-/// What held before the limit was cut for a test.
+/// The limit and the time ratio from before a probe.
 #[derive(Debug)]
-struct Test {
+struct Probe {
     limit: f64,
     ratio: f64,
 }
 
-impl Limit {
+impl ConcurrencyLimit {
     pub(crate) fn new(min: u16, max: u16) -> Self {
         let mut limit = Self {
             min: f64::from(min),
             max: f64::from(max),
-            limit: COLD,
+            limit: INITIAL_LIMIT,
             cold: true,
             expected: [None; CLASSES],
             window: Window::default(),
-            test: None,
-            not_before: Time::ZERO,
+            probe: None,
+            measure_from: Time::ZERO,
         };
         limit.clamp();
         limit
@@ -87,8 +92,9 @@
         self.limit as u16
     }
 
-    /// The limit for protected classes. A cold server has not shown yet what it can do, and an order
-    /// that fits is not refused for that alone.
+    /// The limit for protected classes. It is twice the limit while the server is cold, because the
+    /// capacity of a cold server is unknown, and an order that may fit is not refused for that
+    /// alone.
     pub(crate) fn for_protected(&self) -> u16 {
         if self.cold {
             (self.limit * 2.0).min(self.max) as u16
@@ -103,65 +109,65 @@
         self.clamp();
     }
 
-    /// Goes to the upper bound, for a server that does not start slowly.
+    /// Sets the limit to its upper bound, for a server without slow start.
     pub(crate) fn set_to_max(&mut self) {
         self.limit = self.max;
         self.cold = false;
     }
 
-    /// The server was down and comes back cold. A crash says nothing about congestion, so the
-    /// expected times stay.
+    /// Starts again from the initial limit after the server was down. A crash says nothing about
+    /// congestion, so the expected times are kept.
     pub(crate) fn restart(&mut self, now: Time) {
-        self.limit = COLD;
+        self.limit = INITIAL_LIMIT;
         self.cold = true;
-        self.test = None;
+        self.probe = None;
         self.window = Window::default();
-        self.not_before = now;
+        self.measure_from = now;
         self.clamp();
     }
 
-    /// The server refused work by itself.
-    pub(crate) fn refused(&mut self) {
+    /// Records that the server refused work by itself.
+    pub(crate) fn on_refused(&mut self) {
         self.window.refused = true;
     }
 
-    /// Takes a measurement: work of `class` that ended now and kept the server busy for `own`.
-    /// `full` says that as much was running as the limit allows.
-    pub(crate) fn sample(&mut self, now: Time, class: Class, own: Duration, full: bool) {
-        if now.since(self.not_before) < own {
+    /// Records a measurement: work of `class` that ended now and kept the server busy for
+    /// `own_time`. `full` tells whether the limit was reached.
+    pub(crate) fn record(&mut self, now: Time, class: Class, own_time: Duration, full: bool) {
+        if now.since(self.measure_from) < own_time {
             return;
         }
-        let own = own.as_secs_f64();
+        let own_time = own_time.as_secs_f64();
         let class = class as usize;
-        let expected = *self.expected[class].get_or_insert(own);
+        let expected = *self.expected[class].get_or_insert(own_time);
         self.window.samples += 1;
-        self.window.took += own;
+        self.window.measured += own_time;
         self.window.expected += expected;
         self.window.full += u32::from(full);
         self.window.by_class[class].0 += 1;
-        self.window.by_class[class].1 += own;
+        self.window.by_class[class].1 += own_time;
         if f64::from(self.window.samples) >= (2.0 * self.limit).max(MIN_SAMPLES) {
-            self.decide(now);
+            self.adjust(now);
         }
     }
 
-    fn decide(&mut self, now: Time) {
+    fn adjust(&mut self, now: Time) {
         let window = std::mem::take(&mut self.window);
-        let ratio = window.took / window.expected.max(1e-9);
+        let ratio = window.measured / window.expected.max(1e-9);
         let full = window.full * 2 > window.samples;
-        if let Some(test) = self.test.take() {
-            self.conclude(now, test, ratio);
+        if let Some(probe) = self.probe.take() {
+            self.finish_probe(now, probe, ratio);
         } else if window.refused {
             self.limit *= 0.9;
             self.cold = false;
-        } else if ratio > TEST_ABOVE && full {
-            self.test = Some(Test {
+        } else if ratio > PROBE_ABOVE && full {
+            self.probe = Some(Probe {
                 limit: self.limit,
                 ratio,
             });
-            self.limit *= TEST_CUT;
+            self.limit *= PROBE_FACTOR;
             self.cold = false;
-            self.not_before = now;
+            self.measure_from = now;
         } else if ratio > FALL_ABOVE {
             self.limit -= (self.limit * 0.03).max(1.0);
             self.cold = false;
@@ -172,31 +178,31 @@
                 (self.limit * 0.05).max(1.0)
             };
         }
-        self.learn(&window, full);
+        self.update_expected(&window, full);
         self.clamp();
     }
 
-    /// With less concurrency the time fell if work had waited inside the server. If it did not,
-    /// the server itself is slower and the old limit was right.
-    fn conclude(&mut self, now: Time, test: Test, ratio: f64) {
-        let halfway = test.ratio * (1.0 + TEST_CUT) / 2.0;
+    /// Evaluates a probe. If the time did not fall with less concurrency, no work was queued inside
+    /// the server: it is slower, and the limit from before the probe is restored.
+    fn finish_probe(&mut self, now: Time, probe: Probe, ratio: f64) {
+        let halfway = probe.ratio * (1.0 + PROBE_FACTOR) / 2.0;
         if ratio > halfway {
             for expected in self.expected.iter_mut().flatten() {
                 *expected *= ratio;
             }
-            self.limit = test.limit;
-            self.not_before = now;
+            self.limit = probe.limit;
+            self.measure_from = now;
         }
     }
 
-    /// Expected times follow a shorter time at once, and a longer one only while nothing can have
-    /// waited inside the server.
-    fn learn(&mut self, window: &Window, full: bool) {
-        for (expected, (samples, took)) in self.expected.iter_mut().zip(window.by_class) {
+    /// Expected times follow a shorter measured time quickly, and a longer one slowly and only
+    /// while the limit is not reached, when nothing can have been queued inside the server.
+    fn update_expected(&mut self, window: &Window, full: bool) {
+        for (expected, (samples, measured)) in self.expected.iter_mut().zip(window.by_class) {
             let Some(expected) = expected.as_mut().filter(|_| samples >= 4) else {
                 continue;
             };
-            let mean = took / f64::from(samples);
+            let mean = measured / f64::from(samples);
             if mean < *expected {
                 *expected += 0.25 * (mean - *expected);
             } else if !full {
--- a/crates/policy/src/failure_share.rs
+++ b/crates/policy/src/failure_share.rs
@@ -1,64 +1,66 @@
-//! How much of its work a server fails by itself.
+//! The share of its recent work that a backend server failed by itself.
 
 use crate::WorkOutcome;
 use std::time::Duration;
 use stdx::Time;
 
-/// A run that ended counts for one part in this many of the share: at 40 runs a second, half of a change
-/// is seen after 0.3 s.
-const WINDOW: f32 = 16.0;
+/// Each finished run has a weight of one in this many in the moving average: at 40 runs per second,
+/// half of a change is visible after 0.3 s.
+const SMOOTHING: f32 = 16.0;
 
-/// Without news the share halves in this time, so that a server that gets nothing any more is tried
-/// again. Long enough that one bad answer out of few does not come and go with each call.
+/// Without new results the share halves in this time, so that a server that receives no more work
+/// is tried again. Long enough that one failure among few runs does not make the share rise and
+/// fall with every call.
 const HALF_LIFE: Duration = Duration::from_secs(1);
 
-/// What a server that fails everything counts as, in thousandths of its limit. Enough to send calls
-/// past the distance to another region ([`crate::Proximity`]) where two in five fail, and not for one in
-/// ten.
-const WEIGHT: f32 = 1500.0;
+/// The load penalty of a server that fails everything, in thousandths of its limit. Large enough to
+/// outweigh the cost of crossing to another region ([`crate::Proximity`]) when two in five runs
+/// fail, but not when one in ten does.
+const FULL_PENALTY: f32 = 1500.0;
 
-/// The share of a server's runs that it failed lately.
+/// Moving average of the share of a server's runs that it failed.
 ///
-/// A server that refuses or loses part of its work is quick, looks idle by its load, and would draw
-/// more and more of it: one bad server of six then fails far more than a sixth of all calls. Counted
-/// as load, what it fails keeps calls away from it. With a third of 12 servers that refuse half of
-/// their work, calls that fail go from 17% to 4% (`a_third_of_the_servers_refuse_half`).
+/// A server that refuses or loses part of its work answers quickly, looks idle by its load, and
+/// would attract more and more calls: one bad server of six then fails far more than a sixth of all
+/// calls. Counting failures as load keeps calls away from it. With a third of 12 servers refusing
+/// half of their work, this lowers the share of failed calls from 17% to 4%
+/// (`a_third_of_the_servers_refuse_half`).
 #[derive(Debug, Default)]
-pub(crate) struct Failing {
+pub(crate) struct FailureShare {
     share: f32,
     updated: Time,
 }
 
-impl Failing {
-    /// Takes the end of a run.
-    pub(crate) fn hear(&mut self, now: Time, ended: WorkOutcome) {
-        let failed = match ended {
+impl FailureShare {
+    /// Takes the outcome of a run.
+    pub(crate) fn record(&mut self, now: Time, outcome: WorkOutcome) {
+        let failed = match outcome {
             WorkOutcome::Refused | WorkOutcome::Lost | WorkOutcome::Unreachable => 1.0,
             WorkOutcome::Completed { .. } => 0.0,
-            // Mostly because a call that it made failed, or nobody waited any more.
+            // Mostly caused by a failed child call or by a caller that gave up, not by the server.
             WorkOutcome::Failed | WorkOutcome::Abandoned { .. } => return,
         };
-        self.fade(now);
-        self.share += (failed - self.share) / WINDOW;
+        self.decay(now);
+        self.share += (failed - self.share) / SMOOTHING;
     }
 
-    /// What it counts as, in thousandths of the limit.
-    pub(crate) fn load(&self, now: Time) -> u16 {
-        (self.faded(now) * WEIGHT) as u16
+    /// The penalty to add to the server's load, in thousandths of its limit.
+    pub(crate) fn penalty(&self, now: Time) -> u16 {
+        (self.decayed(now) * FULL_PENALTY) as u16
     }
 
-    /// Another server is at the place.
+    /// Forgets all outcomes, because another server process has taken over.
     pub(crate) fn reset(&mut self) {
         self.share = 0.0;
     }
 
-    fn fade(&mut self, now: Time) {
-        self.share = self.faded(now);
+    fn decay(&mut self, now: Time) {
+        self.share = self.decayed(now);
         self.updated = now;
     }
 
-    fn faded(&self, now: Time) -> f32 {
-        let lives = now.since(self.updated).as_secs_f32() / HALF_LIFE.as_secs_f32();
-        self.share * 0.5f32.powf(lives)
+    fn decayed(&self, now: Time) -> f32 {
+        let half_lives = now.since(self.updated).as_secs_f32() / HALF_LIFE.as_secs_f32();
+        self.share * 0.5f32.powf(half_lives)
     }
 }
--- a/crates/policy/src/instance_selector.rs
+++ b/crates/policy/src/instance_selector.rs
@@ -1,8 +1,9 @@
-//! Whom a call goes to: near instances first while they have room, and never all nodes to the same
-//! one.
+//! Selection of the instance for a call. Near instances are preferred while they have spare
+//! capacity, and randomness keeps the nodes from all choosing the same one.
 //!
-//! The less loaded of two random instances is taken (power of two choices, Mitzenmacher 2001), two
-//! from each distance, so a choice costs the same however large the fleet is.
+//! The less loaded of two random instances is chosen (power of two choices, Mitzenmacher 2001),
+//! with two candidates for each proximity, so the cost of a choice does not depend on the size of
+//! the fleet.
 
 use crate::Switches;
 use indexmap::IndexMap;
@@ -17,46 +18,47 @@
 use stdx::plain;
 use stdx::Time;
 
-/// What distance adds to the load, in thousandths of the concurrency limit, by [`Proximity`].
-const DISTANCE: [u32; 3] = [20, 100, 600];
+/// Added to the load for distance, in thousandths of the concurrency limit, by [`Proximity`].
+const DISTANCE_COST: [u32; 3] = [20, 100, 600];
 
-/// Up to this load, in thousandths of its limit, an instance starts work at once, and one that is
-/// less loaded would not serve the caller any sooner. The rest of the limit is for calls that are on
-/// their way and not reported yet.
+/// Up to this load, in thousandths of its limit, an instance starts work immediately, and a less
+/// loaded one would not answer any sooner. The rest of the limit is reserved for calls that are in
+/// flight and not yet reported.
 ///
-/// Bytes between failure domains are billed. Counted from the first call on, a difference of 1.3
-/// calls in 16 slots sent a call to another domain, a quarter of all calls to the busiest service.
-const ROOM: u32 = 800;
+/// Traffic between failure domains is billed. If load counted from the first call, a difference of
+/// 1.3 calls in 16 slots would be enough to send a call to another domain; this affected a quarter
+/// of all calls to the busiest service.
+const FREE_LOAD: u32 = 800;
 
-/// How long a report says anything. It counts less and less until then.
-const REPORT_LIFE: Duration = Duration::from_secs(5);
+/// Time over which the weight of a load report falls linearly to zero.
+const REPORT_LIFETIME: Duration = Duration::from_secs(5);
 
-/// The load of an instance that has said nothing lately, in thousandths of its limit.
+/// Assumed load of an instance without a recent report, in thousandths of its limit.
 const UNKNOWN_LOAD: u32 = 300;
 
-/// The concurrency limit of an instance that has said nothing yet.
+/// Assumed concurrency limit of an instance without any report.
 const UNKNOWN_LIMIT: u32 = 50;
 
-/// How long a new instance takes to get its full share.
+/// Time until a new instance receives its full share of calls.
 const WARM_UP: Duration = Duration::from_secs(10);
 
-/// The share of a new instance at first, as a divisor.
+/// Divisor of the share of calls that a new instance receives at first.
 const COLD_DIVISOR: u32 = 10;
 
-/// How long an instance is left out after a connection to it has failed.
-const FIRST_BACKOFF: Duration = Duration::from_millis(200);
+/// Mean time for which an instance is not used after the first failed connection.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(200);
 
-/// How often that time doubles, at most.
+/// Maximum number of times that the backoff doubles.
 const MAX_DOUBLINGS: u32 = 5;
 
-/// How many random instances of one distance are compared.
-const CHOICES: usize = 2;
+/// Number of random instances per proximity that are compared.
+const CANDIDATES: usize = 2;
 
-/// How many instances are drawn to find that many that may be used.
-const DRAWS: usize = 4;
+/// Number of random instances sampled to find [`CANDIDATES`] usable ones.
+const SAMPLES: usize = 4;
 
 plain! {
-    /// How far an instance is from this one. Crossing regions is billed.
+    /// How near an instance is. Traffic between regions is billed.
     #[derive(Hash, PartialOrd, Ord)]
     pub enum Proximity {
         /// The same failure domain.
@@ -69,48 +71,48 @@
 }
 
 plain! {
-    /// Whether an instance may be given new calls.
+    /// Whether an instance may receive new calls.
     pub enum Eligibility {
         /// It may.
         Ready,
-        /// Only if no other one may.
+        /// Only if no other instance may.
         LastResort,
-        /// It may not.
+        /// It must not.
         Excluded,
     }
 }
 
-/// What is known of one instance.
+/// The state tracked for one instance.
 #[derive(Debug)]
-struct Track {
+struct InstanceState {
     service: Arc<str>,
-    place: Proximity,
-    /// When it was first heard of; `None` if that may be long ago.
+    proximity: Proximity,
+    /// When the instance became known; `None` if it may have been running for a long time.
     new_since: Option<Time>,
     report: LoadReport,
     reported_at: Option<Time>,
     /// Calls sent since the last report.
-    sent: u32,
+    sent_since_report: u32,
     in_flight: u32,
-    /// Failed connections in a row.
+    /// Consecutive failed connections.
     failures: u32,
-    left_out_until: Time,
+    backoff_until: Time,
 }
 
 /// The instances of one service.
 #[derive(Debug, Default)]
-struct Group {
+struct ServiceInstances {
     /// By [`Proximity`].
     ready: [IndexSet<Incarnation>; 3],
-    doubtful: IndexSet<Incarnation>,
+    last_resort: IndexSet<Incarnation>,
 }
 
-/// Chooses instances for calls, from what this node knows and has sent itself.
+/// Chooses instances for calls, based on their load reports and on the calls sent by this node.
 ///
 /// # Examples
 ///
 /// ```
-/// use bilberry_policy::{Proximity, InstanceSelector, Eligibility};
+/// use bilberry_policy::{Eligibility, InstanceSelector, Proximity};
 /// use proto::Incarnation;
 /// use rand::SeedableRng;
 /// use stdx::Time;
@@ -118,127 +120,130 @@
 /// let mut rng = rand::rngs::StdRng::seed_from_u64(1);
 /// let mut selector = InstanceSelector::new();
 /// let press = "press".into();
-/// selector.set_instance(Time::ZERO, Incarnation(7), &press, Proximity::SameDomain, Eligibility::Ready);
+/// let (id, near) = (Incarnation(7), Proximity::SameDomain);
+/// selector.set_instance(Time::ZERO, id, &press, near, Eligibility::Ready);
 /// let chosen = selector.choose(Time::ZERO, "press", &[], &mut rng);
-/// assert_eq!(chosen, Some(Incarnation(7)));
-/// assert_eq!(selector.choose(Time::ZERO, "press", &[Incarnation(7)], &mut rng), None);
+/// assert_eq!(chosen, Some(id));
+/// assert_eq!(selector.choose(Time::ZERO, "press", &[id], &mut rng), None);
 /// ```
 #[derive(Debug, Default)]
 pub struct InstanceSelector {
-    tracks: IndexMap<Incarnation, Track>,
-    services: IndexMap<Arc<str>, Group>,
+    instances: IndexMap<Incarnation, InstanceState>,
+    services: IndexMap<Arc<str>, ServiceInstances>,
     started: Option<Time>,
-    /// Load counts from the first call on, also where an instance has room.
-    ignores_room: bool,
+    /// Load counts from the first call on, even below [`FREE_LOAD`].
+    ignores_free_load: bool,
 }
 
 impl InstanceSelector {
-    /// A selector that knows no instance.
+    /// A selector without instances.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// A selector with the mechanisms that are on.
+    /// A selector without instances that uses the mechanisms that are on.
     pub fn with_switches(switches: Switches) -> Self {
         Self {
-            ignores_room: !switches.room,
+            ignores_free_load: !switches.room,
             ..Self::default()
         }
     }
 
-    /// Enters an instance or changes its standing.
+    /// Adds an instance or updates its eligibility.
     pub fn set_instance(
         &mut self,
         now: Time,
         peer: Incarnation,
         service: &Arc<str>,
-        place: Proximity,
-        standing: Eligibility,
+        proximity: Proximity,
+        eligibility: Eligibility,
     ) {
         let started = *self.started.get_or_insert(now);
-        let group = self.services.entry(service.clone()).or_default();
-        group.ready[place as usize].swap_remove(&peer);
-        group.doubtful.swap_remove(&peer);
-        match standing {
-            Eligibility::Ready => group.ready[place as usize].insert(peer),
-            Eligibility::LastResort => group.doubtful.insert(peer),
+        let instances = self.services.entry(service.clone()).or_default();
+        instances.ready[proximity as usize].swap_remove(&peer);
+        instances.last_resort.swap_remove(&peer);
+        match eligibility {
+            Eligibility::Ready => instances.ready[proximity as usize].insert(peer),
+            Eligibility::LastResort => instances.last_resort.insert(peer),
             Eligibility::Excluded => {
-                self.tracks.swap_remove(&peer);
+                self.instances.swap_remove(&peer);
                 return;
             }
         };
-        // What a node hears of right after its own start has mostly been there before.
+        // Most instances discovered right after the start of this node have been running before.
         let is_new = now.since(started) >= WARM_UP;
-        self.tracks.entry(peer).or_insert_with(|| Track {
+        self.instances.entry(peer).or_insert_with(|| InstanceState {
             service: service.clone(),
-            place,
+            proximity,
             new_since: Some(now).filter(|_| is_new),
             report: LoadReport::default(),
             reported_at: None,
-            sent: 0,
+            sent_since_report: 0,
             in_flight: 0,
             failures: 0,
-            left_out_until: Time::ZERO,
+            backoff_until: Time::ZERO,
         });
     }
 
-    /// Takes what an instance says of its load. One that is leaving gets nothing more.
+    /// Applies a load report. A draining instance receives no further calls.
     pub fn on_report(&mut self, now: Time, peer: Incarnation, report: LoadReport) {
-        let Some(track) = self.tracks.get_mut(&peer) else {
+        let Some(instance) = self.instances.get_mut(&peer) else {
             return;
         };
-        track.report = report;
-        track.reported_at = Some(now);
-        track.sent = 0;
+        instance.report = report;
+        instance.reported_at = Some(now);
+        instance.sent_since_report = 0;
         if report.draining {
-            let (service, place) = (track.service.clone(), track.place);
-            self.set_instance(now, peer, &service, place, Eligibility::Excluded);
+            let (service, proximity) = (instance.service.clone(), instance.proximity);
+            self.set_instance(now, peer, &service, proximity, Eligibility::Excluded);
         }
     }
 
-    /// A call was sent.
+    /// Records that a call was sent.
     pub fn on_sent(&mut self, peer: Incarnation) {
-        if let Some(track) = self.tracks.get_mut(&peer) {
-            track.sent += 1;
-            track.in_flight += 1;
+        if let Some(instance) = self.instances.get_mut(&peer) {
+            instance.sent_since_report += 1;
+            instance.in_flight += 1;
         }
     }
 
-    /// A call that was sent is over.
+    /// Records that a call that was sent has ended.
     pub fn on_ended(&mut self, peer: Incarnation) {
-        if let Some(track) = self.tracks.get_mut(&peer) {
-            track.in_flight = track.in_flight.saturating_sub(1);
+        if let Some(instance) = self.instances.get_mut(&peer) {
+            instance.in_flight = instance.in_flight.saturating_sub(1);
         }
     }
 
-    /// An instance has answered a call, so connections to it work.
+    /// Records that an instance answered a call, so that connections to it work.
     pub fn on_answered(&mut self, peer: Incarnation) {
-        if let Some(track) = self.tracks.get_mut(&peer) {
-            track.failures = 0;
-            track.left_out_until = Time::ZERO;
+        if let Some(instance) = self.instances.get_mut(&peer) {
+            instance.failures = 0;
+            instance.backoff_until = Time::ZERO;
         }
     }
 
-    /// A connection failed. The instance is left out for a while, longer each time; then single
-    /// calls find out whether it is back. Without this every call would try a dead instance until
-    /// the probes have found out, and all at once when it is back.
+    /// Records a failed connection. The instance is not used for a while, longer after each further
+    /// failure; then single calls probe whether it is back. Otherwise every call would try a dead
+    /// instance until the membership probes detect it, and all calls would go there at once when it
+    /// is back.
     pub fn on_connection_failed(&mut self, now: Time, peer: Incarnation, rng: &mut impl Rng) {
-        if let Some(track) = self.tracks.get_mut(&peer) {
-            // The frames of one lost connection fail together and count once.
-            if now >= track.left_out_until {
-                track.failures += 1;
-                track.left_out_until = now + track.backoff(rng);
+        if let Some(instance) = self.instances.get_mut(&peer) {
+            // All frames of a lost connection fail together; they count as one failure.
+            if now >= instance.backoff_until {
+                instance.failures += 1;
+                instance.backoff_until = now + instance.backoff(rng);
             }
         }
     }
 
-    /// Calls of this node to an instance that are in flight.
+    /// Number of calls from this node to an instance that are in flight.
     pub fn in_flight(&self, peer: Incarnation) -> u32 {
-        self.tracks.get(&peer).map_or(0, |track| track.in_flight)
+        self.instances
+            .get(&peer)
+            .map_or(0, |instance| instance.in_flight)
     }
 
-    /// Chooses an instance of `service` that is not in `avoid`; `None` if there is none that may
-    /// be used.
+    /// Chooses an instance of `service` that is not in `avoid`; `None` if no instance is usable.
     pub fn choose(
         &mut self,
         now: Time,
@@ -246,72 +251,73 @@
         avoid: &[Incarnation],
         rng: &mut impl Rng,
     ) -> Option<Incarnation> {
-        let group = self.services.get(service)?;
-        let room = if self.ignores_room { 0 } else { ROOM };
+        let instances = self.services.get(service)?;
+        let free_load = if self.ignores_free_load { 0 } else { FREE_LOAD };
         let usable = |peer: &Incarnation| {
-            let track = self.tracks.get(peer)?;
-            let usable = !avoid.contains(peer) && now >= track.left_out_until;
-            usable.then(|| (track.cost(now, room), *peer))
+            let instance = self.instances.get(peer)?;
+            let usable = !avoid.contains(peer) && now >= instance.backoff_until;
+            usable.then(|| (instance.cost(now, free_load), *peer))
         };
         let mut best: Option<((u32, u32), Incarnation)> = None;
-        for peers in &group.ready {
-            for peer in draw(peers, rng, |peer| usable(peer).is_some()) {
+        for peers in &instances.ready {
+            for peer in sample_usable(peers, rng, |peer| usable(peer).is_some()) {
                 let candidate = usable(&peer);
-                // On equal cost the first one stays: it is nearer.
+                // On equal cost the first one is kept, because it is nearer.
                 if best.is_none_or(|best| candidate.is_some_and(|it| it.0 < best.0)) {
                     best = candidate.or(best);
                 }
             }
         }
-        // Few are left, and the draws missed them.
-        let rest = || group.ready.iter().flatten().filter_map(usable).min();
-        let doubtful = || group.doubtful.iter().filter_map(usable).min();
-        let (_, chosen) = best.or_else(rest).or_else(doubtful)?;
-        self.after_choice(now, chosen, rng);
+        // Few instances are usable, and sampling missed them.
+        let rest = || instances.ready.iter().flatten().filter_map(usable).min();
+        let last_resort = || instances.last_resort.iter().filter_map(usable).min();
+        let (_, chosen) = best.or_else(rest).or_else(last_resort)?;
+        self.extend_backoff(now, chosen, rng);
         Some(chosen)
     }
 
-    /// One call goes to an instance that failed; the others wait for what becomes of it.
-    fn after_choice(&mut self, now: Time, peer: Incarnation, rng: &mut impl Rng) {
-        if let Some(track) = self.tracks.get_mut(&peer) {
-            if track.failures > 0 {
-                track.left_out_until = now + track.backoff(rng);
+    /// If connections to the chosen instance have failed, this call is a probe: no further call is
+    /// sent there during the next backoff.
+    fn extend_backoff(&mut self, now: Time, peer: Incarnation, rng: &mut impl Rng) {
+        if let Some(instance) = self.instances.get_mut(&peer) {
+            if instance.failures > 0 {
+                instance.backoff_until = now + instance.backoff(rng);
             }
         }
     }
 }
 
-impl Track {
-    /// What a call here costs: what its caller would wait for and the distance, and where that is
-    /// equal, the load.
-    fn cost(&self, now: Time, room: u32) -> (u32, u32) {
+impl InstanceState {
+    /// The cost of sending a call here: load that causes waiting plus distance, and as a
+    /// tie-breaker the load itself.
+    fn cost(&self, now: Time, free_load: u32) -> (u32, u32) {
         let load = self.load(now);
-        let waits = load.saturating_sub(room) + self.believed(now, self.report.penalty, 0);
-        (waits + DISTANCE[self.place as usize], load)
+        let waiting = load.saturating_sub(free_load) + self.weighted(now, self.report.penalty, 0);
+        (waiting + DISTANCE_COST[self.proximity as usize], load)
     }
 
-    /// In thousandths of its limit.
+    /// The load in thousandths of the limit.
     fn load(&self, now: Time) -> u32 {
         let limit = match self.report.limit {
             0 => UNKNOWN_LIMIT,
             limit => u32::from(limit),
         };
-        let reported = self.believed(now, self.report.utilisation, UNKNOWN_LOAD);
-        let sent = reported + self.sent * 1000 / limit;
-        let load = sent.max(self.in_flight * 1000 / limit);
+        let reported = self.weighted(now, self.report.utilisation, UNKNOWN_LOAD);
+        let estimate = reported + self.sent_since_report * 1000 / limit;
+        let load = estimate.max(self.in_flight * 1000 / limit);
         load * self.cold_divisor(now)
     }
 
-    /// A reported figure, nearer and nearer to what is taken of one that says nothing.
-    fn believed(&self, now: Time, reported: u16, unknown: u32) -> u32 {
-        let age = self.reported_at.map_or(REPORT_LIFE, |at| now.since(at));
-        let life = REPORT_LIFE.as_millis() as u32;
-        let left = life.saturating_sub(age.as_millis() as u32);
-        (u32::from(reported) * left + unknown * (life - left)) / life
+    /// A reported value that changes linearly into `unknown` as the report ages.
+    fn weighted(&self, now: Time, reported: u16, unknown: u32) -> u32 {
+        let age = self.reported_at.map_or(REPORT_LIFETIME, |at| now.since(at));
+        let lifetime = REPORT_LIFETIME.as_millis() as u32;
+        let left = lifetime.saturating_sub(age.as_millis() as u32);
+        (u32::from(reported) * left + unknown * (lifetime - left)) / lifetime
     }
 
-    /// A new instance is cold: it has no caches and its limit is not known yet. Its load counts
-    /// several times, less and less so.
+    /// Factor by which the load of a new instance is multiplied; it falls to 1 during [`WARM_UP`].
+    /// A new instance has cold caches, and its limit is not known yet.
     fn cold_divisor(&self, now: Time) -> u32 {
         let age = self.new_since.map_or(WARM_UP, |at| now.since(at));
         let warm = WARM_UP.as_millis() as u32;
@@ -321,17 +327,17 @@
 
     fn backoff(&self, rng: &mut impl Rng) -> Duration {
         let doublings = self.failures.saturating_sub(1).min(MAX_DOUBLINGS);
-        (FIRST_BACKOFF * (1 << doublings)).mul_f64(rng.random_range(0.5..1.5))
+        (INITIAL_BACKOFF * (1 << doublings)).mul_f64(rng.random_range(0.5..1.5))
     }
 }
 
-/// Up to [`CHOICES`] different random peers of which `usable` holds.
-fn draw(
+/// Up to [`CANDIDATES`] different random peers for which `usable` holds.
+fn sample_usable(
     peers: &IndexSet<Incarnation>,
     rng: &mut impl Rng,
     usable: impl Fn(&Incarnation) -> bool,
 ) -> Vec<Incarnation> {
-    let drawn = index::sample(rng, peers.len(), DRAWS.min(peers.len()));
-    let drawn = drawn.into_iter().map(|index| peers[index]);
-    drawn.filter(usable).take(CHOICES).collect()
+    let sampled = index::sample(rng, peers.len(), SAMPLES.min(peers.len()));
+    let sampled = sampled.into_iter().map(|index| peers[index]);
+    sampled.filter(usable).take(CANDIDATES).collect()
 }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,5 +1,9 @@
-//! Decisions about load: how much work a backend server takes, what waits, what is shed, whom a
-//! call goes to, and who may retry.
+//! Overload control and load balancing: concurrency limits, queueing, load shedding, instance
+//! selection, and retry budgets.
+//!
+//! An *action* is a request from outside together with all calls made on its behalf. Its *first
+//! hop* is the node that received that request. A *run* is one execution of an operation on a
+//! backend server. Classes are either lookups, which are shed first, or *protected*.
 //!
 //! This package does no I/O and reads no clock. It knows nothing about frames, keys or views.
 
--- a/crates/policy/src/lookup_hold.rs
+++ b/crates/policy/src/lookup_hold.rs
@@ -1,41 +1,42 @@
-//! Holding lookups back for a moment after a protected call was refused for load.
+//! Refusing lookups for a short time after a protected call was refused for load.
 
 use std::time::Duration;
 use stdx::Time;
 
-/// How long they are held back, unless there is room for protected calls again by then.
-const HOLD: Duration = Duration::from_millis(100);
+/// The shortest time for which lookups are refused. It is extended until there is capacity for
+/// protected calls again.
+const MIN_HOLD: Duration = Duration::from_millis(100);
 
-/// A lookup that starts just after an order was refused has taken the place that the order lacked; the
-/// shop would lose its sale to somebody who browses.
+/// Tracks whether lookups are refused in favour of protected calls. A lookup that started just
+/// after an order was refused would take the slot that the order needed.
 #[derive(Debug, Default)]
-pub(crate) struct Hold {
+pub(crate) struct LookupHold {
     until: Option<Time>,
-    refused: Time,
+    last_refusal: Time,
 }
 
-impl Hold {
+impl LookupHold {
     /// A protected call was refused for load.
     pub(crate) fn begin(&mut self, now: Time) {
-        self.until = Some(now + HOLD);
-        self.refused = now;
+        self.until = Some(now + MIN_HOLD);
+        self.last_refusal = now;
     }
 
-    /// Whether lookups are held back. It ends once its time is over and there is room.
-    pub(crate) fn check(&mut self, now: Time, has_room: bool) -> bool {
-        if self.until.is_some_and(|until| now >= until) && has_room {
+    /// Whether lookups are refused. The hold ends once its time has passed and there is capacity.
+    pub(crate) fn check(&mut self, now: Time, has_capacity: bool) -> bool {
+        if self.until.is_some_and(|until| now >= until) && has_capacity {
             self.until = None;
         }
-        self.is_on()
+        self.is_active()
     }
 
-    /// Whether lookups were held back when last checked.
-    pub(crate) fn is_on(&self) -> bool {
+    /// Whether lookups were refused when last checked.
+    pub(crate) fn is_active(&self) -> bool {
         self.until.is_some()
     }
 
     /// When a protected call was last refused for load.
-    pub(crate) fn refused(&self) -> Time {
-        self.refused
+    pub(crate) fn last_refusal(&self) -> Time {
+        self.last_refusal
     }
 }
--- a/crates/policy/src/quarantine.rs
+++ b/crates/policy/src/quarantine.rs
@@ -1,9 +1,9 @@
-//! Requests that crash backend servers.
+//! Detection of requests that crash backend servers.
 //!
-//! What was in flight when a server crashed is a suspect, the innocent with the guilty. Suspects run
-//! one at a time on a server, so a second crash tells which one it was: the others that were in
-//! flight then were no suspects. What was answered whole is cleared, and so is what has lately been
-//! answered whole when a server crashes.
+//! Every request in flight when a server crashes becomes a suspect, whether or not it caused the
+//! crash. A server runs only one suspect at a time, so a second crash identifies the cause: no
+//! other request in flight was a suspect. A request that is answered completely is cleared, and a
+//! request that was answered completely shortly before a crash does not become a suspect.
 
 use proto::Incarnation;
 use std::hash::Hash;
@@ -12,31 +12,31 @@
 use stdx::BoundedMap;
 use stdx::Time;
 
-/// Crashes after which a request is refused.
-const CRASHES: u32 = 2;
+/// Number of crashes after which a request is refused.
+const MAX_CRASHES: u32 = 2;
 
-/// How long a request is suspected or refused after its last crash.
+/// How long a request remains suspect or refused after its last crash.
 const EXPIRY: Duration = Duration::from_secs(300);
 
-/// How long a whole answer speaks for a request.
-const INNOCENT: Duration = Duration::from_secs(10);
+/// How long a complete answer protects a request from becoming a suspect.
+const CLEARED_FOR: Duration = Duration::from_secs(10);
 
-/// Requests that are remembered, suspects and others.
-const KEPT: usize = 2048;
+/// Capacity of the table of suspects and of the table of completed requests.
+const CAPACITY: usize = 2048;
 
 plain! {
-    /// What is known of a request.
+    /// Whether a request may run.
     pub enum Verdict {
-        /// Nothing.
+        /// It may run.
         Clear,
-        /// It was in flight at one crash; it may run alone among suspects.
+        /// It was in flight during a crash. It may run, but not together with another suspect.
         Suspect,
-        /// It may not run for this much longer.
+        /// It must not run before this much time has passed.
         Refused(Duration),
     }
 }
 
-/// What is known of requests that were in flight at crashes, by fingerprint.
+/// Requests that were in flight during crashes, by fingerprint.
 ///
 /// # Examples
 ///
@@ -55,15 +55,16 @@
 #[derive(Debug)]
 pub struct Quarantine<K> {
     suspects: BoundedMap<K, Suspect>,
-    whole: BoundedMap<K, Time>,
+    /// When each request was last answered completely.
+    completed: BoundedMap<K, Time>,
 }
 
 #[derive(Debug)]
 struct Suspect {
-    /// Crashes by node, as each node counts its own.
+    /// Crashes by node. Each node counts its own.
     crashes: Vec<(Incarnation, u32)>,
-    /// The last crash.
-    at: Time,
+    /// When the last crash was recorded.
+    last_crash: Time,
 }
 
 impl Suspect {
@@ -73,71 +74,72 @@
 }
 
 impl<K: Hash + Eq + Clone> Quarantine<K> {
-    /// Whether no request is suspected, so that nothing need be looked up.
+    /// Whether no request is suspected, so that lookups can be skipped.
     pub fn is_empty(&self) -> bool {
         self.suspects.is_empty()
     }
 
-    /// Nothing is known.
+    /// An empty quarantine.
     pub fn new() -> Self {
         Self {
-            suspects: BoundedMap::new(KEPT),
-            whole: BoundedMap::new(KEPT),
+            suspects: BoundedMap::new(CAPACITY),
+            completed: BoundedMap::new(CAPACITY),
         }
     }
 
-    /// The server of `node` crashed with the request in flight. Gives the crashes at that node, for
-    /// the others; `None` if the request is above suspicion.
+    /// Records that the server of `node` crashed with the request in flight. Returns the number of
+    /// crashes at that node, to be sent to the other nodes; `None` if the request was recently
+    /// answered completely and is not suspected.
     pub fn record_crash(&mut self, now: Time, request: K, node: Incarnation) -> Option<u32> {
-        let whole = self.whole.get(&request);
-        if whole.is_some_and(|at| now.since(*at) < INNOCENT) {
+        let completed = self.completed.get(&request);
+        if completed.is_some_and(|at| now.since(*at) < CLEARED_FOR) {
             return None;
         }
         let before = self.suspect(now, &request).map_or(0, |suspect| {
-            let own = suspect.crashes.iter().find(|(at, _)| *at == node);
-            own.map_or(0, |(_, count)| *count)
+            let known = suspect.crashes.iter().find(|(other, _)| *other == node);
+            known.map_or(0, |(_, count)| *count)
         });
         self.record_remote_crashes(now, request, node, before + 1);
         Some(before + 1)
     }
 
-    /// Another node tells how often its server crashed with the request in flight.
+    /// Records how often the server of another node has crashed with the request in flight.
     pub fn record_remote_crashes(&mut self, now: Time, request: K, node: Incarnation, count: u32) {
         if self.suspect(now, &request).is_none() {
-            let fresh = Suspect {
+            let suspect = Suspect {
                 crashes: Vec::new(),
-                at: now,
+                last_crash: now,
             };
-            self.suspects.insert(request.clone(), fresh);
+            self.suspects.insert(request.clone(), suspect);
         }
         let Some(suspect) = self.suspects.get_mut(&request) else {
             return;
         };
-        suspect.at = now;
-        let known = suspect.crashes.iter_mut().find(|(at, _)| *at == node);
+        suspect.last_crash = now;
+        let known = suspect.crashes.iter_mut().find(|(other, _)| *other == node);
         if let Some((_, known)) = known {
             *known = count.max(*known);
-        } else if suspect.crashes.len() < CRASHES as usize {
-            // As many nodes are enough to refuse it; more need not be kept.
+        } else if suspect.crashes.len() < MAX_CRASHES as usize {
+            // This many nodes suffice to refuse the request; more need not be stored.
             suspect.crashes.push((node, count));
         }
     }
 
-    /// The request was answered whole here.
+    /// Records that this node answered the request completely.
     pub fn record_completed(&mut self, now: Time, request: K) {
         if let Some(suspect) = self.suspects.get_mut(&request) {
-            if suspect.total() < CRASHES {
+            if suspect.total() < MAX_CRASHES {
                 suspect.crashes.clear();
             }
         }
-        self.whole.insert(request, now);
+        self.completed.insert(request, now);
     }
 
     /// Whether the request may run.
     pub fn verdict(&self, now: Time, request: &K) -> Verdict {
         match self.suspect(now, request) {
-            Some(suspect) if suspect.total() >= CRASHES => {
-                Verdict::Refused(now.until(suspect.at + EXPIRY))
+            Some(suspect) if suspect.total() >= MAX_CRASHES => {
+                Verdict::Refused(now.until(suspect.last_crash + EXPIRY))
             }
             Some(suspect) if suspect.total() > 0 => Verdict::Suspect,
             _ => Verdict::Clear,
@@ -146,7 +148,7 @@
 
     fn suspect(&self, now: Time, request: &K) -> Option<&Suspect> {
         let suspect = self.suspects.get(request);
-        suspect.filter(|suspect| now.since(suspect.at) < EXPIRY)
+        suspect.filter(|suspect| now.since(suspect.last_crash) < EXPIRY)
     }
 }
 
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 use stdx::Time;
 
-/// Which tickets go first: protected classes before lookups, in each the more urgent priority, and in
-/// that the calls of actions that were admitted elsewhere before those that begin here.
+/// The order in which work leaves the queue: protected classes before lookups, then by priority,
+/// then calls of actions admitted at another node before actions that begin here.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct Rank {
     is_lookup: bool,
@@ -16,19 +16,19 @@
 }
 
 impl Rank {
-    fn of(ticket: &WorkItem) -> Self {
+    fn of(item: &WorkItem) -> Self {
         Self {
-            is_lookup: !ticket.class.is_protected(),
-            priority: ticket.priority,
-            begins_here: !ticket.admitted,
+            is_lookup: !item.class.is_protected(),
+            priority: item.priority,
+            begins_here: !item.admitted,
         }
     }
 }
 
-/// Tickets that wait, by rank.
+/// Waiting work items, by rank.
 #[derive(Debug, Default)]
 pub(crate) struct Queue {
-    /// What goes first stands first.
+    /// Sorted; the most urgent rank is first.
     ranks: IndexMap<Rank, VecDeque<WorkItem>>,
 }
 
@@ -45,93 +45,95 @@
         self.len_of(|rank| !rank.is_lookup)
     }
 
-    fn len_of(&self, counts: impl Fn(&Rank) -> bool) -> usize {
-        let ranks = self.ranks.iter().filter(|(rank, _)| counts(rank));
-        ranks.map(|(_, tickets)| tickets.len()).sum()
+    fn len_of(&self, matches: impl Fn(&Rank) -> bool) -> usize {
+        let ranks = self.ranks.iter().filter(|(rank, _)| matches(rank));
+        ranks.map(|(_, items)| items.len()).sum()
     }
 
-    /// How many go before a new ticket.
-    pub(crate) fn ahead_of(&self, ticket: &WorkItem, by_class: bool) -> usize {
+    /// How many work items would leave the queue before a new one.
+    pub(crate) fn ahead_of(&self, item: &WorkItem, by_class: bool) -> usize {
         if !by_class {
             return self.len();
         }
-        let own = Rank::of(ticket);
-        let alike = self.ranks.get(&own);
-        self.len_of(|rank| *rank < own) + alike.map_or(0, |alike| place(alike, ticket))
+        let own = Rank::of(item);
+        let peers = self.ranks.get(&own);
+        self.len_of(|rank| *rank < own) + peers.map_or(0, |peers| insertion_index(peers, item))
     }
 
-    pub(crate) fn push(&mut self, ticket: WorkItem) {
-        let rank = Rank::of(&ticket);
+    pub(crate) fn push(&mut self, item: WorkItem) {
+        let rank = Rank::of(&item);
         let index = match self.ranks.get_index_of(&rank) {
             Some(index) => index,
             None => self.ranks.insert_sorted(rank, VecDeque::new()).0,
         };
-        let tickets = &mut self.ranks[index];
-        tickets.insert(place(tickets, &ticket), ticket);
+        let items = &mut self.ranks[index];
+        items.insert(insertion_index(items, &item), item);
     }
 
-    /// Takes out a ticket before which more go than can be done in time: the oldest of the least urgent
-    /// rank. Calls of admitted actions stay: the work that was done for them would be lost.
-    pub(crate) fn displace(&mut self, capacity: usize) -> Option<WorkItem> {
+    /// Removes a work item if `capacity` is exceeded by its rank and the more urgent ones together:
+    /// the oldest of the least urgent such rank. Calls of admitted actions stay, because the work
+    /// already done for their actions would be lost.
+    pub(crate) fn evict_excess(&mut self, capacity: usize) -> Option<WorkItem> {
         let ranks = self.ranks.iter().rev();
-        let waiting = ranks.filter(|(rank, tickets)| rank.begins_here && !tickets.is_empty());
+        let waiting = ranks.filter(|(rank, items)| rank.begins_here && !items.is_empty());
         let mut ranks = waiting.map(|(rank, _)| *rank);
         let last = ranks.find(|last| self.len_of(|rank| rank <= last) > capacity)?;
         self.ranks[&last].pop_front()
     }
 
-    /// Takes out the lookup that has waited longest, of those that begin here if there are any.
-    pub(crate) fn displace_lookup(&mut self) -> Option<WorkItem> {
-        self.pop_last(|rank| rank.is_lookup && rank.begins_here)
-            .or_else(|| self.pop_last(|rank| rank.is_lookup))
+    /// Removes the first lookup of the least urgent rank. Lookups that begin here go first.
+    pub(crate) fn evict_lookup(&mut self) -> Option<WorkItem> {
+        self.pop_least_urgent(|rank| rank.is_lookup && rank.begins_here)
+            .or_else(|| self.pop_least_urgent(|rank| rank.is_lookup))
     }
 
-    /// Takes the oldest ticket out of the least urgent rank that has one, of those that fit.
-    fn pop_last(&mut self, fits: impl Fn(&Rank) -> bool) -> Option<WorkItem> {
-        let mut ranks = self.ranks.iter_mut().rev().filter(|(rank, _)| fits(rank));
-        ranks.find_map(|(_, tickets)| tickets.pop_front())
+    /// Removes the first work item of the least urgent nonempty rank that matches.
+    fn pop_least_urgent(&mut self, matches: impl Fn(&Rank) -> bool) -> Option<WorkItem> {
+        let mut ranks = self
+            .ranks
+            .iter_mut()
+            .rev()
+            .filter(|(rank, _)| matches(rank));
+        ranks.find_map(|(_, items)| items.pop_front())
     }
 
-    pub(crate) fn withdraw(&mut self, id: u64) -> bool {
+    pub(crate) fn remove(&mut self, id: u64) -> bool {
         let before = self.len();
-        for tickets in self.ranks.values_mut() {
-            tickets.retain(|ticket| ticket.id != id);
+        for items in self.ranks.values_mut() {
+            items.retain(|item| item.id != id);
         }
         self.len() < before
     }
 
-    /// Takes out a ticket that has waited too long: the oldest of a rank, for which `hopeless`
-    /// holds.
-    pub(crate) fn pop_hopeless(
+    /// Removes a work item for which `is_expired` holds. Only the front of each rank is checked,
+    /// the least urgent rank first.
+    pub(crate) fn pop_expired(
         &mut self,
-        hopeless: impl Fn(&WorkItem) -> bool,
+        is_expired: impl Fn(&WorkItem) -> bool,
     ) -> Option<WorkItem> {
         let mut ranks = self.ranks.values_mut().rev();
-        ranks.find_map(|tickets| {
-            let front = tickets.front().is_some_and(&hopeless);
-            front.then(|| tickets.pop_front()).flatten()
+        ranks.find_map(|items| {
+            let expired = items.front().is_some_and(&is_expired);
+            expired.then(|| items.pop_front()).flatten()
         })
     }
 
-    /// Takes out the next ticket to start.
+    /// Removes the next work item to start.
     pub(crate) fn pop(&mut self, by_class: bool) -> Option<WorkItem> {
-        let mut waiting = self
-            .ranks
-            .values_mut()
-            .filter(|tickets| !tickets.is_empty());
+        let mut waiting = self.ranks.values_mut().filter(|items| !items.is_empty());
         let next = if by_class {
             waiting.next()
         } else {
-            waiting.min_by_key(|tickets| tickets.front().map(|ticket| ticket.arrived))
+            waiting.min_by_key(|items| items.front().map(|item| item.arrived))
         };
         next?.pop_front()
     }
 
-    /// When the ticket at the front of a rank has waited for its time or is due.
+    /// When the first work item at the front of a rank reaches its longest wait or its deadline.
     pub(crate) fn next_timer(&self, max_wait: impl Fn(&WorkItem) -> Duration) -> Option<Time> {
         let due = self
             .fronts()
-            .map(|ticket| (ticket.arrived + max_wait(ticket)).min(ticket.deadline));
+            .map(|item| (item.arrived + max_wait(item)).min(item.deadline));
         due.min()
     }
 
@@ -140,14 +142,14 @@
     }
 }
 
-/// Where a ticket goes among those of its rank.
+/// The index at which a work item is inserted among those of its rank.
 ///
-/// Calls of admitted actions stand in the order in which they are due. An action with one call left and
-/// little time goes before one that has just begun: both may end in time, where in the order of arrival
-/// all end late together. What begins here stands in the order of arrival.
-fn place(tickets: &VecDeque<WorkItem>, ticket: &WorkItem) -> usize {
-    match ticket.admitted {
-        true => tickets.partition_point(|other| other.deadline <= ticket.deadline),
-        false => tickets.len(),
+/// Calls of admitted actions are sorted by deadline. An action with one call left and little time
+/// goes before one that has just begun, so that both can meet their deadlines; in order of arrival,
+/// all of them would be late. Actions that begin here are sorted by arrival.
+fn insertion_index(items: &VecDeque<WorkItem>, item: &WorkItem) -> usize {
+    match item.admitted {
+        true => items.partition_point(|other| other.deadline <= item.deadline),
+        false => items.len(),
     }
 }
--- a/crates/policy/src/resend_budget.rs
+++ b/crates/policy/src/resend_budget.rs
@@ -1,24 +1,26 @@
-//! A ratio of extra sends to first sends.
+//! Token buckets that limit re-sends to a ratio of first sends.
 
 use std::sync::Arc;
 use stdx::BoundedMap;
 use stdx::Time;
 
-/// Services that have a budget of their own.
+/// Number of services with a budget of their own; beyond it the oldest budget is dropped.
 const MAX_SERVICES: usize = 1024;
 
-/// What a bucket holds at most, and at its start, unless it is made with other bounds.
-const BURST: f64 = 10.0;
+/// Default capacity of a bucket, which is also its initial fill.
+const DEFAULT_BURST: f64 = 10.0;
 
-/// What comes in a second without any first send, so that somebody who sends little may send again at all.
-const PER_SECOND: f64 = 0.5;
+/// Default refill per second without any first send, so that a caller with little traffic can
+/// re-send at all.
+const DEFAULT_PER_SECOND: f64 = 0.5;
 
-/// Re-sends as a share of first sends ("Handling Overload", Site Reliability Engineering).
-const RATIO: f64 = 0.1;
+/// Default ratio of re-sends to first sends ("Handling Overload", Site Reliability Engineering).
+const DEFAULT_RATIO: f64 = 0.1;
 
-/// Re-sends of callers, allowed as a ratio of their first sends ("Handling Overload" in Site Reliability
-/// Engineering, 2016). Without it each send that fails makes another one, and the load grows with the
-/// failures. What nodes themselves send again is bounded by [`crate::RetryBudget`].
+/// Limits the re-sends of callers to a ratio of their first sends ("Handling Overload" in Site
+/// Reliability Engineering, 2016). Without a limit every failed send causes another one, and the
+/// load grows with the failures. Retries made by the nodes themselves are limited by
+/// [`crate::RetryBudget`].
 ///
 /// # Examples
 ///
@@ -32,63 +34,63 @@
 #[derive(Debug)]
 pub struct ResendBudget {
     tokens: f64,
-    bounds: BudgetConfig,
-    at: Time,
+    config: BudgetConfig,
+    refilled_at: Time,
 }
 
-/// What a budget has without any first send.
+/// Parameters of a [`ResendBudget`].
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct BudgetConfig {
-    /// What it holds at most, and at its start. Many nodes that each save up a full bucket would
-    /// spend them all in the same few seconds, when something fails for all of them.
+    /// Capacity of the bucket, which is also its initial fill. If it is large, many nodes with full
+    /// buckets all spend them within the same few seconds when a failure affects all of them.
     pub burst: f64,
-    /// What comes in a second, so that somebody who sends little may send again at all.
+    /// Tokens added per second, so that a caller with little traffic can re-send at all.
     pub per_second: f64,
-    /// What each first send adds, where budgets are kept by service.
+    /// Tokens added by each first send, where budgets are kept by service.
     pub ratio: f64,
 }
 
 impl Default for BudgetConfig {
     fn default() -> Self {
         Self {
-            burst: BURST,
-            per_second: PER_SECOND,
-            ratio: RATIO,
+            burst: DEFAULT_BURST,
+            per_second: DEFAULT_PER_SECOND,
+            ratio: DEFAULT_RATIO,
         }
     }
 }
 
 impl ResendBudget {
-    /// A full budget.
+    /// A full budget with the default parameters.
     pub fn new() -> Self {
         Self::with_config(BudgetConfig::default())
     }
 
-    /// A full budget with other bounds.
-    pub fn with_config(bounds: BudgetConfig) -> Self {
+    /// A full budget with the given parameters.
+    pub fn with_config(config: BudgetConfig) -> Self {
         Self {
-            tokens: bounds.burst,
-            bounds,
-            at: Time::ZERO,
+            tokens: config.burst,
+            config,
+            refilled_at: Time::ZERO,
         }
     }
 
-    /// Counts a first send that allows `ratio` of an extra one.
+    /// Adds `ratio` tokens for a first send.
     pub fn deposit(&mut self, ratio: f64) {
-        self.tokens = (self.tokens + ratio).min(self.bounds.burst);
+        self.tokens = (self.tokens + ratio).min(self.config.burst);
     }
 
-    /// Takes one extra send; `false` if there is none.
+    /// Takes the token for one re-send; returns `false` if there is none.
     pub fn try_withdraw(&mut self, now: Time) -> bool {
-        let elapsed = now.since(self.at).as_secs_f64();
-        self.at = now;
-        let earned = elapsed * self.bounds.per_second;
-        self.tokens = (self.tokens + earned).min(self.bounds.burst);
-        let may = self.tokens >= 1.0;
-        if may {
+        let elapsed = now.since(self.refilled_at).as_secs_f64();
+        self.refilled_at = now;
+        let refill = elapsed * self.config.per_second;
+        self.tokens = (self.tokens + refill).min(self.config.burst);
+        let available = self.tokens >= 1.0;
+        if available {
             self.tokens -= 1.0;
         }
-        may
+        available
     }
 }
 
@@ -98,8 +100,8 @@
     }
 }
 
-/// A budget for each service. With one for all, the many calls of a busy service would pay for
-/// retries at a small one, which would get several times what it is asked for when it fails.
+/// One [`ResendBudget`] per service. With a shared budget, the calls to a busy service would allow
+/// re-sends to a small one, which would receive several times its usual load when it fails.
 ///
 /// # Examples
 ///
@@ -118,41 +120,41 @@
 /// ```
 #[derive(Debug)]
 pub struct ResendBudgets {
-    bounds: BudgetConfig,
+    config: BudgetConfig,
     services: BoundedMap<Arc<str>, ResendBudget>,
 }
 
 impl ResendBudgets {
-    /// Full budgets.
-    pub fn new(bounds: BudgetConfig) -> Self {
+    /// A full budget with the given parameters for every service.
+    pub fn new(config: BudgetConfig) -> Self {
         Self {
-            bounds,
+            config,
             services: BoundedMap::new(MAX_SERVICES),
         }
     }
 
-    /// Counts a first send to a service, which allows [`BudgetConfig::ratio`] of an extra one.
+    /// Adds [`BudgetConfig::ratio`] tokens for a first send to a service.
     pub fn deposit(&mut self, service: &Arc<str>) {
-        self.deposit_with_ratio(service, self.bounds.ratio);
+        self.deposit_with_ratio(service, self.config.ratio);
     }
 
-    /// Counts a first send to a service that has a ratio of its own.
+    /// Adds `ratio` tokens for a first send to a service that has a ratio of its own.
     pub fn deposit_with_ratio(&mut self, service: &Arc<str>, ratio: f64) {
-        self.of(service).deposit(ratio);
+        self.budget(service).deposit(ratio);
     }
 
-    /// Takes one extra send to a service; `false` if there is none.
+    /// Takes the token for one re-send to a service; returns `false` if there is none.
     pub fn try_withdraw(&mut self, now: Time, service: &Arc<str>) -> bool {
-        self.of(service).try_withdraw(now)
+        self.budget(service).try_withdraw(now)
     }
 
-    fn of(&mut self, service: &Arc<str>) -> &mut ResendBudget {
+    fn budget(&mut self, service: &Arc<str>) -> &mut ResendBudget {
         if self.services.get(service).is_none() {
-            let budget = ResendBudget::with_config(self.bounds);
+            let budget = ResendBudget::with_config(self.config);
             self.services.insert(service.clone(), budget);
         }
         self.services
             .get_mut(service)
-            .expect("it was entered just now")
+            .expect("budget was inserted above")
     }
 }
--- a/crates/policy/src/retry_allowance.rs
+++ b/crates/policy/src/retry_allowance.rs
@@ -3,68 +3,69 @@
 use stdx::plain;
 
 plain! {
-    /// The retries that one run or one outgoing call may still spend or lend.
+    /// The retries that one run or one outgoing call may still make or delegate to child calls.
     ///
-    /// What is lent is gone until the answer brings the unspent part back; if the answer is lost,
-    /// it stays gone. So the attempts of a whole tree never exceed one per edge plus the root's
-    /// allowance, whatever is lost on the way.
+    /// Delegated retries are unavailable until the child's answer returns the unused part; if the
+    /// answer is lost, they are not recovered. The attempts of a whole call tree therefore never
+    /// exceed one per edge plus the root's allowance, whichever messages are lost.
     ///
     /// # Examples
     ///
     /// ```
-    /// let mut account = bilberry_policy::RetryAllowance::new(2);
-    /// assert!(account.try_withdraw());
-    /// let lent = account.delegate_half();
-    /// account.reclaim(lent, lent);
-    /// assert!(account.try_withdraw());
-    /// assert!(!account.try_withdraw());
+    /// let mut allowance = bilberry_policy::RetryAllowance::new(2);
+    /// assert!(allowance.try_withdraw());
+    /// let delegated = allowance.delegate_half();
+    /// allowance.reclaim(delegated, delegated);
+    /// assert!(allowance.try_withdraw());
+    /// assert!(!allowance.try_withdraw());
     /// ```
     pub struct RetryAllowance {
-        left: u16,
+        remaining: u16,
     }
 }
 
 impl RetryAllowance {
-    /// An account with `allowance` retries.
-    pub fn new(allowance: u16) -> Self {
-        Self { left: allowance }
+    /// An allowance of `retries` retries.
+    pub fn new(retries: u16) -> Self {
+        Self { remaining: retries }
     }
 
-    /// Takes one retry; `false` if there is none.
+    /// Takes one retry; returns `false` if none remains.
     pub fn try_withdraw(&mut self) -> bool {
-        let may = self.left > 0;
-        self.left = self.left.saturating_sub(1);
-        may
+        let available = self.remaining > 0;
+        self.remaining = self.remaining.saturating_sub(1);
+        available
     }
 
-    /// Takes out a part for a child call: half, rounded up, so that a parallel sibling has some
-    /// too.
+    /// Takes half of the remaining retries, rounded up, for a child call. The rest is left for
+    /// sibling calls made in parallel.
     pub fn delegate_half(&mut self) -> u16 {
-        let lent = self.left.div_ceil(2);
-        self.left -= lent;
-        lent
+        let delegated = self.remaining.div_ceil(2);
+        self.remaining -= delegated;
+        delegated
     }
 
-    /// Takes out all but one, for a call that may be tried again here even if its answer is lost,
-    /// and with it what was lent.
+    /// Takes all retries but one for a child call. The one kept here allows the call to be retried
+    /// even if its answer is lost together with the delegated retries.
     pub fn delegate_all_but_one(&mut self) -> u16 {
-        let lent = self.left.saturating_sub(1);
-        self.left -= lent;
-        lent
+        let delegated = self.remaining.saturating_sub(1);
+        self.remaining -= delegated;
+        delegated
     }
 
-    /// Takes out everything, for the only call that can spend it.
+    /// Takes all remaining retries, for a child call that is the only one able to use them.
     pub fn delegate_all(&mut self) -> u16 {
-        std::mem::take(&mut self.left)
+        std::mem::take(&mut self.remaining)
     }
 
-    /// Puts back what a child did not spend. Never more than it was lent, whatever it says.
-    pub fn reclaim(&mut self, lent: u16, unspent: u16) {
-        self.left = self.left.saturating_add(unspent.min(lent));
+    /// Returns the retries that a child call left unused, capped at the number delegated to it in
+    /// case the child reports more.
+    pub fn reclaim(&mut self, delegated: u16, unused: u16) {
+        self.remaining = self.remaining.saturating_add(unused.min(delegated));
     }
 
-    /// The retries that are left here.
+    /// The retries that are still available here.
     pub fn remaining(&self) -> u16 {
-        self.left
+        self.remaining
     }
 }
--- a/crates/policy/src/retry_budget.rs
+++ b/crates/policy/src/retry_budget.rs
@@ -1,4 +1,4 @@
-//! What a node may try again, as its part of what the whole fleet may.
+//! Per-node retry budgets whose sum stays within a limit for the whole fleet.
 
 use proto::hash64;
 use proto::Class;
@@ -8,35 +8,37 @@
 use stdx::BoundedMap;
 use stdx::Time;
 
-/// Services that are counted for themselves.
+/// Number of services with a budget of their own; beyond it the oldest budget is dropped.
 const MAX_SERVICES: usize = 1024;
 
-/// Parts of the window in which first sends are counted.
+/// Number of slices of the window in which first sends are counted.
 const SLICES: u32 = 10;
 
-/// What the first sends of this part of the window allow may be in hand. Failures come in bunches; but
-/// what is saved up comes on top of what a failing service is asked for in the window in which it is
-/// spent.
-const SAVED: f64 = 0.2;
+/// The share of a window's earned retries that may be accumulated. Failures come in bursts, so some
+/// accumulation is needed, but accumulated retries add to the load of a failing service in the
+/// window in which they are spent.
+const MAX_ACCUMULATED: f64 = 0.2;
 
-/// The part of what may be in hand that lookups leave to protected calls. A service that loses more
-/// answers than the fleet may ask for again would else fail orders for the sake of lookups, most of which
-/// fail all the same.
-const FOR_PROTECTED: f64 = 0.5;
+/// The share of the accumulated retries that is reserved for protected calls. Otherwise, when a
+/// service loses more answers than the fleet may retry, orders would fail because lookups used up
+/// the retries, although most of those lookups fail anyway.
+const PROTECTED_RESERVE: f64 = 0.5;
 
-/// Nodes that a fleet is taken to have at least. Nodes that have just started know nobody yet, and would
-/// each take the whole fleet's part.
-const LEAST_FLEET: usize = 24;
+/// Minimum assumed fleet size. Nodes that have just started know no peers yet, and would each use
+/// the share of the whole fleet.
+const MIN_FLEET_SIZE: usize = 24;
 
-/// What a whole fleet may try again at a service ("Handling Overload" in Site Reliability Engineering,
-/// 2016). Without it each send that fails makes another one, and the load grows with the failures.
+/// Limits on the retries of a whole fleet at one service ("Handling Overload" in Site Reliability
+/// Engineering, 2016). Without limits every failed send causes another one, and the load grows with
+/// the failures.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct FleetRetryLimits {
-    /// RetryBudget for each first send, in any window.
+    /// Retries per first send, in any window.
     pub ratio: f64,
-    /// RetryBudget in any window beyond that, so that a quiet service may be asked again at all.
+    /// Additional retries in any window, so that calls to a service with little traffic can be
+    /// retried at all.
     pub spare: f64,
-    /// The span over which they are counted.
+    /// The length of the window.
     pub window: Duration,
 }
 
@@ -50,13 +52,14 @@
     }
 }
 
-/// A node's part of the fleet's retries. Each service is counted for itself: otherwise the many calls of
-/// a busy service would pay for retries at a small one, which would get several times what it is asked
-/// for when it fails.
+/// A node's share of the fleet's retries, with a separate budget per service. With a shared budget,
+/// the calls to a busy service would allow retries at a small one, which would receive several
+/// times its usual load when it fails.
 ///
-/// Nodes do not ask each other. Each spends what its own first sends have earned lately, and an equal
-/// part of the spare, so that the sum over the nodes is what the fleet may. A process begins with
-/// nothing, at [`Time::ZERO`]: the one before it at the same place may have spent all.
+/// Nodes do not coordinate. Each one spends what its own recent first sends have earned and an
+/// equal share of [`FleetRetryLimits::spare`], so that the sum over all nodes stays within the
+/// limits of the fleet. A process starts with an empty budget at [`Time::ZERO`], because its
+/// predecessor on the same host may have spent everything.
 ///
 /// # Examples
 ///
@@ -64,51 +67,52 @@
 /// use bilberry_policy::{FleetRetryLimits, RetryBudget};
 /// use stdx::Time;
 ///
-/// let mut retries = RetryBudget::new(FleetRetryLimits::default(), 7);
+/// let mut budget = RetryBudget::new(FleetRetryLimits::default(), 7);
 /// let press = "press".into();
 /// let mut spent = 0;
 /// for _ in 0..120 {
-///     retries.record_first_send(Time::ZERO, &press);
-///     spent += u32::from(retries.try_withdraw(Time::ZERO, &press, proto::Class::Order, 3));
+///     budget.record_first_send(Time::ZERO, &press);
+///     spent += u32::from(budget.try_withdraw(Time::ZERO, &press, proto::Class::Order, 3));
 /// }
 /// assert!((9..=11).contains(&spent));
 /// ```
 #[derive(Debug)]
 pub struct RetryBudget {
-    fleet: FleetRetryLimits,
-    /// Decides where this node rounds.
+    limits: FleetRetryLimits,
+    /// Determines the rounding offset of this node.
     seed: u64,
     services: BoundedMap<Arc<str>, ServiceBudget>,
 }
 
-/// What a node may try again at one service.
+/// A node's retry budget for one service.
 #[derive(Debug)]
 struct ServiceBudget {
-    /// First sends of late, by part of the window; the newest stands last.
-    sent: VecDeque<Slice>,
-    /// Earned by first sends.
+    /// First sends in the current window, by slice; the newest slice is last.
+    first_sends: VecDeque<Slice>,
+    /// Retries earned by first sends and not spent yet.
     earned: f64,
-    /// The most of that which may be in hand.
-    saved: f64,
-    /// Of the spare; below 0 by what rounding up has spent ahead.
+    /// Upper bound of `earned`.
+    max_earned: f64,
+    /// This node's share of the spare retries. Negative by what was spent ahead because of rounding
+    /// up.
     spare: f64,
     refilled: Time,
-    /// Added before rounding down, from 0 to 1.
+    /// Added before rounding down; from 0 to 1.
     rounding: f64,
 }
 
-/// First sends in one part of the window.
+/// First sends in one slice of the window.
 #[derive(Debug)]
 struct Slice {
     number: u64,
-    sent: u32,
+    count: u32,
 }
 
 impl RetryBudget {
-    /// Nothing earned yet.
-    pub fn new(fleet: FleetRetryLimits, seed: u64) -> Self {
+    /// An empty budget. Nodes must use different seeds.
+    pub fn new(limits: FleetRetryLimits, seed: u64) -> Self {
         Self {
-            fleet,
+            limits,
             seed,
             services: BoundedMap::new(MAX_SERVICES),
         }
@@ -116,12 +120,12 @@
 
     /// Counts a first send to a service.
     pub fn record_first_send(&mut self, now: Time, service: &Arc<str>) {
-        let fleet = self.fleet;
-        self.budget(service).earn(now, &fleet);
+        let limits = self.limits;
+        self.budget(service).deposit(now, &limits);
     }
 
-    /// Takes one retry of a call of this class at a service, of a fleet of so many nodes; `false` if there
-    /// is none.
+    /// Takes one retry of a call of this class to a service, in a fleet of `nodes` nodes; returns
+    /// `false` if none is available.
     pub fn try_withdraw(
         &mut self,
         now: Time,
@@ -129,79 +133,84 @@
         class: Class,
         nodes: usize,
     ) -> bool {
-        let fleet = self.fleet;
+        let limits = self.limits;
         let budget = self.budget(service);
-        budget.refill(now, &fleet, nodes);
-        budget.spend(class)
+        budget.refill(now, &limits, nodes);
+        budget.try_withdraw(class)
     }
 
     fn budget(&mut self, service: &Arc<str>) -> &mut ServiceBudget {
         if self.services.get(service).is_none() {
             let budget = ServiceBudget {
-                sent: VecDeque::new(),
+                first_sends: VecDeque::new(),
                 earned: 0.0,
-                saved: 0.0,
+                max_earned: 0.0,
                 spare: 0.0,
                 refilled: Time::ZERO,
-                rounding: rounding(self.seed, service),
+                rounding: rounding_offset(self.seed, service),
             };
             self.services.insert(service.clone(), budget);
         }
         self.services
             .get_mut(service)
-            .expect("it was entered just now")
+            .expect("budget was inserted above")
     }
 }
 
 impl ServiceBudget {
-    fn earn(&mut self, now: Time, fleet: &FleetRetryLimits) {
-        let slice = fleet.window.as_micros() / u128::from(SLICES);
+    fn deposit(&mut self, now: Time, limits: &FleetRetryLimits) {
+        let slice = limits.window.as_micros() / u128::from(SLICES);
         let number = (now.since(Time::ZERO).as_micros() / slice.max(1)) as u64;
-        if self.sent.back().is_none_or(|last| last.number < number) {
-            self.sent.push_back(Slice { number, sent: 0 });
+        if self
+            .first_sends
+            .back()
+            .is_none_or(|last| last.number < number)
+        {
+            self.first_sends.push_back(Slice { number, count: 0 });
         }
         let oldest = (number + 1).saturating_sub(u64::from(SLICES));
-        self.sent.retain(|slice| slice.number >= oldest);
-        if let Some(last) = self.sent.back_mut() {
-            last.sent += 1;
+        self.first_sends.retain(|slice| slice.number >= oldest);
+        if let Some(last) = self.first_sends.back_mut() {
+            last.count += 1;
         }
-        let sent: u32 = self.sent.iter().map(|slice| slice.sent).sum();
-        // Rounded up, so that the first send of all counts.
-        self.saved = (f64::from(sent) * SAVED).ceil() * fleet.ratio;
+        let first_sends: u32 = self.first_sends.iter().map(|slice| slice.count).sum();
+        // Rounded up, so that a single first send already counts.
+        self.max_earned = (f64::from(first_sends) * MAX_ACCUMULATED).ceil() * limits.ratio;
         if self.spare < 0.0 {
-            self.spare += fleet.ratio;
+            self.spare += limits.ratio;
         } else {
-            self.earned = (self.earned + fleet.ratio).min(self.saved);
+            self.earned = (self.earned + limits.ratio).min(self.max_earned);
         }
     }
 
-    /// Half of the spare may be in hand and half comes within a window, so that no window has more than
-    /// the whole.
-    fn refill(&mut self, now: Time, fleet: &FleetRetryLimits, nodes: usize) {
-        let half = fleet.spare / nodes.max(LEAST_FLEET) as f64 / 2.0;
-        let windows = now.since(self.refilled).as_secs_f64() / fleet.window.as_secs_f64();
+    /// Adds this node's share of the spare retries. At most half of it is accumulated and half is
+    /// added per window, so that no window gets more than the whole share.
+    fn refill(&mut self, now: Time, limits: &FleetRetryLimits, nodes: usize) {
+        let half = limits.spare / nodes.max(MIN_FLEET_SIZE) as f64 / 2.0;
+        let windows = now.since(self.refilled).as_secs_f64() / limits.window.as_secs_f64();
         self.refilled = now;
         self.spare = (self.spare + half * windows).min(half);
     }
 
-    fn spend(&mut self, class: Class) -> bool {
-        let left = match class.is_protected() {
+    fn try_withdraw(&mut self, class: Class) -> bool {
+        let reserve = match class.is_protected() {
             true => 0.0,
-            false => self.saved * FOR_PROTECTED,
+            false => self.max_earned * PROTECTED_RESERVE,
         };
-        let may = self.earned + self.spare + self.rounding >= 1.0 + left;
-        if may {
-            let of_earned = self.earned.min(1.0);
-            self.earned -= of_earned;
-            self.spare -= 1.0 - of_earned;
+        let available = self.earned + self.spare + self.rounding >= 1.0 + reserve;
+        if available {
+            let from_earned = self.earned.min(1.0);
+            self.earned -= from_earned;
+            self.spare -= 1.0 - from_earned;
         }
-        may
+        available
     }
 }
 
-/// What a node adds before it rounds down, spread evenly over nodes and services. In a large fleet the
-/// parts are smaller than one retry: rounded down everywhere, the fleet would try nothing again.
-fn rounding(seed: u64, service: &str) -> f64 {
-    let place = hash64(&(seed, service)) >> 11;
-    place as f64 / (1u64 << 53) as f64
+/// What a node adds to its budget before rounding down, distributed evenly over nodes and services.
+/// In a large fleet the shares are smaller than one retry: rounded down on every node, the fleet
+/// would not retry at all.
+fn rounding_offset(seed: u64, service: &str) -> f64 {
+    let hash = hash64(&(seed, service)) >> 11;
+    hash as f64 / (1u64 << 53) as f64
 }
--- a/crates/policy/src/run_times.rs
+++ b/crates/policy/src/run_times.rs
@@ -1,22 +1,23 @@
-//! When a run is late by what is usual.
+//! Estimates after which a run counts as late.
 
 use crate::work::Estimate;
 use std::time::Duration;
 
-/// Runs that have to be known before any is taken for late.
-const LEAST_KNOWN: u32 = 16;
+/// Number of runs that must have been recorded before any run counts as late.
+const MIN_SAMPLES: u32 = 16;
 
-/// Mean deviations above the mean after which a run is late. Of times that vary as those of reads do,
-/// hardly any takes longer.
+/// Number of mean deviations above the mean after which a run is late. With the variance of typical
+/// reads, hardly any run takes longer.
 const DEVIATIONS: u32 = 6;
 
-/// The least multiple of the mean.
-const LEAST_MULTIPLE: u32 = 3;
+/// Lower bound of the threshold, as a multiple of the mean.
+const MIN_MULTIPLE: u32 = 3;
 
-/// How long runs of an operation take on one server.
+/// The distribution of an operation's run times.
 ///
-/// A server that has run a read and loses the answer is silent until the read's deadline, and then it is
-/// too late to read elsewhere: one such read of eight loses the work of all.
+/// A server that runs a read and loses the answer stays silent until the read's deadline, when it
+/// is too late to read from another instance. If a lookup makes eight reads, one such read wastes
+/// the work of all of them.
 ///
 /// # Examples
 ///
@@ -32,22 +33,22 @@
 /// ```
 #[derive(Debug, Default, Clone, Copy)]
 pub struct RunTimes {
-    took: Estimate,
-    known: u32,
+    estimate: Estimate,
+    samples: u32,
 }
 
 impl RunTimes {
-    /// A run took this long.
-    pub fn record(&mut self, took: Duration) {
-        self.took.record(took);
-        self.known = self.known.saturating_add(1);
+    /// Records the duration of a run.
+    pub fn record(&mut self, elapsed: Duration) {
+        self.estimate.record(elapsed);
+        self.samples = self.samples.saturating_add(1);
     }
 
-    /// After how long a run is late; `None` while too few are known.
+    /// The time after which a run is late; `None` while too few runs have been recorded.
     pub fn late_threshold(&self) -> Option<Duration> {
-        let (mean, deviation) = self.took.0.filter(|_| self.known >= LEAST_KNOWN)?;
-        let late = mean + deviation * f64::from(DEVIATIONS);
-        let least = mean * f64::from(LEAST_MULTIPLE);
-        Some(Duration::from_secs_f64(late.max(least)))
+        let (mean, deviation) = self.estimate.0.filter(|_| self.samples >= MIN_SAMPLES)?;
+        let by_deviation = mean + deviation * f64::from(DEVIATIONS);
+        let by_mean = mean * f64::from(MIN_MULTIPLE);
+        Some(Duration::from_secs_f64(by_deviation.max(by_mean)))
     }
 }
--- a/crates/policy/src/server_admission.rs
+++ b/crates/policy/src/server_admission.rs
@@ -1,13 +1,14 @@
-//! The limit, the queue and the admission level in front of one backend server.
+//! Admission control for one backend server: the concurrency limit, the queue and the admission
+//! level.
 
 use crate::admission_level::retry_jitter;
-use crate::admission_level::Level;
+use crate::admission_level::AdmissionLevel;
 use crate::admission_value;
-use crate::concurrency_limit::Limit;
-use crate::failure_share::Failing;
-use crate::lookup_hold::Hold;
+use crate::concurrency_limit::ConcurrencyLimit;
+use crate::failure_share::FailureShare;
+use crate::lookup_hold::LookupHold;
 use crate::queue::Queue;
-use crate::slowdown::Pace;
+use crate::slowdown::Slowdown;
 use crate::work::Estimate;
 use crate::AdmissionDecision;
 use crate::PriorityBands;
@@ -21,58 +22,60 @@
 use std::time::Duration;
 use stdx::Time;
 
-/// How long a server that could not be reached is left alone before it is tried again.
-const DOWN_PAUSE: Duration = Duration::from_millis(200);
+/// How long an unreachable server is not tried again.
+const UNREACHABLE_BACKOFF: Duration = Duration::from_millis(200);
 
-/// The bounds of what a refused caller is told to wait.
+/// Bounds of the retry delay given to refused callers.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(500);
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(10);
 
-/// Of work that would hardly ever be done in time, one piece in this many runs all the same: if
-/// none did, nobody would notice that runs have become quicker.
-const LATE_PROBES: u16 = 16;
+/// Of the work that is expected to miss its deadline, one item in this many runs anyway. If none
+/// did, a decrease of the run times would never be measured.
+const LATE_PROBE_INTERVAL: u16 = 16;
 
-/// How many times longer protected work may wait than lookups.
-const PROTECTED_PATIENCE: u32 = 3;
+/// Factor by which protected work may wait longer than lookups.
+const PROTECTED_WAIT_FACTOR: u32 = 3;
 
-/// The most tickets that wait. More than a server can do within any deadline; bounds memory only.
-const MAX_QUEUE: usize = 10_000;
+/// Maximum length of the queue. It is more than a server can process within any deadline and only
+/// bounds memory.
+const MAX_QUEUE_LEN: usize = 10_000;
 
-/// After so many times the usual time a server that has not answered counts as silent.
-const SILENT_AFTER: u32 = 3;
+/// Multiple of the usual run time after which an abandoned run counts as lost by the server.
+const SILENT_FACTOR: u32 = 3;
 
-/// The classes, each with an estimate of its own.
+/// Number of classes, each with an estimate of its own.
 const CLASSES: usize = 5;
 
-/// The limit, the queue and the admission level in front of one backend server.
+/// Admission control for one backend server: the concurrency limit, the queue and the admission
+/// level.
 #[derive(Debug)]
 pub struct ServerAdmission {
     switches: Switches,
-    limit: Limit,
-    level: Level,
+    limit: ConcurrencyLimit,
+    level: AdmissionLevel,
     queue: Queue,
     max_wait: Duration,
     running: u16,
-    ticked: Time,
-    /// How long a unit of the limit is taken up.
-    took: Estimate,
-    /// The same by class.
-    took_by_class: [Estimate; CLASSES],
-    /// The same with the runs that nobody waited for any more. A server that is slow or loses answers has
-    /// its slots taken by those; counted by whole answers alone, the load that is offered looks small
-    /// while all slots are taken, and more is let in.
-    held_by_class: [Estimate; CLASSES],
-    /// What it fails of its work.
-    failing: Failing,
-    /// How slow it is.
-    pace: Pace,
-    /// The server could not be reached; not tried again before this.
+    last_tick: Time,
+    /// How long completed work occupied a slot.
+    slot_time: Estimate,
+    /// `slot_time` by class.
+    slot_time_by_class: [Estimate; CLASSES],
+    /// `slot_time_by_class` including abandoned runs. On a server that is slow or loses answers
+    /// these occupy the slots; measured by complete answers alone, the offered load would look
+    /// small while all slots are occupied, and too much would be admitted.
+    slot_time_with_abandoned: [Estimate; CLASSES],
+    /// The share of its work that the server fails.
+    failure_share: FailureShare,
+    /// How much slower than usual the server is.
+    slowdown: Slowdown,
+    /// Set while the server is unreachable; it is not tried again before this time.
     down_until: Option<Time>,
-    hold: Hold,
+    lookup_hold: LookupHold,
 }
 
 impl ServerAdmission {
-    /// A server with concurrency bounds and a queue no longer than `max_wait`.
+    /// Admission control with bounds for the concurrency limit and a maximum queueing time.
     ///
     /// # Examples
     ///
@@ -82,7 +85,7 @@
     /// use stdx::Time;
     ///
     /// let mut server = ServerAdmission::new(Switches::ALL, 1, 100, Duration::from_millis(100));
-    /// let ticket = WorkItem {
+    /// let item = WorkItem {
     ///     id: 1,
     ///     class: proto::Class::Order,
     ///     priority: 0,
@@ -92,200 +95,202 @@
     ///     arrived: Time::ZERO,
     ///     admitted: false,
     /// };
-    /// assert_eq!(server.offer(Time::ZERO, ticket), AdmissionDecision::Start);
+    /// assert_eq!(server.offer(Time::ZERO, item), AdmissionDecision::Start);
     /// ```
     pub fn new(switches: Switches, min: u16, max: u16, max_wait: Duration) -> Self {
         let mut server = Self {
             switches,
-            limit: Limit::new(min, max),
-            level: Level::new(),
+            limit: ConcurrencyLimit::new(min, max),
+            level: AdmissionLevel::new(),
             queue: Queue::default(),
             max_wait,
             running: 0,
-            ticked: Time::ZERO,
-            took: Estimate::default(),
-            took_by_class: [Estimate::default(); CLASSES],
-            held_by_class: [Estimate::default(); CLASSES],
-            failing: Failing::default(),
-            pace: Pace::default(),
+            last_tick: Time::ZERO,
+            slot_time: Estimate::default(),
+            slot_time_by_class: [Estimate::default(); CLASSES],
+            slot_time_with_abandoned: [Estimate::default(); CLASSES],
+            failure_share: FailureShare::default(),
+            slowdown: Slowdown::default(),
             down_until: None,
-            hold: Hold::default(),
+            lookup_hold: LookupHold::default(),
         };
-        server.skip_ramp();
+        server.skip_slow_start();
         server
     }
 
-    /// Another incarnation of the server has started. What was learned of the limit of the one
-    /// before it says nothing of this one; a server that tells its slots starts with those.
+    /// Resets the state for a new process of the server, which has announced `slots`. The limit
+    /// learned for the previous process does not apply to it, so its limit starts at that number.
     pub fn on_server_restart(&mut self, now: Time, slots: u16) {
         self.down_until = None;
-        self.failing.reset();
-        self.pace = Pace::default();
+        self.failure_share.reset();
+        self.slowdown = Slowdown::default();
         self.limit.restart(now);
         self.limit.set_bounds(1, slots.max(1));
         self.limit.set_to_max();
     }
 
-    /// Takes the priorities of the rules in force.
-    pub fn set_priority_bands(&mut self, ranks: PriorityBands) {
-        self.level.set_ranks(ranks);
+    /// Sets the priorities of the rules in force.
+    pub fn set_priority_bands(&mut self, bands: PriorityBands) {
+        self.level.set_priority_bands(bands);
     }
 
-    /// Takes new bounds from the rules.
+    /// Sets new bounds from the rules.
     pub fn set_bounds(&mut self, min: u16, max: u16, max_wait: Duration) {
         self.limit.set_bounds(min, max);
         self.max_wait = max_wait;
-        self.skip_ramp();
+        self.skip_slow_start();
     }
 
-    fn skip_ramp(&mut self) {
+    fn skip_slow_start(&mut self) {
         if !self.switches.slow_start || !self.switches.adaptive_limit {
             self.limit.set_to_max();
         }
     }
 
-    /// Offers work.
-    pub fn offer(&mut self, now: Time, ticket: WorkItem) -> AdmissionDecision {
-        if let Some(takes) = self.held_by_class[ticket.class as usize].mean() {
-            self.level.offered(now, &ticket, takes);
+    /// Offers work, and decides whether it starts, is queued or is refused.
+    pub fn offer(&mut self, now: Time, item: WorkItem) -> AdmissionDecision {
+        if let Some(slot_time) = self.slot_time_with_abandoned[item.class as usize].mean() {
+            self.level.record_offered(now, &item, slot_time);
         }
         self.tick(now);
-        let value = admission_value(ticket.class, ticket.random_value);
-        if self.switches.levels && !ticket.admitted && value < self.level.get() {
-            self.hold_lookups(now, ticket.class);
-            return self.refuse(Reason::Shed, ticket);
+        let value = admission_value(item.class, item.random_value);
+        if self.switches.levels && !item.admitted && value < self.level.get() {
+            self.hold_lookups(now, item.class);
+            return self.refuse(Reason::Shed, item);
         }
         if self.down_until.is_some_and(|until| now < until) {
-            return self.refuse(Reason::ServerLost, ticket);
+            return self.refuse(Reason::ServerLost, item);
         }
-        if self.is_held(now, &ticket) {
-            return self.refuse_for_load(now, ticket);
+        if self.is_held_back(now, &item) {
+            return self.refuse_for_load(now, item);
         }
-        if self.is_too_late(now, &ticket, Duration::ZERO) {
-            return self.refuse(Reason::Deadline, ticket);
+        if self.is_too_late(now, &item, Duration::ZERO) {
+            return self.refuse(Reason::Deadline, item);
         }
-        if self.has_room(ticket.class) && self.queue.is_empty() {
-            self.begin(&ticket);
+        if self.has_capacity(item.class) && self.queue.is_empty() {
+            self.start(&item);
             return AdmissionDecision::Start;
         }
-        self.enqueue(now, ticket)
+        self.enqueue(now, item)
     }
 
-    fn enqueue(&mut self, now: Time, ticket: WorkItem) -> AdmissionDecision {
-        let ahead = self.queue.ahead_of(&ticket, self.switches.class_order);
+    fn enqueue(&mut self, now: Time, item: WorkItem) -> AdmissionDecision {
+        let ahead = self.queue.ahead_of(&item, self.switches.class_order);
         let wait = self.drain_time(ahead + 1);
-        let hopeless = self.switches.deadline_queue && self.is_too_late(now, &ticket, wait);
-        let full = ahead >= self.capacity() && !ticket.admitted;
-        if hopeless || full || self.queue.len() >= MAX_QUEUE {
-            return self.refuse_for_load(now, ticket);
+        let too_late = self.switches.deadline_queue && self.is_too_late(now, &item, wait);
+        let full = ahead >= self.queue_capacity() && !item.admitted;
+        if too_late || full || self.queue.len() >= MAX_QUEUE_LEN {
+            return self.refuse_for_load(now, item);
         }
-        self.queue.push(ticket);
+        self.queue.push(item);
         AdmissionDecision::Queued
     }
 
-    /// Takes back work that started.
-    pub fn on_finished(&mut self, now: Time, class: Class, ended: WorkOutcome) {
-        // While the level sheds, more would run if the limit let it, though it is seldom reached.
+    /// Records that started work has ended.
+    pub fn on_finished(&mut self, now: Time, class: Class, outcome: WorkOutcome) {
+        // While the level sheds load, the limit counts as reached even if `running` is below it,
+        // because there is demand for more slots.
         let full = self.running >= self.limit.get() || self.level() > 0;
         self.tick(now);
         self.running = self.running.saturating_sub(1);
-        self.failing.hear(now, self.silent_or(class, ended));
-        match ended {
+        self.failure_share
+            .record(now, self.resolve_abandoned(class, outcome));
+        match outcome {
             WorkOutcome::Completed { elapsed, own_time } => {
                 self.down_until = None;
-                self.took.record(elapsed);
-                self.took_by_class[class as usize].record(elapsed);
-                self.held_by_class[class as usize].record(elapsed);
-                self.pace.hear(now, class, own_time);
+                self.slot_time.record(elapsed);
+                self.slot_time_by_class[class as usize].record(elapsed);
+                self.slot_time_with_abandoned[class as usize].record(elapsed);
+                self.slowdown.record(now, class, own_time);
                 if self.switches.adaptive_limit {
-                    self.limit.sample(now, class, own_time, full);
+                    self.limit.record(now, class, own_time, full);
                 }
             }
-            WorkOutcome::Refused if self.switches.adaptive_limit => self.limit.refused(),
-            WorkOutcome::Unreachable => self.went_down(now),
+            WorkOutcome::Refused if self.switches.adaptive_limit => self.limit.on_refused(),
+            WorkOutcome::Unreachable => self.on_unreachable(now),
             WorkOutcome::Abandoned { elapsed, .. } => {
-                self.held_by_class[class as usize].record(elapsed)
+                self.slot_time_with_abandoned[class as usize].record(elapsed)
             }
             WorkOutcome::Refused | WorkOutcome::Lost | WorkOutcome::Failed => {}
         }
     }
 
-    /// A server that keeps work for much longer than is usual has lost it, as far as callers can tell. They
-    /// have given it up and gone elsewhere; without this nobody would notice that it answers so little.
-    fn silent_or(&self, class: Class, ended: WorkOutcome) -> WorkOutcome {
-        let WorkOutcome::Abandoned { own_time, .. } = ended else {
-            return ended;
+    /// Classifies an abandoned run as lost by the server if it took much longer than usual, and as
+    /// failed otherwise. Callers of a silent server give up and call another instance; without this
+    /// the missing answers would not count against the server.
+    fn resolve_abandoned(&self, class: Class, outcome: WorkOutcome) -> WorkOutcome {
+        let WorkOutcome::Abandoned { own_time, .. } = outcome else {
+            return outcome;
         };
-        let usual = self.took_by_class[class as usize].mean();
-        match usual.is_some_and(|usual| own_time >= usual * SILENT_AFTER) {
+        let usual = self.slot_time_by_class[class as usize].mean();
+        match usual.is_some_and(|usual| own_time >= usual * SILENT_FACTOR) {
             true => WorkOutcome::Lost,
             false => WorkOutcome::Failed,
         }
     }
 
-    /// An unreachable server answers quickly, and would draw all work to itself. So it is tried
-    /// with one piece of work at a time, and starts cold when it is back.
-    fn went_down(&mut self, now: Time) {
-        self.down_until = Some(now + DOWN_PAUSE);
+    /// Calls to an unreachable server fail quickly, so it would attract all work. It is therefore
+    /// tried with one work item at a time, and starts cold when it is back.
+    fn on_unreachable(&mut self, now: Time) {
+        self.down_until = Some(now + UNREACHABLE_BACKOFF);
         if self.switches.slow_start && self.switches.adaptive_limit {
             self.limit.restart(now);
         }
     }
 
-    /// Takes a ticket out of the queue; `false` if it is not there.
+    /// Removes a work item from the queue; returns `false` if it is not queued.
     pub fn cancel(&mut self, id: u64) -> bool {
-        self.queue.withdraw(id)
+        self.queue.remove(id)
     }
 
-    /// The next ticket that leaves the queue: to start, or refused. Call until `None`.
+    /// The next work item that leaves the queue, either to start or refused. Call until `None`.
     pub fn next_decision(&mut self, now: Time) -> Option<(WorkItem, AdmissionDecision)> {
-        if let Some(ticket) = self.pop_hopeless(now) {
-            return Some((ticket, self.refuse_for_load(now, ticket)));
+        if let Some(item) = self.pop_expired(now) {
+            return Some((item, self.refuse_for_load(now, item)));
         }
-        if self.hold.is_on() {
-            if let Some(ticket) = self.queue.displace_lookup() {
-                return Some((ticket, self.refuse_for_load(now, ticket)));
+        if self.lookup_hold.is_active() {
+            if let Some(item) = self.queue.evict_lookup() {
+                return Some((item, self.refuse_for_load(now, item)));
             }
         }
-        if let Some(ticket) = self.queue.displace(self.capacity()) {
-            return Some((ticket, self.refuse_for_load(now, ticket)));
+        if let Some(item) = self.queue.evict_excess(self.queue_capacity()) {
+            return Some((item, self.refuse_for_load(now, item)));
         }
         let next = if self.queue.protected_len() > 0 {
             Class::Order
         } else {
             Class::Lookup
         };
-        if !self.has_room(next) {
+        if !self.has_capacity(next) {
             return None;
         }
-        let ticket = self.queue.pop(self.switches.class_order)?;
-        self.begin(&ticket);
-        Some((ticket, AdmissionDecision::Start))
+        let item = self.queue.pop(self.switches.class_order)?;
+        self.start(&item);
+        Some((item, AdmissionDecision::Start))
     }
 
-    fn pop_hopeless(&mut self, now: Time) -> Option<WorkItem> {
-        let (max_wait, took) = (self.max_wait, self.took_by_class);
+    fn pop_expired(&mut self, now: Time) -> Option<WorkItem> {
+        let (max_wait, slot_time) = (self.max_wait, self.slot_time_by_class);
         let by_deadline = self.switches.deadline_queue;
-        self.queue.pop_hopeless(|ticket| {
-            let probe = !by_deadline || ticket.random_value % LATE_PROBES == 0;
-            let least = if probe {
+        self.queue.pop_expired(|item| {
+            let probe = !by_deadline || item.random_value % LATE_PROBE_INTERVAL == 0;
+            let lower_bound = if probe {
                 Duration::ZERO
             } else {
-                took[ticket.class as usize].least()
+                slot_time[item.class as usize].lower_bound()
             };
-            let waited = now.since(ticket.arrived);
-            waited >= longest_wait(max_wait, ticket) || now + least >= ticket.deadline
+            let waited = now.since(item.arrived);
+            waited >= max_wait_of(max_wait, item) || now + lower_bound >= item.deadline
         })
     }
 
-    /// When [`ServerAdmission::next_decision`] has to be called again even if nothing finishes.
+    /// When [`ServerAdmission::next_decision`] must be called again even if no work finishes.
     pub fn next_timer(&self) -> Option<Time> {
         let max_wait = self.max_wait;
-        self.queue
-            .next_timer(|ticket| longest_wait(max_wait, ticket))
+        self.queue.next_timer(|item| max_wait_of(max_wait, item))
     }
 
-    /// What to tell others.
+    /// The load report for other nodes.
     pub fn report(&self) -> LoadReport {
         let load = u32::from(self.running) + self.queue.len() as u32;
         let mut utilisation = load * 1000 / u32::from(self.limit.get().max(1));
@@ -302,23 +307,23 @@
     }
 
     fn penalty(&self) -> u16 {
-        let failing = match self.switches.avoid_failing {
-            true => self.failing.load(self.ticked),
+        let failures = match self.switches.avoid_failing {
+            true => self.failure_share.penalty(self.last_tick),
             false => 0,
         };
-        let slow = match self.switches.avoid_slow {
-            true => self.pace.load(self.ticked),
+        let slowness = match self.switches.avoid_slow {
+            true => self.slowdown.penalty(self.last_tick),
             false => 0,
         };
-        failing.saturating_add(slow)
+        failures.saturating_add(slowness)
     }
 
-    /// Runs in progress, work that waits, and the concurrency limit.
+    /// Number of runs in progress, number of queued work items, and the concurrency limit.
     pub fn occupancy(&self) -> (u16, usize, u16) {
         (self.running, self.queue.len(), self.limit.get())
     }
 
-    /// The present admission level.
+    /// The current admission level.
     pub fn level(&self) -> u16 {
         if self.switches.levels {
             self.level.get()
@@ -327,23 +332,23 @@
         }
     }
 
-    /// Lets the level fall while nothing comes.
+    /// Updates the admission level, so that it also falls while no work arrives.
     pub fn tick(&mut self, now: Time) {
-        self.ticked = now;
-        let takes = self.took.mean().unwrap_or(Duration::ZERO);
-        let waiting = self.queue.len() as f64 * takes.as_secs_f64();
-        self.level.decide(now, self.limit.get(), waiting);
+        self.last_tick = now;
+        let slot_time = self.slot_time.mean().unwrap_or(Duration::ZERO);
+        let backlog = self.queue.len() as f64 * slot_time.as_secs_f64();
+        self.level.update(now, self.limit.get(), backlog);
     }
 
-    fn begin(&mut self, ticket: &WorkItem) {
+    fn start(&mut self, item: &WorkItem) {
         debug_assert!(
-            ticket.class.is_protected() || ticket.arrived >= self.hold.refused(),
-            "a lookup starts that waited while a protected call was refused for load"
+            item.class.is_protected() || item.arrived >= self.lookup_hold.last_refusal(),
+            "a lookup that was queued when a protected call was refused for load must not start"
         );
         self.running += 1;
     }
 
-    fn has_room(&self, class: Class) -> bool {
+    fn has_capacity(&self, class: Class) -> bool {
         let limit = match self.down_until {
             Some(_) => 1,
             None if class.is_protected() => self.limit.for_protected(),
@@ -352,90 +357,93 @@
         self.running < limit
     }
 
-    /// After a protected call was refused for load, a lookup that came later must not run before
-    /// there is room for such calls again: it would have taken the place that the other lacked.
-    fn is_held(&mut self, now: Time, ticket: &WorkItem) -> bool {
-        let room = self.has_room(Class::Lookup) && self.queue.protected_len() == 0;
-        self.hold.check(now, room) && !ticket.class.is_protected()
+    /// Whether a lookup must be refused in favour of protected calls. After a protected call was
+    /// refused for load, a later lookup must not run before there is capacity for such calls again:
+    /// it would take the slot that the refused call needed.
+    fn is_held_back(&mut self, now: Time, item: &WorkItem) -> bool {
+        let has_capacity = self.has_capacity(Class::Lookup) && self.queue.protected_len() == 0;
+        self.lookup_hold.check(now, has_capacity) && !item.class.is_protected()
     }
 
-    /// Whether not even a quick run would end before the deadline, after waiting for `wait`.
-    fn is_too_late(&self, now: Time, ticket: &WorkItem, wait: Duration) -> bool {
+    /// Whether not even a quick run would end before the deadline after waiting for `wait`.
+    fn is_too_late(&self, now: Time, item: &WorkItem, wait: Duration) -> bool {
         if !self.switches.deadline_queue {
-            return now >= ticket.deadline;
+            return now >= item.deadline;
         }
-        if now + wait >= ticket.deadline {
+        if now + wait >= item.deadline {
             return true;
         }
-        let least = self.took_by_class[ticket.class as usize].least();
-        now + wait + least >= ticket.deadline && ticket.random_value % LATE_PROBES != 0
+        let lower_bound = self.slot_time_by_class[item.class as usize].lower_bound();
+        now + wait + lower_bound >= item.deadline && item.random_value % LATE_PROBE_INTERVAL != 0
     }
 
-    fn refuse_for_load(&mut self, now: Time, ticket: WorkItem) -> AdmissionDecision {
-        if ticket.admitted {
-            // Its own time is over: it was slow on its way here. Room for others like it would not
-            // have helped, and the lookups that wait are work half done as well.
-            return self.refuse(Reason::Deadline, ticket);
+    fn refuse_for_load(&mut self, now: Time, item: WorkItem) -> AdmissionDecision {
+        if item.admitted {
+            // Its deadline is too close because it was delayed before it arrived here. Holding back
+            // lookups would not have helped it, and the queued lookups are partly done actions as
+            // well.
+            return self.refuse(Reason::Deadline, item);
         }
-        self.hold_lookups(now, ticket.class);
-        self.refuse(Reason::QueueFull, ticket)
+        self.hold_lookups(now, item.class);
+        self.refuse(Reason::QueueFull, item)
     }
 
-    /// Work was refused for load before it was offered.
+    /// Records that work was refused for load before it was offered.
     pub fn on_refused_before_offer(&mut self, now: Time, class: Class) {
         self.hold_lookups(now, class);
     }
 
-    /// A protected call is refused for load: lookups that wait are refused too, and those that come
-    /// in the next moments.
+    /// If a protected call is refused for load, the queued lookups are refused as well, and so are
+    /// those that arrive shortly afterwards.
     fn hold_lookups(&mut self, now: Time, class: Class) {
         if class.is_protected() && self.switches.class_order {
-            self.hold.begin(now);
+            self.lookup_hold.begin(now);
         }
     }
 
-    /// Tells when the backlog will be gone, stretched by how much more is offered than can be
-    /// done. All who are refused together would come back together, so the dice spread them.
-    fn refuse(&self, reason: Reason, ticket: WorkItem) -> AdmissionDecision {
+    /// Refuses work with a retry delay: the time to work off the backlog, multiplied by the ratio
+    /// of offered load to capacity. Callers refused together would come back together, so the
+    /// random value of the action varies the delay.
+    fn refuse(&self, reason: Reason, item: WorkItem) -> AdmissionDecision {
         let backlog = self.drain_time(self.queue.len() + usize::from(self.running));
         let wait = (backlog + MIN_RETRY_AFTER).mul_f64(self.level.pressure().min(100.0));
-        let spread = if self.switches.spread {
-            retry_jitter(ticket.random_value)
+        let jitter = if self.switches.spread {
+            retry_jitter(item.random_value)
         } else {
             1.0
         };
-        let wait = wait.mul_f64(spread).clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER);
+        let wait = wait.mul_f64(jitter).clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER);
         AdmissionDecision::Refused(Refusal::new(reason, wait))
     }
 
-    /// The most tickets that the queue can hand on within its longest wait.
-    fn capacity(&self) -> usize {
+    /// Maximum number of work items that can leave the queue within the maximum queueing time.
+    fn queue_capacity(&self) -> usize {
         let limit = f64::from(self.limit.get());
-        let most = match self.took.0 {
+        let capacity = match self.slot_time.0 {
             Some((mean, _)) => limit * self.max_wait.as_secs_f64() / mean.max(1e-6),
             None => limit,
         };
-        (most as usize).clamp(1, MAX_QUEUE)
+        (capacity as usize).clamp(1, MAX_QUEUE_LEN)
     }
 
-    /// How long it takes until `tickets` have left the queue.
-    fn drain_time(&self, tickets: usize) -> Duration {
-        let Some((mean, _)) = self.took.0 else {
+    /// The time until `items` work items have left the queue.
+    fn drain_time(&self, items: usize) -> Duration {
+        let Some((mean, _)) = self.slot_time.0 else {
             return Duration::ZERO;
         };
-        let secs = tickets as f64 * mean / f64::from(self.limit.get().max(1));
+        let secs = items as f64 * mean / f64::from(self.limit.get().max(1));
         Duration::from_secs_f64(secs.min(3600.0))
     }
 }
 
-/// How long a ticket may wait. A protected one goes before all lookups, so it waits long only where
-/// protected work alone is too much; refused after the time that is good for lookups, it would take
-/// all waiting lookups with it (see `hold_lookups`).
-fn longest_wait(max_wait: Duration, ticket: &WorkItem) -> Duration {
-    if ticket.admitted {
+/// How long a work item may be queued. Protected work leaves the queue before all lookups, so it
+/// waits long only if protected work alone exceeds the capacity. If it were refused after the
+/// maximum wait of lookups, all queued lookups would be refused with it (see `hold_lookups`).
+fn max_wait_of(max_wait: Duration, item: &WorkItem) -> Duration {
+    if item.admitted {
         Duration::MAX
-    } else if ticket.class.is_protected() {
-        max_wait * PROTECTED_PATIENCE
+    } else if item.class.is_protected() {
+        max_wait * PROTECTED_WAIT_FACTOR
     } else {
         max_wait
     }
--- a/crates/policy/src/slowdown.rs
+++ b/crates/policy/src/slowdown.rs
@@ -1,47 +1,49 @@
-//! How much slower a server works than it usually does.
+//! How much slower than usual a backend server works.
 
 use proto::Class;
 use std::time::Duration;
 use stdx::Time;
 
-/// The classes, each with a usual time of its own.
+/// Number of classes, each with a usual time of its own.
 const CLASSES: usize = 5;
 
-/// A run counts for one part in this many of what is usual, once so many have ended. A server of 16
-/// slots that turns ten times slower takes two minutes to make that usual.
-const USUAL: f32 = 512.0;
+/// Weight of a run in the usual time: one in this many, once that many runs have ended. A server
+/// with 16 slots that becomes ten times slower takes two minutes until that counts as usual.
+const USUAL_WINDOW: f32 = 512.0;
 
-/// A run counts for one part in this many of the present pace: at 25 runs a second, a change is half
-/// seen after 0.4 s.
-const RECENT: f32 = 16.0;
+/// Weight of a run in the recent average: one in this many. At 25 runs per second, half of a change
+/// is visible after 0.4 s.
+const RECENT_WINDOW: f32 = 16.0;
 
-/// Without news half of what is known is forgotten in this time, so that a server that gets nothing
-/// any more is tried again.
+/// Without new runs the recent average moves halfway back to normal in this time, so that a server
+/// that receives no more work is tried again.
 const HALF_LIFE: Duration = Duration::from_secs(2);
 
-/// Up to this multiple of the usual time a server is not slow: times rise by a third when nearly all
-/// slots are taken, and the mean of some thirty runs varies by a sixth. With one and a half, chance alone
-/// doubled the bytes between domains on calm days.
-const TOLERATED: f32 = 2.0;
+/// Multiple of the usual time up to which a server does not count as slow. Times rise by a third
+/// when nearly all slots are occupied, and the mean of about thirty runs varies by a sixth. With
+/// 1.5, random variation alone doubled the traffic between failure domains under light load.
+const TOLERATED_RATIO: f32 = 2.0;
 
-/// What each multiple of the usual time beyond [`TOLERATED`] counts as, in thousandths of the limit.
-/// Enough to send calls to the next failure domain at two and a half times the usual time, and to the
-/// next region at four times.
-const WEIGHT: f32 = 300.0;
+/// Load penalty for each multiple of the usual time beyond [`TOLERATED_RATIO`], in thousandths of
+/// the limit. Large enough to send calls to another failure domain at 2.5 times the usual time, and
+/// to another region at 4 times.
+const PENALTY_PER_MULTIPLE: f32 = 300.0;
 
-/// The share of the usual time that runs take lately.
+/// The ratio of recent run times to the usual ones.
 ///
-/// A slow server's slots fill as those of a busy one do, so by its load alone it is given up to
-/// as many calls at a time as a good one, and a lookup that reads eight times meets one of six slow
-/// servers nearly always. At five times the usual time each such lookup is late.
+/// The load of a slow server looks like that of a busy one, so by load alone it is given up to as
+/// many concurrent calls as a normal one, and a lookup with eight reads nearly always hits a slow
+/// server if one in six is slow. At five times the usual time every such lookup is late.
 #[derive(Debug)]
-pub(crate) struct Pace {
+pub(crate) struct Slowdown {
+    /// Mean own time in seconds and number of runs, by class.
     usual: [Option<(f32, f32)>; CLASSES],
+    /// Moving average of the ratio of own time to the usual time.
     recent: f32,
     updated: Time,
 }
 
-impl Default for Pace {
+impl Default for Slowdown {
     fn default() -> Self {
         Self {
             usual: [None; CLASSES],
@@ -51,25 +53,25 @@
     }
 }
 
-impl Pace {
-    /// Takes a run that kept the server busy for `own`.
-    pub(crate) fn hear(&mut self, now: Time, class: Class, own: Duration) {
-        let own = own.as_secs_f32();
-        let (mean, runs) = self.usual[class as usize].unwrap_or((own, 0.0));
-        let runs = (runs + 1.0).min(USUAL);
-        self.usual[class as usize] = Some((mean + (own - mean) / runs, runs));
-        let pace = own / mean.max(1e-6);
-        self.recent = self.faded(now) + (pace - self.faded(now)) / RECENT;
+impl Slowdown {
+    /// Records a run that kept the server busy for `own_time`.
+    pub(crate) fn record(&mut self, now: Time, class: Class, own_time: Duration) {
+        let own_time = own_time.as_secs_f32();
+        let (mean, runs) = self.usual[class as usize].unwrap_or((own_time, 0.0));
+        let runs = (runs + 1.0).min(USUAL_WINDOW);
+        self.usual[class as usize] = Some((mean + (own_time - mean) / runs, runs));
+        let ratio = own_time / mean.max(1e-6);
+        self.recent = self.decayed(now) + (ratio - self.decayed(now)) / RECENT_WINDOW;
         self.updated = now;
     }
 
-    /// What it counts as, in thousandths of the limit.
-    pub(crate) fn load(&self, now: Time) -> u16 {
-        ((self.faded(now) - TOLERATED).max(0.0) * WEIGHT) as u16
+    /// The penalty to add to the server's load, in thousandths of its limit.
+    pub(crate) fn penalty(&self, now: Time) -> u16 {
+        ((self.decayed(now) - TOLERATED_RATIO).max(0.0) * PENALTY_PER_MULTIPLE) as u16
     }
 
-    fn faded(&self, now: Time) -> f32 {
-        let lives = now.since(self.updated).as_secs_f32() / HALF_LIFE.as_secs_f32();
-        1.0 + (self.recent - 1.0) * 0.5f32.powf(lives)
+    fn decayed(&self, now: Time) -> f32 {
+        let half_lives = now.since(self.updated).as_secs_f32() / HALF_LIFE.as_secs_f32();
+        1.0 + (self.recent - 1.0) * 0.5f32.powf(half_lives)
     }
 }
--- a/crates/policy/src/switches.rs
+++ b/crates/policy/src/switches.rs
@@ -1,50 +1,56 @@
-//! Which mechanisms are on. Production runs with all of them; experiments turn one off at a time.
+//! Switches for the mechanisms. Production runs with all of them on; experiments turn one off at a
+//! time.
 
 use stdx::plain;
 
 plain! {
     /// Which mechanisms are on.
     pub struct Switches {
-        /// The concurrency limit follows the measured latency; off, it is the rules' maximum.
+        /// The concurrency limit follows the measured latency; if off, it is the maximum set in the
+        /// rules.
         pub adaptive_limit: bool,
-        /// A server that is new or was down starts with a small limit.
+        /// A server that is new or was down starts with a low concurrency limit.
         pub slow_start: bool,
-        /// Work that cannot meet its deadline is refused before it waits.
+        /// Work that cannot meet its deadline is refused instead of being queued.
         pub deadline_queue: bool,
         /// Protected classes leave the queue before lookups.
         pub class_order: bool,
-        /// Admission levels, at the server and at the first hop.
+        /// Load is shed by admission levels, at the server and at the first hop.
         pub levels: bool,
-        /// A ratio of retries to calls, per node, on top of the actions' allowances.
+        /// Each node limits retries to a ratio of its calls, in addition to the allowances of
+        /// actions.
         pub retry_budget: bool,
-        /// Callers' re-sends attach to the work in flight or draw on a ratio.
+        /// Re-sends of callers attach to the work in flight or are limited to a ratio of first
+        /// sends.
         pub resend_limit: bool,
-        /// Refused callers are told to come back at different times.
+        /// Refused callers are given different retry delays.
         pub spread: bool,
         /// Requests that crash backend servers are refused.
         pub quarantine: bool,
-        /// Calls go to the less loaded of the near instances; off, to all of them in turn.
+        /// Calls go to the less loaded of the near instances; if off, to all of them in turn.
         pub by_load: bool,
-        /// What a server fails counts as load, so that calls go elsewhere.
+        /// Failures of a server count as load, so that calls go to other instances.
         pub avoid_failing: bool,
-        /// A server that is slower than usual counts as loaded, so that calls go elsewhere.
+        /// Slowness of a server counts as load, so that calls go to other instances.
         pub avoid_slow: bool,
-        /// Work of a more urgent priority is shed after the rest of its class, and started before.
+        /// Work of a more urgent priority is shed after the rest of its class and started before
+        /// it.
         pub ranks: bool,
-        /// An instance with room counts as free, so that calls stay in their failure domain.
+        /// An instance with spare capacity counts as idle, so that calls stay in their failure
+        /// domain.
         pub room: bool,
-        /// A peer that does not answer a ping gets no new calls.
+        /// A peer that does not answer a ping receives no new calls.
         pub quiet_peers: bool,
         /// A read whose answer is late is sent to a second instance.
         pub hedges: bool,
-        /// For comparison only: retries that each hop makes on its own, whatever the action's
-        /// allowance is.
+        /// For comparison only: number of retries that each hop makes regardless of the action's
+        /// allowance.
         pub hop_retries: u8,
     }
 }
 
 impl Switches {
-    /// Everything on.
+    /// All mechanisms on.
     pub const ALL: Switches = Switches {
         adaptive_limit: true,
         slow_start: true,
@@ -85,7 +91,8 @@
         "hedges",
     ];
 
-    /// The same with the mechanism of this name off; `None` if there is none of this name.
+    /// The same switches with the named mechanism off; `None` if there is no mechanism of this
+    /// name.
     ///
     /// # Examples
     ///
@@ -119,7 +126,7 @@
         Some(self)
     }
 
-    /// Everything off: a fixed limit and a queue in order of arrival.
+    /// All mechanisms off: a fixed limit and a queue in order of arrival.
     pub const NONE: Switches = Switches {
         adaptive_limit: false,
         slow_start: false,
--- a/crates/policy/src/work.rs
+++ b/crates/policy/src/work.rs
@@ -1,4 +1,4 @@
-//! Work for a backend server: what asks for it, what becomes of it, and how long it takes.
+//! Work for a backend server: its description, its admission, its outcome and its duration.
 
 use proto::Class;
 use proto::Refusal;
@@ -7,63 +7,63 @@
 use stdx::Time;
 
 plain! {
-    /// A piece of work that asks for the backend server. `id` is the asker's own.
+    /// A piece of work offered to the backend server.
     pub struct WorkItem {
-        /// The asker's number for the work.
+        /// Identifies the work; assigned by the caller.
         pub id: u64,
-        /// What it is for.
+        /// The class of the operation.
         pub class: Class,
-        /// How urgent it is among the work that is shed alike; 0 is the most urgent.
+        /// The priority within lookups or within protected classes; 0 is the most urgent.
         pub priority: u8,
-        /// The action's random value.
+        /// The random value of its action.
         pub random_value: u16,
-        /// The admission level that its action passed at its first hop; 0 if it met none.
+        /// The admission level that its action passed at the first hop; 0 if none was applied.
         pub passed_level: u16,
         /// When its answer is due.
         pub deadline: Time,
-        /// When it came.
+        /// When it arrived.
         pub arrived: Time,
-        /// It is a call of an action that was admitted at its first hop. Refused here, all the work
-        /// done for the action would be lost; so load is kept down by what is admitted there, and
-        /// here it waits for as long as its answer may still be in time.
+        /// Whether it is a call of an action that was admitted at its first hop. Refusing it would
+        /// waste the work already done for the action, so load is limited by admission at the first
+        /// hop, and such a call waits for as long as it can still meet its deadline.
         pub admitted: bool,
     }
 }
 
-/// What becomes of a ticket.
+/// The decision on an offered work item.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AdmissionDecision {
     /// Start it now.
     Start,
-    /// It waits; a later call of [`ServerAdmission::next_decision`] tells.
+    /// It is queued; a later call of [`ServerAdmission::next_decision`] returns the decision.
     Queued,
-    /// It does not run.
+    /// It must not run.
     Refused(Refusal),
 }
 
 plain! {
     /// How work on the backend server ended.
     pub enum WorkOutcome {
-        /// With a whole answer.
+        /// With a complete answer.
         Completed {
-            /// From start to end: how long the work took up one unit of the limit.
+            /// From start to end: how long the work occupied a slot.
             elapsed: Duration,
-            /// The same without the waits for child calls.
+            /// `elapsed` without the waits for child calls.
             own_time: Duration,
         },
-        /// The server refused it by its documented refusal.
+        /// The server refused it with its documented refusal.
         Refused,
         /// The server could not be reached.
         Unreachable,
-        /// The connection broke. A crash is no sign of congestion.
+        /// The connection was lost. A crash is not a sign of congestion.
         Lost,
-        /// With an answer that says the work failed: its time says nothing.
+        /// With an answer that reports a failure. Its duration is not representative.
         Failed,
-        /// Nobody waited any more, and the server had not answered.
+        /// The caller gave up before the server answered.
         Abandoned {
             /// From start to end.
             elapsed: Duration,
-            /// How long the server had kept it, without the waits for child calls.
+            /// `elapsed` without the waits for child calls.
             own_time: Duration,
         },
     }
@@ -74,24 +74,24 @@
 pub(crate) struct Estimate(pub(crate) Option<(f64, f64)>);
 
 impl Estimate {
-    pub(crate) fn record(&mut self, took: Duration) {
-        let took = took.as_secs_f64();
-        let (mean, deviation) = self.0.unwrap_or((took, took / 2.0));
-        let error = took - mean;
+    pub(crate) fn record(&mut self, elapsed: Duration) {
+        let elapsed = elapsed.as_secs_f64();
+        let (mean, deviation) = self.0.unwrap_or((elapsed, elapsed / 2.0));
+        let error = elapsed - mean;
         self.0 = Some((
             mean + error / 32.0,
             deviation + (error.abs() - deviation) / 32.0,
         ));
     }
 
-    /// What a run takes.
+    /// The mean duration of a run, at most one hour.
     pub(crate) fn mean(self) -> Option<Duration> {
         let (mean, _) = self.0?;
         Some(Duration::from_secs_f64(mean.clamp(0.0, 3600.0)))
     }
 
-    /// What a quick run takes: the mean less the mean deviation.
-    pub(crate) fn least(self) -> Duration {
+    /// The duration of a quick run: the mean less the mean deviation.
+    pub(crate) fn lower_bound(self) -> Duration {
         let (mean, deviation) = self.0.unwrap_or((0.0, 0.0));
         Duration::from_secs_f64((mean - deviation).clamp(0.0, 3600.0))
     }
--- a/crates/policy/tests/cluster_sim/mod.rs
+++ b/crates/policy/tests/cluster_sim/mod.rs
@@ -1,4 +1,4 @@
-//! Many nodes that choose among the instances of one service, in steps of a millisecond: calls and
+//! ClusterSim nodes that choose among the instances of one service, in steps of a millisecond: calls and
 //! answers take their way, instances run a bounded number of calls and queue the rest.
 
 #![allow(dead_code, reason = "each user takes a part")]
@@ -53,7 +53,7 @@
 }
 
 /// Nodes and servers in rotation over the failure domains; regions hold every second one.
-pub struct Many {
+pub struct ClusterSim {
     pub now: u64,
     pub servers: Vec<Server>,
     /// Calls that went to another region.
@@ -84,7 +84,7 @@
     }
 }
 
-impl Many {
+impl ClusterSim {
     pub fn new(nodes: usize, servers: usize) -> Self {
         Self::with_switches(nodes, servers, Switches::ALL)
     }
--- a/crates/policy/tests/instance_selector.rs
+++ b/crates/policy/tests/instance_selector.rs
@@ -6,7 +6,7 @@
 use bilberry_policy::InstanceSelector;
 use bilberry_policy::Proximity;
 use bilberry_policy::Switches;
-use cluster_sim::Many;
+use cluster_sim::ClusterSim;
 use proto::Incarnation;
 use proto::LoadReport;
 use rand::rngs::StdRng;
@@ -151,7 +151,7 @@
     // Every node hears late and something else about the same instances. If they all took the idle
     // one, it would be overloaded while the others stand idle, in turn.
     for servers in [6, 12, 35] {
-        let mut many = Many::new(36, servers);
+        let mut many = ClusterSim::new(36, servers);
         many.run(500, 0.9, 0.5);
         many.reset();
         many.run(1_000, 0.9, 0.5);
@@ -165,7 +165,7 @@
     // One region has 70% of the demand and half of the servers. Bytes between regions are billed,
     // so calls stay while there is room; those that cannot fit must cross.
     let far = |demand| {
-        let mut many = Many::new(36, 6);
+        let mut many = ClusterSim::new(36, 6);
         many.run(1_000, demand, 0.7);
         many.reset();
         many.run(2_000, demand, 0.7);
@@ -183,7 +183,7 @@
 #[test]
 fn domains_are_crossed_only_when_there_is_no_room() {
     let crossed = |demand| {
-        let mut many = Many::new(36, 6);
+        let mut many = ClusterSim::new(36, 6);
         many.run(1_000, demand, 0.5);
         many.reset();
         many.run(2_000, demand, 0.5);
@@ -197,11 +197,11 @@
 fn a_new_instance_gets_its_share_bit_by_bit() {
     // An instance starts idle and cold. All nodes see an idle one, and without a slow start they
     // would give it everything at once.
-    let mut many = Many::new(36, 6);
+    let mut many = ClusterSim::new(36, 6);
     many.run(11_000, 0.7, 0.5);
     many.start_server();
     many.reset();
-    let part = |many: &Many| {
+    let part = |many: &ClusterSim| {
         let all: u64 = many.servers.iter().map(|server| server.served).sum();
         many.servers[6].served as f64 * 7.0 / all as f64
     };
@@ -217,7 +217,7 @@
 /// What part of all calls is refused, from two seconds on, when every third of 12 servers refuses half
 /// of its work at once; and what part goes to other regions.
 fn with_grey_servers(switches: Switches) -> (f64, f64) {
-    let mut many = Many::with_switches(24, 12, switches);
+    let mut many = ClusterSim::with_switches(24, 12, switches);
     many.run(1000, 0.5, 0.5);
     for server in many.servers.iter_mut().step_by(3) {
         server.refuses = 0.5;
@@ -246,7 +246,7 @@
 /// its load.
 #[test]
 fn a_server_that_no_longer_refuses_is_used_again() {
-    let mut many = Many::new(24, 12);
+    let mut many = ClusterSim::new(24, 12);
     many.servers[0].refuses = 0.9;
     many.run(3000, 0.5, 0.5);
     many.servers[0].refuses = 0.0;
