--- a/crates/policy/src/admission_level.rs
+++ b/crates/policy/src/admission_level.rs
@@ -30,8 +30,8 @@
 /// a demand of 1.6, with this value 0.89 (decision logic alone, lookups with eight reads).
 const LOAD_TIME_CONSTANT: Duration = Duration::from_millis(600);
 
-/// Time in which the backlog should be worked off; the admitted load is reduced accordingly. With 2
-/// s, 14 calls were queued on average for 16 slots, and lookups with eight sequential reads were
+/// Time in which the backlog should be worked off; the admitted load is reduced accordingly. With two
+/// seconds, 14 calls were queued on average for 16 slots, and lookups with eight sequential reads were
 /// late. If it is much shorter than the duration of a call tree, the same work is counted several
 /// times. No further slots are reserved: reserving a fifth of the square root of their number shed
 /// lookups that would have fitted.
@@ -71,10 +71,10 @@
     0.5 + f64::from(mixed) / f64::from(u16::MAX)
 }
 
-/// Mean retry delay for a service that admits nearly everything. Every attempt has the same chance
+/// Mean retry delay at a service that admits nearly everything. Every attempt has the same chance
 /// of being admitted, so only an early one can still be answered in time: with 1 s, 1,966 of 23,529
 /// lookups of a surge were late, with this value 330 of 23,528 (one run each).
-const MIN_RETRY_DELAY: Duration = Duration::from_millis(300);
+const BASE_RETRY_DELAY: Duration = Duration::from_millis(300);
 
 /// How long to wait before calling a service that sheds at `level` again: the smaller the share
 /// that it admits, the longer.
@@ -94,7 +94,7 @@
         level.min(PROTECTED)
     };
     let admitted = 1.0 - f64::from(shed) / f64::from(PROTECTED);
-    MIN_RETRY_DELAY.mul_f64(retry_jitter(random_value) / admitted.max(0.1))
+    BASE_RETRY_DELAY.mul_f64(retry_jitter(random_value) / admitted.max(0.1))
 }
 
 /// The load that would arrive if nothing were shed, in occupied slots, averaged with
--- a/crates/policy/src/priority_bands.rs
+++ b/crates/policy/src/priority_bands.rs
@@ -67,8 +67,8 @@
 /// use bilberry_policy::PriorityBands;
 /// use proto::Class::Lookup;
 ///
-/// let ranks = PriorityBands::new([(Lookup, 2), (Lookup, 1)]);
-/// assert!(ranks.scale_to_band(Lookup, 2, 60_000) < ranks.scale_to_band(Lookup, 1, 0));
+/// let bands = PriorityBands::new([(Lookup, 2), (Lookup, 1)]);
+/// assert!(bands.scale_to_band(Lookup, 2, 60_000) < bands.scale_to_band(Lookup, 1, 0));
 /// assert_eq!(PriorityBands::new([(Lookup, 2)]).scale_to_band(Lookup, 2, 700), 700);
 /// ```
 #[derive(Debug, Default, Clone)]
--- a/crates/policy/tests/admitted.rs
+++ b/crates/policy/tests/admitted.rs
@@ -1,4 +1,4 @@
-//! Calls of actions that were admitted at their first hop, in front of a server without room.
+//! Calls of actions that were admitted at their first hop, at a server without free capacity.
 
 use bilberry_policy::AdmissionDecision;
 use bilberry_policy::ServerAdmission;
@@ -12,8 +12,8 @@
 
 const MAX_WAIT: Duration = Duration::from_millis(100);
 
-/// How long one piece of work takes, in milliseconds.
-const WORK: u64 = 50;
+/// Duration of one run, in milliseconds.
+const RUN_MS: u64 = 50;
 
 fn at(ms: u64) -> Time {
     Time::from_micros(ms * 1000)
@@ -32,18 +32,18 @@
     }
 }
 
-/// Offers a lookup every 20 ms to a server with room for one every 50 ms, for a second, and gives
+/// Offers a lookup every 20 ms for one second to a server that can run one every 50 ms, and returns
 /// how many were refused.
-fn refused_in_a_surge(admitted: bool) -> usize {
+fn refusals_in_a_surge(admitted: bool) -> usize {
     let mut switches = Switches::ALL;
     switches.adaptive_limit = false;
     let mut server = ServerAdmission::new(switches, 1, 1, MAX_WAIT);
-    let mut ends: Option<u64> = None;
+    let mut ends_at: Option<u64> = None;
     let mut refused = 0;
     for ms in 0..1000 {
         let now = at(ms);
-        if ends == Some(ms) {
-            let took = Duration::from_millis(WORK);
+        if ends_at == Some(ms) {
+            let took = Duration::from_millis(RUN_MS);
             server.on_finished(
                 now,
                 Class::Lookup,
@@ -52,18 +52,18 @@
                     own_time: took,
                 },
             );
-            ends = None;
+            ends_at = None;
         }
         if ms % 20 == 0 {
             match server.offer(now, lookup(ms, now, admitted)) {
-                AdmissionDecision::Start => ends = Some(ms + WORK),
+                AdmissionDecision::Start => ends_at = Some(ms + RUN_MS),
                 AdmissionDecision::Queued => {}
                 AdmissionDecision::Refused(_) => refused += 1,
             }
         }
         while let Some((_, offer)) = server.next_decision(now) {
             match offer {
-                AdmissionDecision::Start => ends = Some(ms + WORK),
+                AdmissionDecision::Start => ends_at = Some(ms + RUN_MS),
                 AdmissionDecision::Refused(_) => refused += 1,
                 AdmissionDecision::Queued => {}
             }
@@ -72,72 +72,72 @@
     refused
 }
 
-/// A lookup reads eight times from a deep service, which is asked for more than it can do. With one
-/// read in three refused, hardly a lookup gets through, and all that was done for it is lost. What
-/// begins at the service is refused early instead.
+/// A lookup makes eight reads from an overloaded service deep in the call tree. If one read in
+/// three is refused, hardly any lookup succeeds, and the work already done for it is wasted.
+/// Lookups that begin at the service are refused instead.
 #[test]
-fn reads_of_an_admitted_lookup_wait_while_others_are_shed() {
-    assert_eq!(refused_in_a_surge(true), 0);
-    assert!(refused_in_a_surge(false) > 10);
+fn reads_of_admitted_lookups_wait_while_new_lookups_are_refused() {
+    assert_eq!(refusals_in_a_surge(true), 0);
+    assert!(refusals_in_a_surge(false) > 10);
 }
 
-/// A read of an admitted lookup waits behind so many others that its answer would come too late. It
-/// is refused at once; kept waiting, it would hold up its lookup for nothing.
+/// A read of an admitted lookup would be queued behind so many others that it would miss its
+/// deadline. It is refused immediately; otherwise its lookup would wait in vain.
 #[test]
-fn a_read_that_would_be_late_is_refused_at_once() {
+fn a_read_that_would_be_late_is_refused_immediately() {
     let mut server = ServerAdmission::new(Switches::ALL, 1, 1, MAX_WAIT);
-    let took = Duration::from_millis(WORK);
+    let took = Duration::from_millis(RUN_MS);
     assert_eq!(
         server.offer(at(0), lookup(0, at(0), true)),
         AdmissionDecision::Start
     );
     server.on_finished(
-        at(WORK),
+        at(RUN_MS),
         Class::Lookup,
         WorkOutcome::Completed {
             elapsed: took,
             own_time: took,
         },
     );
-    let now = at(WORK);
+    let now = at(RUN_MS);
     assert_eq!(
         server.offer(now, lookup(1, now, true)),
         AdmissionDecision::Start
     );
-    let due = |id| WorkItem {
+    let read = |id| WorkItem {
         deadline: now + Duration::from_millis(570),
         ..lookup(id, now, true)
     };
     for id in 2..12 {
-        assert_eq!(server.offer(now, due(id)), AdmissionDecision::Queued);
+        assert_eq!(server.offer(now, read(id)), AdmissionDecision::Queued);
     }
-    let offer = server.offer(now, due(12));
+    let offer = server.offer(now, read(12));
     let AdmissionDecision::Refused(refusal) = offer else {
         panic!("{offer:?}");
     };
     assert_eq!(refusal.reason, Reason::Deadline);
 }
 
-/// The last read of a lookup comes to a full server with little time left, and goes before all that wait,
-/// because they are due later. Judged by how many wait, it would be refused, and seven reads that were
-/// done would be lost.
+/// The last read of a lookup arrives at a full server with little time left, and goes before all
+/// queued reads because their deadlines are later. If it were judged by the length of the whole
+/// queue, it would be refused, and the seven reads already made would be wasted.
 #[test]
-fn a_read_that_goes_first_is_not_taken_for_late() {
+fn a_read_with_the_earliest_deadline_is_not_considered_late() {
     let mut server = ServerAdmission::new(Switches::ALL, 1, 1, MAX_WAIT);
-    let took = Duration::from_millis(WORK);
+    let took = Duration::from_millis(RUN_MS);
     assert_eq!(
         server.offer(at(0), lookup(0, at(0), true)),
         AdmissionDecision::Start
     );
     server.on_finished(
-        at(WORK),
+        at(RUN_MS),
         Class::Lookup,
         WorkOutcome::Completed {
             elapsed: took,
             own_time: took,
         },
     );
-    let now = at(WORK);
+    let now = at(RUN_MS);
     assert_eq!(
         server.offer(now, lookup(1, now, true)),
         AdmissionDecision::Start
@@ -148,12 +148,12 @@
             AdmissionDecision::Queued
         );
     }
-    let hurried = WorkItem {
+    let urgent = WorkItem {
         deadline: now + Duration::from_millis(200),
         ..lookup(12, now, true)
     };
-    assert_eq!(server.offer(now, hurried), AdmissionDecision::Queued);
-    let now = at(2 * WORK);
+    assert_eq!(server.offer(now, urgent), AdmissionDecision::Queued);
+    let now = at(2 * RUN_MS);
     server.on_finished(
         now,
         Class::Lookup,
@@ -164,12 +164,12 @@
     );
     let next = server
         .next_decision(now)
-        .map(|(ticket, offer)| (ticket.id, offer));
+        .map(|(item, offer)| (item.id, offer));
     assert_eq!(next, Some((12, AdmissionDecision::Start)));
 }
 
-/// Lookups that were admitted elsewhere wait, and an order comes. It is served before them all; a
-/// shop that orders is not to wait for shops that browse.
+/// An order arrives while lookups admitted at other nodes are queued. It must be served before
+/// them: orders do not wait for lookups.
 #[test]
 fn an_order_goes_before_admitted_lookups() {
     let mut server = ServerAdmission::new(Switches::ALL, 1, 1, MAX_WAIT);
@@ -186,9 +186,9 @@
         ..lookup(2, at(2), false)
     };
     assert_eq!(server.offer(at(2), order), AdmissionDecision::Queued);
-    let took = Duration::from_millis(WORK);
+    let took = Duration::from_millis(RUN_MS);
     server.on_finished(
-        at(WORK),
+        at(RUN_MS),
         Class::Lookup,
         WorkOutcome::Completed {
             elapsed: took,
@@ -196,20 +196,20 @@
         },
     );
     let next = server
-        .next_decision(at(WORK))
-        .map(|(ticket, offer)| (ticket.id, offer));
+        .next_decision(at(RUN_MS))
+        .map(|(item, offer)| (item.id, offer));
     assert_eq!(next, Some((2, AdmissionDecision::Start)));
 }
 
-/// A call of an order arrives with hardly any time left, because the order was slow elsewhere. It is
-/// refused; if the lookups that wait were refused with it, and the server kept free for a while, one
-/// slow order would cost a score of lookups that are half done.
+/// A call of an order arrives with hardly any time left, because the order was delayed at another
+/// node, and is refused. If the queued lookups were refused with it and further ones held back for
+/// a while, one slow order would waste about twenty partly done lookups.
 #[test]
-fn an_order_that_was_slow_elsewhere_takes_no_lookups_with_it() {
+fn an_order_delayed_elsewhere_does_not_evict_lookups() {
     let mut server = ServerAdmission::new(Switches::ALL, 1, 1, MAX_WAIT);
-    let took = Duration::from_millis(WORK);
-    for begin in [0, WORK] {
-        let now = at(begin);
+    let took = Duration::from_millis(RUN_MS);
+    for start in [0, RUN_MS] {
+        let now = at(start);
         assert_eq!(
             server.offer(now, lookup(0, now, true)),
             AdmissionDecision::Start
@@ -223,7 +223,7 @@
             },
         );
     }
-    let now = at(2 * WORK);
+    let now = at(2 * RUN_MS);
     assert_eq!(
         server.offer(now, lookup(1, now, true)),
         AdmissionDecision::Start
@@ -253,29 +253,29 @@
     );
     let next = server
         .next_decision(now)
-        .map(|(ticket, offer)| (ticket.id, offer));
+        .map(|(item, offer)| (item.id, offer));
     assert_eq!(next, Some((2, AdmissionDecision::Start)));
 }
 
-/// Two lookups read from a busy server. One has its last read to do and little time, the other has just
-/// begun. In the order of arrival the first is late and all that was done for it is lost, though the
-/// second could wait.
+/// Two lookups read from a busy server. One has its last read left and little time, the other has
+/// just begun. In order of arrival the first would be late and the work done for it wasted,
+/// although the second could wait.
 #[test]
-fn a_read_that_is_due_sooner_goes_first() {
+fn the_read_with_the_earlier_deadline_goes_first() {
     let mut server = ServerAdmission::new(Switches::ALL, 1, 1, MAX_WAIT);
     assert_eq!(
         server.offer(at(0), lookup(0, at(0), true)),
         AdmissionDecision::Start
     );
-    let begun = lookup(1, at(1), true);
-    assert_eq!(server.offer(at(1), begun), AdmissionDecision::Queued);
+    let just_begun = lookup(1, at(1), true);
+    assert_eq!(server.offer(at(1), just_begun), AdmissionDecision::Queued);
     let nearly_done = WorkItem {
         deadline: at(400),
         ..lookup(2, at(2), true)
     };
     assert_eq!(server.offer(at(2), nearly_done), AdmissionDecision::Queued);
-    let took = Duration::from_millis(WORK);
-    for (id, now) in [(2, at(WORK)), (1, at(2 * WORK))] {
+    let took = Duration::from_millis(RUN_MS);
+    for (id, now) in [(2, at(RUN_MS)), (1, at(2 * RUN_MS))] {
         server.on_finished(
             now,
             Class::Lookup,
@@ -286,7 +286,7 @@
         );
         let next = server
             .next_decision(now)
-            .map(|(ticket, offer)| (ticket.id, offer));
+            .map(|(item, offer)| (item.id, offer));
         assert_eq!(next, Some((id, AdmissionDecision::Start)));
     }
 }
--- a/crates/policy/tests/call_trees.rs
+++ b/crates/policy/tests/call_trees.rs
@@ -1,5 +1,5 @@
-//! Lookups that read eight times, one after another, from a server that is asked for more than it can
-//! do; their entries hear of its level only from the lookups that end.
+//! Lookups that make eight sequential reads from an overloaded server. Their entry nodes learn the
+//! admission level of the server only from lookups that end.
 
 use bilberry_policy::admission_value;
 use bilberry_policy::AdmissionDecision;
@@ -21,11 +21,11 @@
 const READ_MS: u64 = 55;
 const READS: u32 = 8;
 
-/// What a lookup does before its first read and between reads, in milliseconds.
-const BEFORE_MS: u64 = 300;
-const BETWEEN_MS: u64 = 10;
+/// Time before the first read of a lookup and between its reads, in milliseconds.
+const BEFORE_FIRST_READ_MS: u64 = 300;
+const BETWEEN_READS_MS: u64 = 10;
 
-/// A lookup that takes longer is given up.
+/// Time after which a lookup is abandoned.
 const TIMEOUT_MS: u64 = 1_500;
 
 const SECONDS: u64 = 30;
@@ -39,10 +39,11 @@
 struct Tree {
     entry: usize,
     began: u64,
-    dice: u16,
+    random_value: u16,
     passed_level: u16,
-    left: u32,
-    met: u16,
+    reads_left: u32,
+    /// The highest level reported to the lookup.
+    max_level: u16,
 }
 
 enum Event {
@@ -50,20 +51,20 @@
     Done(usize),
 }
 
-/// One server, its lookups and their entries.
-struct World {
+/// One server, its lookups and their entry nodes.
+struct Simulation {
     now: u64,
     server: ServerAdmission,
     entries: Vec<ReportedLevel>,
     trees: Vec<Tree>,
     events: BTreeMap<u64, Vec<Event>>,
-    /// Lookups that ended whole and in time.
-    whole: u32,
-    /// Lookups that were let in.
+    /// Lookups that completed in time.
+    completed: u32,
+    /// Lookups that were admitted.
     admitted: u32,
 }
 
-impl World {
+impl Simulation {
     fn new() -> Self {
         let switches = Switches {
             adaptive_limit: false,
@@ -79,7 +80,7 @@
                 .collect(),
             trees: Vec::new(),
             events: BTreeMap::new(),
-            whole: 0,
+            completed: 0,
             admitted: 0,
         }
     }
@@ -91,27 +92,27 @@
 
     fn arrive(&mut self, rng: &mut StdRng) {
         let entry = rng.random_range(0..ENTRIES);
-        let dice = rng.random();
+        let random_value = rng.random();
         let level = self.entries[entry].get(at(self.now));
-        if admission_value(Class::Lookup, dice) < level {
+        if admission_value(Class::Lookup, random_value) < level {
             return;
         }
         self.admitted += 1;
         self.trees.push(Tree {
             entry,
             began: self.now,
-            dice,
+            random_value,
             passed_level: level,
-            left: READS,
-            met: 0,
+            reads_left: READS,
+            max_level: 0,
         });
-        self.after(BEFORE_MS, Event::Read(self.trees.len() - 1));
+        self.after(BEFORE_FIRST_READ_MS, Event::Read(self.trees.len() - 1));
     }
 
-    fn ticket(&self, tree: usize) -> WorkItem {
+    fn work_item(&self, tree: usize) -> WorkItem {
         let Tree {
             began,
-            dice,
+            random_value,
             passed_level,
             ..
         } = self.trees[tree];
@@ -120,15 +121,15 @@
             class: Class::Lookup,
             priority: 0,
             passed_level,
-            random_value: dice,
+            random_value,
             deadline: at(began + TIMEOUT_MS),
             arrived: at(self.now),
             admitted: true,
         }
     }
 
-    fn settle(&mut self, tree: usize, offer: AdmissionDecision) {
-        match offer {
+    fn apply_decision(&mut self, tree: usize, decision: AdmissionDecision) {
+        match decision {
             AdmissionDecision::Start => self.after(READ_MS, Event::Done(tree)),
             AdmissionDecision::Queued => {}
             AdmissionDecision::Refused(_) => self.end(tree, false),
@@ -139,40 +140,43 @@
         let now = at(self.now);
         match event {
             Event::Read(tree) => {
-                let offer = self.server.offer(now, self.ticket(tree));
-                self.settle(tree, offer);
+                let decision = self.server.offer(now, self.work_item(tree));
+                self.apply_decision(tree, decision);
             }
             Event::Done(tree) => {
                 let took = Duration::from_millis(READ_MS);
-                let ended = WorkOutcome::Completed {
+                let outcome = WorkOutcome::Completed {
                     elapsed: took,
                     own_time: took,
                 };
-                self.server.on_finished(now, Class::Lookup, ended);
+                self.server.on_finished(now, Class::Lookup, outcome);
                 let level = self.server.level();
-                let at = &mut self.trees[tree];
-                at.met = at.met.max(level);
-                at.left -= 1;
-                if at.left == 0 {
+                let state = &mut self.trees[tree];
+                state.max_level = state.max_level.max(level);
+                state.reads_left -= 1;
+                if state.reads_left == 0 {
                     self.end(tree, true);
                 } else {
-                    self.after(BETWEEN_MS, Event::Read(tree));
+                    self.after(BETWEEN_READS_MS, Event::Read(tree));
                 }
             }
         }
     }
 
-    /// The entry hears of the level that the lookup has met.
-    fn end(&mut self, tree: usize, whole: bool) {
+    /// Ends a lookup, and reports the highest level that it met to its entry node.
+    fn end(&mut self, tree: usize, completed: bool) {
         let Tree {
-            entry, began, met, ..
+            entry,
+            began,
+            max_level,
+            ..
         } = self.trees[tree];
-        let met = met.max(self.server.level());
-        self.entries[entry].observe(at(self.now), met);
-        self.whole += u32::from(whole && self.now <= began + TIMEOUT_MS);
+        let level = max_level.max(self.server.level());
+        self.entries[entry].observe(at(self.now), level);
+        self.completed += u32::from(completed && self.now <= began + TIMEOUT_MS);
     }
 
-    /// Runs with so many times the demand that the server can do.
+    /// Runs with the demand given as a multiple of the capacity of the server.
     fn run(&mut self, seconds: u64, demand: f64, rng: &mut StdRng) {
         let per_ms = demand * capacity() / 1000.0;
         for _ in 0..seconds * 1000 {
@@ -180,8 +184,8 @@
             for event in self.events.remove(&self.now).unwrap_or_default() {
                 self.on_event(event);
             }
-            while let Some((ticket, offer)) = self.server.next_decision(at(self.now)) {
-                self.settle(ticket.id as usize, offer);
+            while let Some((item, decision)) = self.server.next_decision(at(self.now)) {
+                self.apply_decision(item.id as usize, decision);
             }
             if rng.random_bool(per_ms) {
                 self.arrive(rng);
@@ -190,40 +194,44 @@
     }
 }
 
-/// Lookups a second that the server can serve.
+/// Lookups per second that the server can serve.
 fn capacity() -> f64 {
     f64::from(SLOTS) * 1000.0 / (READ_MS * u64::from(READS)) as f64
 }
 
-/// Fans ask for more than the deep service can do. What is let in now reads for a second, and is heard
-/// of after that second. Raised while reads wait and lowered while none do, the level swings: for two
-/// seconds nearly everybody is turned away from servers that stand idle, then so many are let in that
-/// most are late.
+/// Demand exceeds the capacity of a service deep in the call tree. An admitted lookup reads for a
+/// second, and its entry node learns the level only afterwards. A level that rises while reads are
+/// queued and falls while none are oscillates: for two seconds nearly everything is shed while
+/// servers stand idle, then so much is admitted that most lookups are late.
 #[test]
-fn a_deep_service_is_kept_full_and_not_beyond() {
+fn a_deep_service_is_fully_used_but_not_overloaded() {
     for seed in 1..4 {
         let mut rng = StdRng::seed_from_u64(seed);
-        let mut world = World::new();
-        world.run(5, 1.6, &mut rng);
-        let (whole, admitted) = (world.whole, world.admitted);
-        world.run(SECONDS, 1.6, &mut rng);
-        let whole = f64::from(world.whole - whole);
-        let admitted = f64::from(world.admitted - admitted);
-        let served = whole / (capacity() * SECONDS as f64);
-        let kept = whole / admitted;
-        assert!(served > 0.8 && kept > 0.95, "{served} {kept}");
+        let mut simulation = Simulation::new();
+        simulation.run(5, 1.6, &mut rng);
+        let (completed, admitted) = (simulation.completed, simulation.admitted);
+        simulation.run(SECONDS, 1.6, &mut rng);
+        let completed = f64::from(simulation.completed - completed);
+        let admitted = f64::from(simulation.admitted - admitted);
+        let utilisation = completed / (capacity() * SECONDS as f64);
+        let in_time = completed / admitted;
+        assert!(
+            utilisation > 0.8 && in_time > 0.95,
+            "utilisation {utilisation}, in time {in_time}"
+        );
     }
 }
 
-/// The demand doubles for a while and falls again. Nobody is turned away two seconds later.
+/// Demand exceeds the capacity for a while and falls again. Two seconds later hardly any lookup may
+/// be shed.
 #[test]
-fn room_that_is_back_is_used() {
+fn free_capacity_is_used_again_after_a_surge() {
     let mut rng = StdRng::seed_from_u64(1);
-    let mut world = World::new();
-    world.run(5, 1.6, &mut rng);
-    world.run(2, 0.6, &mut rng);
-    let (before, asked) = (world.admitted, 0.6 * capacity() * 5.0);
-    world.run(5, 0.6, &mut rng);
-    let admitted = f64::from(world.admitted - before);
-    assert!(admitted > 0.9 * asked, "{admitted} of {asked}");
+    let mut simulation = Simulation::new();
+    simulation.run(5, 1.6, &mut rng);
+    simulation.run(2, 0.6, &mut rng);
+    let (before, demand) = (simulation.admitted, 0.6 * capacity() * 5.0);
+    simulation.run(5, 0.6, &mut rng);
+    let admitted = f64::from(simulation.admitted - before);
+    assert!(admitted > 0.9 * demand, "{admitted} of {demand}");
 }
--- a/crates/policy/tests/cluster_sim/mod.rs
+++ b/crates/policy/tests/cluster_sim/mod.rs
@@ -1,7 +1,8 @@
-//! ClusterSim nodes that choose among the instances of one service, in steps of a millisecond: calls and
-//! answers take their way, instances run a bounded number of calls and queue the rest.
+//! Simulation of nodes that choose among the instances of one service, in steps of a millisecond.
+//! Calls and answers are delayed by the network; instances run a limited number of calls and queue
+//! the rest.
 
-#![allow(dead_code, reason = "each user takes a part")]
+#![allow(dead_code, reason = "each test uses a part")]
 
 use bilberry_policy::Eligibility;
 use bilberry_policy::InstanceSelector;
@@ -21,7 +22,7 @@
 use stdx::Time;
 
 const LIMIT: usize = 50;
-const TAKES_MS: u64 = 20;
+const RUN_MS: u64 = 20;
 const DOMAINS: usize = 6;
 const REGIONS: usize = 2;
 
@@ -43,23 +44,23 @@
 pub struct Server {
     pub served: u64,
     pub longest_queue: usize,
-    /// The share of its work that it refuses, at once.
-    pub refuses: f64,
-    /// What the node beside it learns of how its work ends.
-    door: bilberry_policy::ServerAdmission,
+    /// The share of its work that it refuses immediately.
+    pub refused_share: f64,
+    /// The admission state of the node beside it, which observes how work ends.
+    admission: bilberry_policy::ServerAdmission,
     running: usize,
     queue: VecDeque<usize>,
     started: VecDeque<usize>,
 }
 
-/// Nodes and servers in rotation over the failure domains; regions hold every second one.
+/// Nodes and servers are assigned to failure domains in rotation, and failure domains to regions.
 pub struct ClusterSim {
     pub now: u64,
     pub servers: Vec<Server>,
     /// Calls that went to another region.
-    pub far: u64,
+    pub cross_region: u64,
     /// Calls that went to another failure domain of the same region.
-    pub next: u64,
+    pub cross_domain: u64,
     pub calls: u64,
     /// Calls that a server refused.
     pub refused: u64,
@@ -74,7 +75,7 @@
     number % DOMAINS % REGIONS
 }
 
-fn place(a: usize, b: usize) -> Proximity {
+fn proximity(a: usize, b: usize) -> Proximity {
     if a % DOMAINS == b % DOMAINS {
         Proximity::SameDomain
     } else if region(a) == region(b) {
@@ -90,11 +91,11 @@
     }
 
     pub fn with_switches(nodes: usize, servers: usize, switches: Switches) -> Self {
-        let mut many = Self {
+        let mut sim = Self {
             now: 0,
             servers: Vec::new(),
-            far: 0,
-            next: 0,
+            cross_region: 0,
+            cross_domain: 0,
             calls: 0,
             refused: 0,
             switches,
@@ -104,9 +105,9 @@
             rng: StdRng::seed_from_u64(1),
         };
         for _ in 0..servers {
-            many.start_server();
+            sim.start_server();
         }
-        many
+        sim
     }
 
     pub fn start_server(&mut self) {
@@ -114,8 +115,8 @@
         self.servers.push(Server {
             served: 0,
             longest_queue: 0,
-            refuses: 0.0,
-            door: bilberry_policy::ServerAdmission::new(
+            refused_share: 0.0,
+            admission: bilberry_policy::ServerAdmission::new(
                 self.switches,
                 1,
                 LIMIT as u16,
@@ -127,31 +128,37 @@
         });
         let now = self.time();
         for (number, node) in self.nodes.iter_mut().enumerate() {
-            let place = place(number, server);
+            let proximity = proximity(number, server);
             let id = Incarnation(server as u64);
-            node.set_instance(now, id, &self.service, place, Eligibility::Ready);
+            node.set_instance(now, id, &self.service, proximity, Eligibility::Ready);
         }
     }
 
-    /// Forgets what was counted, for the part of a run that is looked at.
-    pub fn reset(&mut self) {
-        (self.far, self.next, self.calls, self.refused) = (0, 0, 0, 0);
+    /// Resets the counters before the measured part of a simulation.
+    pub fn reset_counters(&mut self) {
+        (
+            self.cross_region,
+            self.cross_domain,
+            self.calls,
+            self.refused,
+        ) = (0, 0, 0, 0);
         for server in &mut self.servers {
             (server.served, server.longest_queue) = (0, 0);
         }
     }
 
-    /// Runs with the demand given as a part of all servers' capacity, of which region 0 has `skew`.
+    /// Runs with the demand given as a share of the capacity of all servers. Region 0 has the share
+    /// `skew` of the demand.
     pub fn run(&mut self, millis: u64, demand: f64, skew: f64) {
-        let capacity = (self.servers.len() * LIMIT) as f64 / TAKES_MS as f64;
-        let of_region = |number| {
+        let capacity = (self.servers.len() * LIMIT) as f64 / RUN_MS as f64;
+        let region_share = |number| {
             if region(number) == 0 {
                 skew
             } else {
                 1.0 - skew
             }
         };
-        let weights: Vec<f64> = (0..self.nodes.len()).map(of_region).collect();
+        let weights: Vec<f64> = (0..self.nodes.len()).map(region_share).collect();
         let sum: f64 = weights.iter().sum();
         for _ in 0..millis {
             self.now += 1;
@@ -176,10 +183,10 @@
         let server = chosen.expect("there are servers").0 as usize;
         self.nodes[node].on_sent(Incarnation(server as u64));
         self.calls += 1;
-        match place(node, server) {
+        match proximity(node, server) {
             Proximity::SameDomain => {}
-            Proximity::SameRegion => self.next += 1,
-            Proximity::OtherRegion => self.far += 1,
+            Proximity::SameRegion => self.cross_domain += 1,
+            Proximity::OtherRegion => self.cross_region += 1,
         }
         self.after(latency(node, server), Event::Arrive { server, node });
     }
@@ -187,22 +194,22 @@
     fn on_event(&mut self, event: Event) {
         match event {
             Event::Arrive { server, node } => {
-                let refuses = self.servers[server].refuses;
-                if refuses > 0.0 && self.rng.random_bool(refuses) {
+                let refused_share = self.servers[server].refused_share;
+                if refused_share > 0.0 && self.rng.random_bool(refused_share) {
                     self.refused += 1;
                     return self.answer(server, node, WorkOutcome::Refused);
                 }
-                let at = &mut self.servers[server];
-                at.queue.push_back(node);
-                at.longest_queue = at.longest_queue.max(at.queue.len());
+                let state = &mut self.servers[server];
+                state.queue.push_back(node);
+                state.longest_queue = state.longest_queue.max(state.queue.len());
                 self.start(server);
             }
             Event::Finish { server } => {
-                let at = &mut self.servers[server];
-                at.running -= 1;
-                at.served += 1;
-                let node = at.started.pop_front().expect("it was started");
-                let took = Duration::from_millis(TAKES_MS);
+                let state = &mut self.servers[server];
+                state.running -= 1;
+                state.served += 1;
+                let node = state.started.pop_front().expect("a call was started");
+                let took = Duration::from_millis(RUN_MS);
                 self.answer(
                     server,
                     node,
@@ -221,14 +228,14 @@
         }
     }
 
-    fn answer(&mut self, server: usize, node: usize, ended: WorkOutcome) {
+    fn answer(&mut self, server: usize, node: usize, outcome: WorkOutcome) {
         let now = self.time();
-        let at = &mut self.servers[server];
-        at.door.on_finished(now, Class::Lookup, ended);
-        let load = (at.running + at.queue.len()) * 1000 / LIMIT;
+        let state = &mut self.servers[server];
+        state.admission.on_finished(now, Class::Lookup, outcome);
+        let load = (state.running + state.queue.len()) * 1000 / LIMIT;
         let load = LoadReport {
             utilisation: load.min(usize::from(u16::MAX)) as u16,
-            penalty: at.door.report().penalty,
+            penalty: state.admission.report().penalty,
             limit: LIMIT as u16,
             ..LoadReport::default()
         };
@@ -242,7 +249,7 @@
             };
             self.servers[server].running += 1;
             self.servers[server].started.push_back(node);
-            self.after(TAKES_MS, Event::Finish { server });
+            self.after(RUN_MS, Event::Finish { server });
         }
     }
 
@@ -255,23 +262,23 @@
         Time::ZERO + Duration::from_millis(self.now)
     }
 
-    /// The busiest server's part of the calls, as a multiple of an equal share.
-    pub fn most_over_share(&self) -> f64 {
-        let all: u64 = self.servers.iter().map(|server| server.served).sum();
-        let most = self.servers.iter().map(|server| server.served).max();
-        most.unwrap_or(0) as f64 * self.servers.len() as f64 / all as f64
+    /// The calls served by the busiest server, as a multiple of an equal share.
+    pub fn max_share_ratio(&self) -> f64 {
+        let total: u64 = self.servers.iter().map(|server| server.served).sum();
+        let max = self.servers.iter().map(|server| server.served).max();
+        max.unwrap_or(0) as f64 * self.servers.len() as f64 / total as f64
     }
 
     pub fn refused_share(&self) -> f64 {
         self.refused as f64 / self.calls as f64
     }
 
-    pub fn far_share(&self) -> f64 {
-        self.far as f64 / self.calls as f64
+    pub fn cross_region_share(&self) -> f64 {
+        self.cross_region as f64 / self.calls as f64
     }
 
-    pub fn next_share(&self) -> f64 {
-        self.next as f64 / self.calls as f64
+    pub fn cross_domain_share(&self) -> f64 {
+        self.cross_domain as f64 / self.calls as f64
     }
 
     pub fn longest_queue(&self) -> usize {
@@ -281,7 +288,7 @@
 }
 
 fn latency(node: usize, server: usize) -> u64 {
-    match place(node, server) {
+    match proximity(node, server) {
         Proximity::SameDomain | Proximity::SameRegion => 1,
         Proximity::OtherRegion => 20,
     }
--- a/crates/policy/tests/fleet_retries.rs
+++ b/crates/policy/tests/fleet_retries.rs
@@ -1,4 +1,4 @@
-//! Retries of fleets of all sizes at a service that fails.
+//! Retries of fleets of different sizes to a failing service.
 
 use bilberry_policy::FleetRetryLimits;
 use bilberry_policy::RetryBudget;
@@ -10,61 +10,61 @@
 use std::time::Duration;
 use stdx::Time;
 
-/// The span over which the fleet's retries are counted.
+/// The window over which the fleet's retries are limited.
 const WINDOW: Duration = Duration::from_secs(10);
 
-/// How long each fleet runs, and the steps in which it does.
+/// Simulated time and step size.
 const RUN: Duration = Duration::from_secs(60);
 const STEP: Duration = Duration::from_millis(100);
 const STEPS_IN_WINDOW: usize = 100;
 
-/// What a fleet may do beyond a fifth of its requests in ten seconds: the same for all sizes, or one
-/// more for each node.
-fn slacks(nodes: usize) -> [f64; 2] {
+/// Retries allowed per window beyond a fifth of the requests: either the same for all fleet sizes,
+/// or growing by one per node.
+fn allowed_excesses(nodes: usize) -> [f64; 2] {
     [49.0, 25.0 + nodes as f64]
 }
 
-/// What happens to a fleet.
+/// How the fleet changes during the simulation.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Course {
+enum Scenario {
     Steady,
-    /// The first half is there from the start, the others join one after the other.
+    /// Half of the nodes are up at the start, the others join one after the other.
     Grows,
-    /// Half of the nodes are lost in the middle.
+    /// Half of the nodes are lost halfway through.
     Shrinks,
-    /// All start together, and each knows only itself for three seconds.
+    /// All nodes start together, and each knows only itself for three seconds.
     StartsTogether,
-    /// From the middle on each half holds the other for dead.
-    IsCutInTwo,
-    /// All are killed in the middle, and are back at once.
-    StartsAnew,
+    /// Halfway through, the fleet is partitioned and each half considers the other dead.
+    Partitioned,
+    /// Halfway through, all nodes are killed and restarted immediately.
+    Restarted,
 }
 
-const COURSES: [Course; 6] = [
-    Course::Steady,
-    Course::Grows,
-    Course::Shrinks,
-    Course::StartsTogether,
-    Course::IsCutInTwo,
-    Course::StartsAnew,
+const SCENARIOS: [Scenario; 6] = [
+    Scenario::Steady,
+    Scenario::Grows,
+    Scenario::Shrinks,
+    Scenario::StartsTogether,
+    Scenario::Partitioned,
+    Scenario::Restarted,
 ];
 
-impl Course {
-    /// Whether a node is up, by the part of the run that is over.
-    fn is_up(self, node: usize, nodes: usize, over: f64) -> bool {
-        let place = node as f64 / nodes as f64;
+impl Scenario {
+    /// Whether a node is up, given the elapsed share of the simulation.
+    fn is_up(self, node: usize, nodes: usize, progress: f64) -> bool {
+        let position = node as f64 / nodes as f64;
         match self {
-            Course::Grows => place <= 0.5 + over,
-            Course::Shrinks => place <= 0.5 || over <= 0.5,
+            Scenario::Grows => position <= 0.5 + progress,
+            Scenario::Shrinks => position <= 0.5 || progress <= 0.5,
             _ => true,
         }
     }
 
-    /// How many nodes each one knows of, those that it holds for dead included.
-    fn known(self, nodes: usize, up: usize, since_start: Duration) -> usize {
+    /// Number of nodes that each node knows, including those that it considers dead.
+    fn known_nodes(self, nodes: usize, up: usize, since_start: Duration) -> usize {
         match self {
-            Course::StartsTogether if since_start < Duration::from_secs(3) => 1,
-            Course::Grows => up,
+            Scenario::StartsTogether if since_start < Duration::from_secs(3) => 1,
+            Scenario::Grows => up,
             _ => nodes,
         }
     }
@@ -85,35 +85,36 @@
             .sum()
     }
 
-    /// The most retries in any window beyond a fifth of the requests in it, in the one before it or
-    /// in the one half a window before it, whichever has most.
-    fn most_beyond(&self) -> f64 {
+    /// Maximum over all windows of the retries beyond a fifth of the requests. The requests are
+    /// those of the same window, the previous one or the one half a window earlier, whichever has
+    /// most.
+    fn max_excess(&self) -> f64 {
         let windows = self.retries.windows(STEPS_IN_WINDOW).enumerate();
-        let beyond = windows.map(|(at, retries)| {
-            let at = at as isize;
+        let excesses = windows.map(|(start, retries)| {
+            let start = start as isize;
             let window = STEPS_IN_WINDOW as isize;
-            let starts = [at, at - window, at - window / 2];
+            let starts = [start, start - window, start - window / 2];
             let requests = starts.map(|start| self.requests_from(start));
-            let most = requests.into_iter().fold(0.0, f64::max);
-            retries.iter().sum::<f64>() - most / 5.0
+            let max_requests = requests.into_iter().fold(0.0, f64::max);
+            retries.iter().sum::<f64>() - max_requests / 5.0
         });
-        beyond.fold(0.0, f64::max)
+        excesses.fold(0.0, f64::max)
     }
 }
 
-/// A fleet whose every request fails and is tried again as often as is allowed.
-fn play(seed: u64, nodes: usize, per_second: f64, slack: f64, course: Course) -> Counts {
+/// Simulates a fleet whose requests all fail after a while and are retried as often as allowed.
+fn simulate(seed: u64, nodes: usize, per_second: f64, allowed: f64, scenario: Scenario) -> Counts {
     let mut rng = StdRng::seed_from_u64(seed);
     let service: Arc<str> = "press".into();
-    let bounds = FleetRetryLimits {
+    let limits = FleetRetryLimits {
         ratio: 0.16,
-        spare: 0.9 * slack,
+        spare: 0.9 * allowed,
         window: WINDOW,
     };
     let start = |rng: &mut StdRng| -> Vec<RetryBudget> {
         let nodes = 0..nodes;
         nodes
-            .map(|_| RetryBudget::new(bounds, rng.random()))
+            .map(|_| RetryBudget::new(limits, rng.random()))
             .collect()
     };
     let mut started = Time::ZERO;
@@ -122,26 +123,26 @@
     let steps = (RUN.as_secs_f64() / STEP.as_secs_f64()) as u32;
     for step in 0..steps {
         let at = Time::ZERO + STEP * step;
-        let over = f64::from(step) / f64::from(steps);
-        if course == Course::StartsAnew && step == steps / 2 {
+        let progress = f64::from(step) / f64::from(steps);
+        if scenario == Scenario::Restarted && step == steps / 2 {
             fleet = start(&mut rng);
             started = at;
         }
-        // Each process counts from its own start.
+        // Each process measures time from its own start.
         let now = Time::ZERO + at.since(started);
         let up: Vec<bool> = (0..nodes)
-            .map(|node| course.is_up(node, nodes, over))
+            .map(|node| scenario.is_up(node, nodes, progress))
             .collect();
-        let known = course.known(nodes, up.iter().filter(|up| **up).count(), STEP * step);
-        // All is well at first, with more and less load, and then nothing is.
-        let fails = over > 0.3;
-        let load = per_second * if over % 0.2 < 0.1 { 0.6 } else { 1.4 };
+        let known = scenario.known_nodes(nodes, up.iter().filter(|up| **up).count(), STEP * step);
+        // All requests succeed at first, then all fail; the load varies throughout.
+        let fails = progress > 0.3;
+        let load = per_second * if progress % 0.2 < 0.1 { 0.6 } else { 1.4 };
         let (mut requests, mut retries) = (0.0, 0.0);
         for node in 0..nodes {
             let chance = load / nodes as f64 * STEP.as_secs_f64();
-            let mut here = chance.floor();
-            here += f64::from(u8::from(rng.random_bool(chance.fract())));
-            for _ in 0..if up[node] { here as u32 } else { 0 } {
+            let mut sends = chance.floor();
+            sends += f64::from(u8::from(rng.random_bool(chance.fract())));
+            for _ in 0..if up[node] { sends as u32 } else { 0 } {
                 fleet[node].record_first_send(now, &service);
                 requests += 1.0;
                 while fails && fleet[node].try_withdraw(now, &service, Class::Order, known) {
@@ -155,20 +156,21 @@
     counts
 }
 
-/// A service fails for all nodes at once. What each node may try again without having earned it adds up
-/// over the fleet; where it is the same for each node, a fleet of hundreds asks a service that has
-/// trouble enough for hundreds of runs more, in the seconds in which it could recover.
+/// A service fails for all nodes at once. The retries that each node may make without first sends
+/// add up over the fleet. If their number per node does not depend on the fleet size, a fleet of
+/// hundreds of nodes sends hundreds of additional requests to the failing service while it tries to
+/// recover.
 #[test]
 fn retries_of_a_fleet_of_any_size_stay_within_its_bound() {
     for nodes in [3, 12, 24, 63, 195, 700] {
-        for (course, seed) in COURSES.into_iter().zip(1..) {
+        for (scenario, seed) in SCENARIOS.into_iter().zip(1..) {
             for per_second in [2.0, 60.0, 1000.0] {
-                for slack in slacks(nodes) {
-                    let beyond = play(seed, nodes, per_second, slack, course).most_beyond();
+                for allowed in allowed_excesses(nodes) {
+                    let excess = simulate(seed, nodes, per_second, allowed, scenario).max_excess();
                     assert!(
-                        beyond <= slack,
-                        "{nodes} nodes, {per_second} a second, {course:?}: {beyond} beyond a fifth, \
-                         {slack} are allowed"
+                        excess <= allowed,
+                        "{nodes} nodes, {per_second} a second, {scenario:?}: {excess} beyond a fifth, \
+                         {allowed} are allowed"
                     );
                 }
             }
@@ -176,32 +178,32 @@
     }
 }
 
-/// Nodes that are asked little each, of a fleet that is asked a lot, have a part of a retry each. Rounded
-/// down everywhere, the fleet would try nothing again.
+/// In a large fleet each node gets few requests, and its share is a fraction of a retry. Rounded
+/// down on every node, the fleet would not retry at all.
 #[test]
-fn a_large_fleet_spends_what_its_nodes_have_in_parts() {
+fn a_large_fleet_uses_the_fractional_retries_of_its_nodes() {
     let nodes = 195;
-    let [_, slack] = slacks(nodes);
-    let counts = play(7, nodes, 200.0, slack, Course::Steady);
+    let [_, excess] = allowed_excesses(nodes);
+    let counts = simulate(7, nodes, 200.0, excess, Scenario::Steady);
     let fails_from = counts.retries.len() * 3 / 10;
     let windows = (counts.retries.len() - fails_from) as f64 / STEPS_IN_WINDOW as f64;
     let requests: f64 = counts.requests[fails_from..].iter().sum();
     let retries: f64 = counts.retries[fails_from..].iter().sum();
-    let may = requests / 5.0 + slack * windows;
-    assert!(retries >= may / 2.0, "{retries} of {may}");
+    let allowed = requests / 5.0 + excess * windows;
+    assert!(retries >= allowed / 2.0, "{retries} of {allowed}");
 }
 
-/// A small service refuses everything, while another one is busy and well. Paid for by the calls of the
-/// busy one, each refusal would be followed by a retry, and a service that has trouble enough would be
-/// asked for twice as much.
+/// A small service refuses everything, while a busy one works normally. If the budget were shared,
+/// the calls to the busy service would allow a retry of every refusal, and the load of the failing
+/// service would double.
 #[test]
-fn calls_of_a_busy_service_do_not_pay_for_retries_at_a_small_one() {
-    let bounds = FleetRetryLimits {
+fn calls_to_a_busy_service_do_not_fund_retries_to_a_small_one() {
+    let limits = FleetRetryLimits {
         ratio: 0.16,
         spare: 0.0,
         window: WINDOW,
     };
-    let mut node = RetryBudget::new(bounds, 1);
+    let mut node = RetryBudget::new(limits, 1);
     let (busy, small): (Arc<str>, Arc<str>) = ("catalogue".into(), "press".into());
     let mut retries = 0;
     for second in 0..10 {
@@ -217,20 +219,20 @@
     assert!(retries <= 4, "{retries} retries of 20 calls");
 }
 
-/// A service loses three answers in ten, more than may be asked for again. A quarter of the calls are those
-/// of orders. Shared out in the order of asking, a fifth of their reads stay lost, and an order reads
-/// eight times.
+/// A service loses three answers in ten, more than may be retried. A quarter of the calls belong to
+/// orders. If retries are granted in order of request, a fifth of the lost reads of orders are not
+/// retried, and an order makes eight reads.
 #[test]
-fn orders_have_retries_before_lookups() {
-    let bounds = FleetRetryLimits {
+fn retries_are_reserved_for_orders() {
+    let limits = FleetRetryLimits {
         ratio: 0.16,
         spare: 0.0,
         window: WINDOW,
     };
     let mut rng = StdRng::seed_from_u64(3);
-    let mut node = RetryBudget::new(bounds, 1);
+    let mut node = RetryBudget::new(limits, 1);
     let service: Arc<str> = "royalty".into();
-    let (mut lost, mut again) = ([0.0; 2], [0.0; 2]);
+    let (mut lost, mut retried) = ([0.0; 2], [0.0; 2]);
     for ms in 0..30_000 {
         if ms % 25 != 0 {
             continue;
@@ -243,11 +245,11 @@
             false => Class::Lookup,
         };
         if ms > 10_000 && rng.random_bool(0.3) {
-            let kind = usize::from(is_order);
-            lost[kind] += 1.0;
-            again[kind] += f64::from(u8::from(node.try_withdraw(now, &service, class, 24)));
+            let index = usize::from(is_order);
+            lost[index] += 1.0;
+            retried[index] += f64::from(u8::from(node.try_withdraw(now, &service, class, 24)));
         }
     }
-    assert!(again[1] >= 0.95 * lost[1], "{again:?} of {lost:?}");
-    assert!(again[0] >= 0.25 * lost[0], "{again:?} of {lost:?}");
+    assert!(retried[1] >= 0.95 * lost[1], "{retried:?} of {lost:?}");
+    assert!(retried[0] >= 0.25 * lost[0], "{retried:?} of {lost:?}");
 }
--- a/crates/policy/tests/instance_selector.rs
+++ b/crates/policy/tests/instance_selector.rs
@@ -1,4 +1,4 @@
-//! Whom calls go to.
+//! Selection of instances for calls.
 
 mod cluster_sim;
 
@@ -14,12 +14,13 @@
 use std::time::Duration;
 use stdx::Time;
 
-/// A selector with these instances: distance, standing, reported load if there is one.
+/// A selector with these instances, given by proximity, eligibility and reported load if there is
+/// one.
 fn selector(peers: &[(Proximity, Eligibility, Option<u16>)]) -> InstanceSelector {
     let mut selector = InstanceSelector::new();
-    for (n, (place, standing, load)) in (0..).zip(peers) {
+    for (n, (proximity, eligibility, load)) in (0..).zip(peers) {
         let (peer, service) = (Incarnation(n), "press".into());
-        selector.set_instance(Time::ZERO, peer, &service, *place, *standing);
+        selector.set_instance(Time::ZERO, peer, &service, *proximity, *eligibility);
         if let Some(utilisation) = *load {
             let report = LoadReport {
                 utilisation,
@@ -32,8 +33,9 @@
     selector
 }
 
-/// How many of 1,000 calls at `millis` go to each of four instances; none of them is noted as sent.
-fn spread(selector: &mut InstanceSelector, millis: u64, avoid: &[Incarnation]) -> [u32; 4] {
+/// How many of 1,000 calls at `millis` go to each of four instances. The calls are not recorded as
+/// sent.
+fn distribution(selector: &mut InstanceSelector, millis: u64, avoid: &[Incarnation]) -> [u32; 4] {
     let mut rng = StdRng::seed_from_u64(1);
     let mut counts = [0; 4];
     let now = Time::ZERO + Duration::from_millis(millis);
@@ -50,7 +52,7 @@
     avoid: &[Incarnation],
     expected: [u32; 4],
 ) {
-    assert_eq!(spread(&mut selector(peers), 0, avoid), expected);
+    assert_eq!(distribution(&mut selector(peers), 0, avoid), expected);
 }
 
 use Eligibility::Excluded;
@@ -61,7 +63,7 @@
 use Proximity::SameRegion;
 
 #[test]
-fn near_instances_go_first_while_they_have_room() {
+fn near_instances_are_preferred_while_they_have_capacity() {
     let peers = |near, next| {
         [
             (OtherRegion, Ready, Some(0)),
@@ -70,7 +72,7 @@
         ]
     };
     check(&peers(0, 0), &[], [0, 0, 1000, 0]);
-    // It still starts work at once, so nobody is served sooner by the one that is idle.
+    // It still starts work immediately, so the idle instance would not answer any sooner.
     check(&peers(700, 0), &[], [0, 0, 1000, 0]);
     check(&peers(900, 0), &[], [0, 1000, 0, 0]);
     check(&peers(1500, 1400), &[], [1000, 0, 0, 0]);
@@ -78,7 +80,7 @@
 }
 
 #[test]
-fn a_suspect_gets_calls_only_if_nobody_else_may() {
+fn a_last_resort_instance_gets_calls_only_if_no_other_is_usable() {
     check(
         &[
             (SameDomain, LastResort, Some(0)),
@@ -99,160 +101,167 @@
 }
 
 #[test]
-fn what_was_sent_since_the_report_counts() {
-    // Reports lag. A node that trusted the last one would send all its calls to the instance that
-    // was idle a moment ago.
+fn calls_sent_since_the_report_count_as_load() {
+    // Reports are delayed. A node that used only the last report would send all its calls to the
+    // instance that was idle when it reported.
     let mut selector = selector(&[(SameDomain, Ready, Some(0)), (SameDomain, Ready, Some(500))]);
     for _ in 0..6 {
         selector.on_sent(Incarnation(0));
     }
-    assert_eq!(spread(&mut selector, 0, &[]), [0, 1000, 0, 0]);
+    assert_eq!(distribution(&mut selector, 0, &[]), [0, 1000, 0, 0]);
 }
 
 #[test]
-fn an_old_report_counts_less() {
-    // The busy instance has not been used since it said so, and says nothing while it is not used.
+fn an_old_report_has_less_weight() {
+    // The busy instance has not been used since its report, and sends no report while it is not
+    // used.
     let peers = [
         (SameDomain, Ready, Some(2000)),
         (SameRegion, Ready, Some(700)),
     ];
     let mut selector = selector(&peers);
-    assert_eq!(spread(&mut selector, 0, &[]), [0, 1000, 0, 0]);
-    assert_eq!(spread(&mut selector, 5000, &[]), [1000, 0, 0, 0]);
+    assert_eq!(distribution(&mut selector, 0, &[]), [0, 1000, 0, 0]);
+    assert_eq!(distribution(&mut selector, 5000, &[]), [1000, 0, 0, 0]);
 }
 
 #[test]
-fn an_instance_that_says_it_leaves_gets_nothing_more() {
+fn a_draining_instance_gets_no_further_calls() {
     let mut selector = selector(&[(SameDomain, Ready, Some(0)), (OtherRegion, Ready, None)]);
     let report = LoadReport {
         draining: true,
         ..LoadReport::default()
     };
     selector.on_report(Time::ZERO, Incarnation(0), report);
-    assert_eq!(spread(&mut selector, 0, &[]), [0, 1000, 0, 0]);
+    assert_eq!(distribution(&mut selector, 0, &[]), [0, 1000, 0, 0]);
 }
 
 #[test]
-fn a_failed_connection_is_tried_again_by_single_calls() {
-    // A connection to an instance fails. If every call went on trying it, each would lose a
-    // connection's timeout; if all came back at once, they would knock it over again.
+fn a_failed_connection_is_retried_by_single_calls() {
+    // If every call kept trying an instance with a failed connection, each would lose a connection
+    // timeout; if all calls came back at once, they would overload the instance again.
     let mut rng = StdRng::seed_from_u64(1);
     let peers = [(SameDomain, Ready, Some(0)), (OtherRegion, Ready, Some(0))];
     let mut selector = selector(&peers);
     selector.on_connection_failed(Time::ZERO, Incarnation(0), &mut rng);
-    assert_eq!(spread(&mut selector, 0, &[]), [0, 1000, 0, 0]);
-    assert_eq!(spread(&mut selector, 1000, &[]), [1, 999, 0, 0]);
+    assert_eq!(distribution(&mut selector, 0, &[]), [0, 1000, 0, 0]);
+    assert_eq!(distribution(&mut selector, 1000, &[]), [1, 999, 0, 0]);
     selector.on_answered(Incarnation(0));
-    assert_eq!(spread(&mut selector, 1001, &[]), [1000, 0, 0, 0]);
+    assert_eq!(distribution(&mut selector, 1001, &[]), [1000, 0, 0, 0]);
 }
 
 #[test]
-fn no_instance_gets_more_than_its_share_by_more_than_a_tenth() {
-    // Every node hears late and something else about the same instances. If they all took the idle
-    // one, it would be overloaded while the others stand idle, in turn.
+fn no_instance_exceeds_its_share_by_more_than_a_tenth() {
+    // Every node receives delayed and different reports about the same instances. If all nodes
+    // chose the instance that looks idle, the instances would be overloaded in turn while the
+    // others idle.
     for servers in [6, 12, 35] {
-        let mut many = ClusterSim::new(36, servers);
-        many.run(500, 0.9, 0.5);
-        many.reset();
-        many.run(1_000, 0.9, 0.5);
-        let most = many.most_over_share();
+        let mut sim = ClusterSim::new(36, servers);
+        sim.run(500, 0.9, 0.5);
+        sim.reset_counters();
+        sim.run(1_000, 0.9, 0.5);
+        let most = sim.max_share_ratio();
         assert!(most < 1.1, "{servers} servers: {most}");
     }
 }
 
 #[test]
-fn regions_are_crossed_for_what_does_not_fit_and_little_else() {
-    // One region has 70% of the demand and half of the servers. Bytes between regions are billed,
-    // so calls stay while there is room; those that cannot fit must cross.
+fn regions_are_crossed_only_by_calls_that_do_not_fit() {
+    // One region has 70% of the demand and half of the servers. Traffic between regions is billed,
+    // so calls stay in their region while it has capacity; only the excess must cross.
     let far = |demand| {
-        let mut many = ClusterSim::new(36, 6);
-        many.run(1_000, demand, 0.7);
-        many.reset();
-        many.run(2_000, demand, 0.7);
-        many.far_share()
+        let mut sim = ClusterSim::new(36, 6);
+        sim.run(1_000, demand, 0.7);
+        sim.reset_counters();
+        sim.run(2_000, demand, 0.7);
+        sim.cross_region_share()
     };
     assert!(far(0.3) < 0.01);
-    // At 0.95 of the capacity region 0 asks for 1.33 times its own; 0.174 of all do not fit.
+    // At 0.95 of the capacity, the demand of region 0 is 1.33 times its own capacity; 0.174 of all
+    // calls do not fit.
     let crossed = far(0.95);
     assert!((0.15..0.20).contains(&crossed), "{crossed}");
 }
 
-/// Bytes between failure domains are billed, and most of a day's calls are small reads. Sent to
-/// whichever server is a call or two less busy, a quarter of them leave their domain while every
-/// server has room, and the operator pays for answers that come no sooner.
+/// Traffic between failure domains is billed, and most calls are small reads. If calls go to any
+/// server that is one or two calls less loaded, a quarter of them leave their domain although every
+/// server has capacity, and the answers arrive no sooner.
 #[test]
-fn domains_are_crossed_only_when_there_is_no_room() {
+fn domains_are_crossed_only_without_capacity() {
     let crossed = |demand| {
-        let mut many = ClusterSim::new(36, 6);
-        many.run(1_000, demand, 0.5);
-        many.reset();
-        many.run(2_000, demand, 0.5);
-        many.next_share() + many.far_share()
+        let mut sim = ClusterSim::new(36, 6);
+        sim.run(1_000, demand, 0.5);
+        sim.reset_counters();
+        sim.run(2_000, demand, 0.5);
+        sim.cross_domain_share() + sim.cross_region_share()
     };
-    let calm = crossed(0.6);
-    assert!(calm < 0.01, "{calm}");
+    let share = crossed(0.6);
+    assert!(share < 0.01, "{share}");
 }
 
 #[test]
-fn a_new_instance_gets_its_share_bit_by_bit() {
-    // An instance starts idle and cold. All nodes see an idle one, and without a slow start they
-    // would give it everything at once.
-    let mut many = ClusterSim::new(36, 6);
-    many.run(11_000, 0.7, 0.5);
-    many.start_server();
-    many.reset();
-    let part = |many: &ClusterSim| {
-        let all: u64 = many.servers.iter().map(|server| server.served).sum();
-        many.servers[6].served as f64 * 7.0 / all as f64
+fn a_new_instance_gets_its_share_gradually() {
+    // An instance starts idle and cold. All nodes see it as idle, and without slow start they would
+    // send it all calls at once.
+    let mut sim = ClusterSim::new(36, 6);
+    sim.run(11_000, 0.7, 0.5);
+    sim.start_server();
+    sim.reset_counters();
+    let share = |sim: &ClusterSim| {
+        let total: u64 = sim.servers.iter().map(|server| server.served).sum();
+        sim.servers[6].served as f64 * 7.0 / total as f64
     };
-    many.run(1_000, 0.7, 0.5);
-    let first = part(&many);
-    many.run(10_000, 0.7, 0.5);
-    many.reset();
-    many.run(1_000, 0.7, 0.5);
-    let later = part(&many);
+    sim.run(1_000, 0.7, 0.5);
+    let first = share(&sim);
+    sim.run(10_000, 0.7, 0.5);
+    sim.reset_counters();
+    sim.run(1_000, 0.7, 0.5);
+    let later = share(&sim);
     assert!(first < 0.4 && later > 0.6, "{first} {later}");
 }
 
-/// What part of all calls is refused, from two seconds on, when every third of 12 servers refuses half
-/// of its work at once; and what part goes to other regions.
-fn with_grey_servers(switches: Switches) -> (f64, f64) {
-    let mut many = ClusterSim::with_switches(24, 12, switches);
-    many.run(1000, 0.5, 0.5);
-    for server in many.servers.iter_mut().step_by(3) {
-        server.refuses = 0.5;
+/// Every third of 12 servers starts to refuse half of its work. Returns the share of calls that are
+/// refused and the share that go to another region, measured from one second later on.
+fn with_partial_failures(switches: Switches) -> (f64, f64) {
+    let mut sim = ClusterSim::with_switches(24, 12, switches);
+    sim.run(1000, 0.5, 0.5);
+    for server in sim.servers.iter_mut().step_by(3) {
+        server.refused_share = 0.5;
     }
-    many.run(1000, 0.5, 0.5);
-    many.reset();
-    many.run(3000, 0.5, 0.5);
-    (many.refused_share(), many.far_share())
+    sim.run(1000, 0.5, 0.5);
+    sim.reset_counters();
+    sim.run(3000, 0.5, 0.5);
+    (sim.refused_share(), sim.cross_region_share())
 }
 
-/// Servers refuse part of their work while they call themselves healthy. They are quick and look idle,
-/// so calls gather there, and shops see far more failures than those servers' share.
+/// Servers refuse part of their work while they report themselves as healthy. They answer quickly
+/// and look idle, so they attract calls, and far more calls fail than those servers' share of the
+/// load.
 #[test]
 fn a_third_of_the_servers_refuse_half() {
     let off = Switches {
         avoid_failing: false,
         ..Switches::ALL
     };
-    let (refused_off, _) = with_grey_servers(off);
-    let (refused, far) = with_grey_servers(Switches::ALL);
+    let (refused_off, _) = with_partial_failures(off);
+    let (refused, cross_region) = with_partial_failures(Switches::ALL);
     assert!(refused_off > 0.16, "{refused_off}");
-    assert!(refused < 0.05 && far < 0.01, "{refused} {far}");
+    assert!(
+        refused < 0.05 && cross_region < 0.01,
+        "{refused} {cross_region}"
+    );
 }
 
-/// A server that is well again gets its share back; were it left out for good, the others would carry
-/// its load.
+/// A server that has recovered gets its share of calls again; otherwise the other servers would
+/// have to carry its load permanently.
 #[test]
 fn a_server_that_no_longer_refuses_is_used_again() {
-    let mut many = ClusterSim::new(24, 12);
-    many.servers[0].refuses = 0.9;
-    many.run(3000, 0.5, 0.5);
-    many.servers[0].refuses = 0.0;
-    many.run(3000, 0.5, 0.5);
-    many.reset();
-    many.run(2000, 0.5, 0.5);
-    let share = many.servers[0].served as f64 * 12.0 / many.calls as f64;
+    let mut sim = ClusterSim::new(24, 12);
+    sim.servers[0].refused_share = 0.9;
+    sim.run(3000, 0.5, 0.5);
+    sim.servers[0].refused_share = 0.0;
+    sim.run(3000, 0.5, 0.5);
+    sim.reset_counters();
+    sim.run(2000, 0.5, 0.5);
+    let share = sim.servers[0].served as f64 * 12.0 / sim.calls as f64;
     assert!(share > 0.8, "{share}");
 }
--- a/crates/policy/tests/late_runs.rs
+++ b/crates/policy/tests/late_runs.rs
@@ -1,4 +1,4 @@
-//! Runs that are late, and servers that keep them.
+//! Detection of late runs, and of servers that do not answer.
 
 use bilberry_policy::AdmissionDecision;
 use bilberry_policy::RunTimes;
@@ -13,10 +13,11 @@
 use std::time::Duration;
 use stdx::Time;
 
-/// Times of reads vary by half around their mean. Taken for late too soon, reads of a calm service would
-/// be done twice; too late, a read that was lost leaves no time for another one before 700 ms are over.
+/// Run times of reads vary by half around their mean. If the threshold is too low, reads of a
+/// healthy service are sent twice; if it is too high, a lost read leaves no time for a second
+/// one within the 700 ms deadline.
 #[test]
-fn few_runs_are_late_and_lost_ones_soon_are() {
+fn few_normal_runs_are_late_and_lost_ones_are_detected_in_time() {
     let mut rng = StdRng::seed_from_u64(1);
     let mut draw = || {
         let sum: f64 = (0..4).map(|_| rng.random_range(0.0..2.0)).sum();
@@ -33,18 +34,19 @@
     assert!(times.late_threshold().unwrap() <= Duration::from_millis(350));
 }
 
-/// A server runs what it gets and loses half of its answers. Callers give up and go elsewhere; the server
-/// looks idle, and without a sign of it draws the more calls.
+/// A server runs its work but loses half of the answers, and callers give up and call
+/// another instance. The server looks idle; unless its load report contains a penalty, it attracts
+/// even more calls.
 #[test]
-fn a_silent_server_shows_in_what_it_reports() {
+fn a_server_that_loses_answers_reports_a_penalty() {
     let mut switches = Switches::ALL;
     switches.adaptive_limit = false;
-    let penalty = |loses: bool| {
+    let penalty = |loses_answers: bool| {
         let mut server = ServerAdmission::new(switches, 1, 10, Duration::from_millis(100));
         let took = Duration::from_millis(70);
         for n in 0..60 {
             let now = Time::from_micros(n * 100_000);
-            let ticket = WorkItem {
+            let item = WorkItem {
                 id: n,
                 class: Class::Lookup,
                 priority: 0,
@@ -54,9 +56,9 @@
                 arrived: now,
                 admitted: true,
             };
-            assert_eq!(server.offer(now, ticket), AdmissionDecision::Start);
-            let lost = loses && n > 30 && n % 2 == 0;
-            let ended = match lost {
+            assert_eq!(server.offer(now, item), AdmissionDecision::Start);
+            let is_lost = loses_answers && n > 30 && n % 2 == 0;
+            let outcome = match is_lost {
                 true => WorkOutcome::Abandoned {
                     elapsed: took * 4,
                     own_time: took * 4,
@@ -66,34 +68,34 @@
                     own_time: took,
                 },
             };
-            server.on_finished(now + took, Class::Lookup, ended);
+            server.on_finished(now + took, Class::Lookup, outcome);
         }
         server.report().penalty
     };
     assert_eq!(penalty(false), 0);
-    let to_next_domain = 100;
-    assert!(penalty(true) > to_next_domain, "{}", penalty(true));
+    let cost_of_next_domain = 100;
+    assert!(penalty(true) > cost_of_next_domain, "{}", penalty(true));
 }
 
-/// Half of what a server runs hangs until its callers give up, and holds a slot for ten times as long as the
-/// rest. Counted by whole answers, the load would seem to fit, and twice as much would be let in as the
-/// slots can take.
+/// Half of the runs on a server hang until their callers give up, and occupy a slot ten times as
+/// long as the others. If only complete answers were measured, the load would seem to fit, and
+/// twice as much would be admitted as the slots can handle.
 #[test]
-fn runs_that_hang_count_as_load() {
+fn hanging_runs_count_as_offered_load() {
     let level = |hangs: bool| {
         let mut switches = Switches::ALL;
         switches.adaptive_limit = false;
         let mut server = ServerAdmission::new(switches, 1, 10, Duration::from_secs(1));
         let mut running: Vec<(u64, bool)> = Vec::new();
-        let mut highest = 0;
+        let mut max_level = 0;
         for ms in 0..10_000 {
             let now = Time::from_micros(ms * 1000);
             running.retain(|(since, hung)| {
-                let takes = if *hung { 700 } else { 70 };
-                let own = Duration::from_millis(takes);
-                let over = ms - since >= takes;
-                if over {
-                    let ended = match hung {
+                let millis = if *hung { 700 } else { 70 };
+                let own = Duration::from_millis(millis);
+                let is_over = ms - since >= millis;
+                if is_over {
+                    let outcome = match hung {
                         true => WorkOutcome::Abandoned {
                             elapsed: own,
                             own_time: own,
@@ -103,12 +105,12 @@
                             own_time: own,
                         },
                     };
-                    server.on_finished(now, Class::Lookup, ended);
+                    server.on_finished(now, Class::Lookup, outcome);
                 }
-                !over
+                !is_over
             });
             if ms % 12 == 0 {
-                let ticket = WorkItem {
+                let item = WorkItem {
                     id: ms,
                     class: Class::Lookup,
                     priority: 0,
@@ -118,18 +120,18 @@
                     arrived: now,
                     admitted: false,
                 };
-                if server.offer(now, ticket) == AdmissionDecision::Start {
+                if server.offer(now, item) == AdmissionDecision::Start {
                     running.push((ms, hangs && ms > 3000 && ms % 24 == 0));
                 }
             }
-            while let Some((ticket, offer)) = server.next_decision(now) {
+            while let Some((item, offer)) = server.next_decision(now) {
                 if offer == AdmissionDecision::Start {
-                    running.push((ms, hangs && ms > 3000 && ticket.id % 24 == 0));
+                    running.push((ms, hangs && ms > 3000 && item.id % 24 == 0));
                 }
             }
-            highest = highest.max(server.level());
+            max_level = max_level.max(server.level());
         }
-        highest
+        max_level
     };
     assert_eq!(level(false), 0);
     let half = 0x4000;
--- a/crates/policy/tests/quarantine.rs
+++ b/crates/policy/tests/quarantine.rs
@@ -10,12 +10,12 @@
 
 #[derive(Clone, Copy)]
 enum Event {
-    /// A crash at this node with the request in flight.
+    /// The server of this node crashes with the request in flight.
     Crash(u64),
-    /// Another node's report: the node, and its count.
-    Heard(u64, u32),
-    Whole,
-    /// Seconds pass.
+    /// Another node reports its number of crashes.
+    RemoteCrashes(u64, u32),
+    Completed,
+    /// This many seconds pass.
     Wait(u64),
 }
 
@@ -27,10 +27,10 @@
             Event::Crash(node) => {
                 quarantine.record_crash(now, "request", Incarnation(node));
             }
-            Event::Heard(node, count) => {
+            Event::RemoteCrashes(node, count) => {
                 quarantine.record_remote_crashes(now, "request", Incarnation(node), count)
             }
-            Event::Whole => quarantine.record_completed(now, "request"),
+            Event::Completed => quarantine.record_completed(now, "request"),
             Event::Wait(secs) => now = now + Duration::from_secs(secs),
         }
     }
@@ -42,27 +42,34 @@
     assert_eq!(verdict, expected);
 }
 
-/// One label job crashes each server that runs it, and its maker sends it again and again. After
-/// the second crash it must not run anywhere, or it takes the whole service down, one by one.
+/// A request crashes every server that runs it, and its caller keeps re-sending it. Unless it is
+/// refused everywhere after the second crash, it takes down all servers of the service one after
+/// the other.
 #[test]
-fn two_crashes_are_enough() {
+fn a_request_is_refused_after_two_crashes() {
     check(&[Event::Crash(1)], "suspect");
     check(&[Event::Crash(1), Event::Crash(1)], "refused");
-    check(&[Event::Crash(1), Event::Heard(2, 1)], "refused");
-    check(&[Event::Heard(2, 2)], "refused");
-    check(&[Event::Heard(2, 1), Event::Heard(2, 1)], "suspect");
+    check(&[Event::Crash(1), Event::RemoteCrashes(2, 1)], "refused");
+    check(&[Event::RemoteCrashes(2, 2)], "refused");
+    check(
+        &[Event::RemoteCrashes(2, 1), Event::RemoteCrashes(2, 1)],
+        "suspect",
+    );
 }
 
-/// A lookup was in flight beside the one that crashes servers. If it were refused as well, a
-/// customer could not see that pattern for minutes, for no fault of its own.
+/// A harmless request was in flight together with one that crashes servers. Unless a complete
+/// answer clears it, it is refused for minutes although it caused no crash.
 #[test]
-fn what_was_answered_whole_is_cleared() {
-    check(&[Event::Crash(1), Event::Whole], "clear");
-    check(&[Event::Whole, Event::Crash(1), Event::Crash(1)], "clear");
+fn a_completely_answered_request_is_cleared() {
+    check(&[Event::Crash(1), Event::Completed], "clear");
+    check(
+        &[Event::Completed, Event::Crash(1), Event::Crash(1)],
+        "clear",
+    );
     check(
         &[
             Event::Crash(1),
-            Event::Whole,
+            Event::Completed,
             Event::Wait(20),
             Event::Crash(2),
         ],
--- a/crates/policy/tests/retry_allowance.rs
+++ b/crates/policy/tests/retry_allowance.rs
@@ -1,4 +1,4 @@
-//! Retry allowances are conserved.
+//! Retries are never created by delegating and reclaiming allowances.
 
 use bilberry_policy::RetryAllowance;
 use proptest::collection::vec;
@@ -6,50 +6,50 @@
 
 #[derive(Debug, Clone)]
 enum Step {
-    Spend,
-    Lend,
-    LendAll,
-    LendAllButOne,
-    /// A child that was lent something says that this much is unspent.
-    GiveBack(u16),
-    /// A child's answer is lost.
-    Lose,
+    Withdraw,
+    DelegateHalf,
+    DelegateAll,
+    DelegateAllButOne,
+    /// A child call reports this many unused retries.
+    Reclaim(u16),
+    /// The answer of a child call is lost.
+    LoseAnswer,
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        Just(Step::Spend),
-        Just(Step::Lend),
-        Just(Step::LendAll),
-        Just(Step::LendAllButOne),
-        any::<u16>().prop_map(Step::GiveBack),
-        Just(Step::Lose),
+        Just(Step::Withdraw),
+        Just(Step::DelegateHalf),
+        Just(Step::DelegateAll),
+        Just(Step::DelegateAllButOne),
+        any::<u16>().prop_map(Step::Reclaim),
+        Just(Step::LoseAnswer),
     ]
 }
 
-/// Takes the steps, and checks after each that what was spent, what is lent out and what is left
-/// never exceed the allowance together.
+/// Runs the steps, and checks after each one that the retries spent, delegated and remaining
+/// together never exceed the allowance.
 fn check(allowance: u16, steps: &[Step]) {
-    let mut account = RetryAllowance::new(allowance);
+    let mut remaining = RetryAllowance::new(allowance);
     let mut spent = 0;
-    let mut lent = Vec::new();
+    let mut delegated = Vec::new();
     for step in steps {
         match step {
-            Step::Spend => spent += u32::from(account.try_withdraw()),
-            Step::Lend => lent.push(account.delegate_half()),
-            Step::LendAll => lent.push(account.delegate_all()),
-            Step::LendAllButOne => lent.push(account.delegate_all_but_one()),
-            Step::GiveBack(unspent) => {
-                if let Some(part) = lent.pop() {
-                    account.reclaim(part, *unspent);
-                    // What the child did not give back, it spent.
-                    spent += u32::from(part.saturating_sub(*unspent));
+            Step::Withdraw => spent += u32::from(remaining.try_withdraw()),
+            Step::DelegateHalf => delegated.push(remaining.delegate_half()),
+            Step::DelegateAll => delegated.push(remaining.delegate_all()),
+            Step::DelegateAllButOne => delegated.push(remaining.delegate_all_but_one()),
+            Step::Reclaim(unused) => {
+                if let Some(part) = delegated.pop() {
+                    remaining.reclaim(part, *unused);
+                    // The child spent what it did not return.
+                    spent += u32::from(part.saturating_sub(*unused));
                 }
             }
-            Step::Lose => spent += u32::from(lent.pop().unwrap_or(0)),
+            Step::LoseAnswer => spent += u32::from(delegated.pop().unwrap_or(0)),
         }
-        let out: u32 = lent.iter().map(|part| u32::from(*part)).sum();
-        let total = spent + out + u32::from(account.remaining());
+        let outstanding: u32 = delegated.iter().map(|part| u32::from(*part)).sum();
+        let total = spent + outstanding + u32::from(remaining.remaining());
         assert!(
             total <= u32::from(allowance),
             "{total} of {allowance} after {step:?}"
@@ -65,7 +65,7 @@
     })]
 
     #[test]
-    fn no_steps_make_retries(allowance in 0u16..20, steps in vec(step(), 0..40)) {
+    fn no_sequence_of_steps_creates_retries(allowance in 0u16..20, steps in vec(step(), 0..40)) {
         check(allowance, &steps);
     }
 }
--- a/crates/policy/tests/server_admission.rs
+++ b/crates/policy/tests/server_admission.rs
@@ -1,4 +1,4 @@
-//! The limit and the queue in front of a backend server, driven on a clock of the test's own.
+//! Concurrency limit and queue of one backend server, on a simulated clock.
 
 use bilberry_policy::AdmissionDecision;
 use bilberry_policy::ServerAdmission;
@@ -16,7 +16,7 @@
     Time::from_micros(ms * 1000)
 }
 
-fn ticket(id: u64, class: Class, now: Time) -> WorkItem {
+fn work_item(id: u64, class: Class, now: Time) -> WorkItem {
     WorkItem {
         id,
         class,
@@ -29,7 +29,7 @@
     }
 }
 
-fn whole(ms: u64) -> WorkOutcome {
+fn completed(ms: u64) -> WorkOutcome {
     let took = Duration::from_millis(ms);
     WorkOutcome::Completed {
         elapsed: took,
@@ -37,16 +37,16 @@
     }
 }
 
-/// A server with one place, taken, and a known service time of 10 ms.
+/// A server with a single slot, which is occupied, and a known run time of 10 ms.
 fn busy() -> ServerAdmission {
     let mut server = ServerAdmission::new(Switches::ALL, 1, 1, MAX_WAIT);
     assert_eq!(
-        server.offer(at(0), ticket(0, Class::Order, at(0))),
+        server.offer(at(0), work_item(0, Class::Order, at(0))),
         AdmissionDecision::Start
     );
-    server.on_finished(at(10), Class::Order, whole(10));
+    server.on_finished(at(10), Class::Order, completed(10));
     assert_eq!(
-        server.offer(at(10), ticket(0, Class::Order, at(10))),
+        server.offer(at(10), work_item(0, Class::Order, at(10))),
         AdmissionDecision::Start
     );
     server
@@ -54,7 +54,7 @@
 
 fn drain(server: &mut ServerAdmission, now: Time) -> Vec<(u64, bool)> {
     let next = std::iter::from_fn(|| server.next_decision(now));
-    next.map(|(ticket, offer)| (ticket.id, offer == AdmissionDecision::Start))
+    next.map(|(item, decision)| (item.id, decision == AdmissionDecision::Start))
         .collect()
 }
 
@@ -62,13 +62,13 @@
     let mut server = busy();
     for (id, class) in (1..).zip(classes) {
         assert_eq!(
-            server.offer(at(11), ticket(id, *class, at(11))),
+            server.offer(at(11), work_item(id, *class, at(11))),
             AdmissionDecision::Queued
         );
     }
     let mut order = Vec::new();
     for now in 0..classes.len() as u64 {
-        server.on_finished(at(12 + now), Class::Order, whole(10));
+        server.on_finished(at(12 + now), Class::Order, completed(10));
         order.extend(drain(&mut server, at(12 + now)).iter().map(|(id, _)| *id));
     }
     assert_eq!(order, expected);
@@ -88,104 +88,103 @@
     );
 }
 
-/// Lookups have filled the queue when an order comes. If the order were refused, the franchisee's
-/// sale would be lost to browsing.
+/// An order arrives when the queue is full of lookups. A lookup must be refused in its place.
 #[test]
-fn an_order_displaces_a_queued_lookup() {
+fn an_order_evicts_a_queued_lookup() {
     let mut server = busy();
     for id in 1..=10 {
-        let offer = server.offer(at(11), ticket(id, Class::Lookup, at(11)));
+        let offer = server.offer(at(11), work_item(id, Class::Lookup, at(11)));
         assert_eq!(offer, AdmissionDecision::Queued);
     }
-    let full = server.offer(at(11), ticket(11, Class::Lookup, at(11)));
+    let full = server.offer(at(11), work_item(11, Class::Lookup, at(11)));
     assert!(
         matches!(full, AdmissionDecision::Refused(refusal) if refusal.reason == Reason::QueueFull)
     );
-    let order = server.offer(at(11), ticket(12, Class::Order, at(11)));
+    let order = server.offer(at(11), work_item(12, Class::Order, at(11)));
     assert_eq!(order, AdmissionDecision::Queued);
     assert_eq!(drain(&mut server, at(11)), [(1, false)]);
 }
 
-/// Orders alone are too much, and one is refused. A lookup that comes a moment later must not get
-/// the place that the order lacked, or the shop sees its order refused while others browse.
+/// Orders alone exceed the capacity, and one is refused. A lookup that arrives a moment later must
+/// not get the slot that the order needed.
 #[test]
-fn no_lookup_after_a_refused_order() {
+fn no_lookup_is_admitted_after_a_refused_order() {
     let mut server = busy();
     let mut refused = false;
     for id in 1..=11 {
-        let offer = server.offer(at(11), ticket(id, Class::Order, at(11)));
+        let offer = server.offer(at(11), work_item(id, Class::Order, at(11)));
         refused |= matches!(offer, AdmissionDecision::Refused(_));
     }
     assert!(refused);
-    let lookup = server.offer(at(12), ticket(20, Class::Lookup, at(12)));
+    let lookup = server.offer(at(12), work_item(20, Class::Lookup, at(12)));
     assert!(matches!(lookup, AdmissionDecision::Refused(_)));
 }
 
-/// The queue is so long that the work would start after its deadline. Without a refusal the caller
-/// waits for nothing, and learns only then that it could have asked elsewhere.
+/// The queue is so long that new work would start after its deadline. If it is not refused
+/// immediately, the caller waits in vain before it can try another instance.
 #[test]
-fn work_that_cannot_meet_its_deadline_is_refused_at_once() {
+fn work_that_cannot_meet_its_deadline_is_refused_immediately() {
     let mut server = busy();
     for id in 1..=3 {
-        server.offer(at(11), ticket(id, Class::Order, at(11)));
+        server.offer(at(11), work_item(id, Class::Order, at(11)));
     }
-    let mut hasty = ticket(4, Class::Order, at(11));
-    hasty.deadline = at(11 + 25);
-    let AdmissionDecision::Refused(refusal) = server.offer(at(11), hasty) else {
-        panic!("it cannot be done in time");
+    let mut urgent = work_item(4, Class::Order, at(11));
+    urgent.deadline = at(11 + 25);
+    let AdmissionDecision::Refused(refusal) = server.offer(at(11), urgent) else {
+        panic!("work that would miss its deadline was not refused");
     };
     assert_eq!(refusal.reason, Reason::QueueFull);
     assert!(refusal.retry_after_ms >= 500);
 }
 
-/// A backend server is gone and answers each try at once with an error. It looks idle, so all
-/// work would go there and fail.
+/// Calls to an unreachable backend server fail immediately. It would look idle, so all work would
+/// be sent there and fail.
 #[test]
-fn an_unreachable_server_is_no_bargain() {
+fn an_unreachable_server_reports_full_load_and_gets_single_probes() {
     let mut server = busy();
     server.on_finished(at(12), Class::Order, WorkOutcome::Unreachable);
     assert_eq!(server.report().utilisation, u16::MAX);
-    let offer = server.offer(at(13), ticket(1, Class::Order, at(13)));
+    let offer = server.offer(at(13), work_item(1, Class::Order, at(13)));
     assert!(
         matches!(offer, AdmissionDecision::Refused(refusal) if refusal.reason == Reason::ServerLost)
     );
-    let probe = server.offer(at(300), ticket(2, Class::Order, at(300)));
+    let probe = server.offer(at(300), work_item(2, Class::Order, at(300)));
     assert_eq!(probe, AdmissionDecision::Start);
-    let second = server.offer(at(300), ticket(3, Class::Order, at(300)));
+    let second = server.offer(at(300), work_item(3, Class::Order, at(300)));
     assert_eq!(second, AdmissionDecision::Queued);
 }
 
-/// A backend server with `slots` that takes `service_ms` for each piece of work.
-struct Backend {
+/// A simulated backend server with a number of slots.
+struct SimulatedBackend {
     server: ServerAdmission,
-    /// When each slot is free.
+    /// When each slot becomes free.
     slots: Vec<u64>,
-    /// End and start of what runs.
+    /// End and start of each run.
     running: Vec<(u64, u64)>,
     now: u64,
-    next: u64,
+    last_id: u64,
 }
 
-impl Backend {
+impl SimulatedBackend {
     fn new(server: ServerAdmission, slots: usize) -> Self {
         Self {
             server,
             slots: vec![0; slots],
             running: Vec::new(),
             now: 0,
-            next: 0,
+            last_id: 0,
         }
     }
 
-    fn start(&mut self, service_ms: u64) {
+    fn start(&mut self, run_ms: u64) {
         let slot = self.slots.iter_mut().min().expect("there are slots");
-        *slot = (*slot).max(self.now) + service_ms;
+        *slot = (*slot).max(self.now) + run_ms;
         self.running.push((*slot, self.now));
     }
 
-    /// Offers two lookups a millisecond, and gives the limit at the end and the work that was done
-    /// in the last second.
-    fn run(&mut self, service_ms: u64, seconds: u64) -> (u16, u64) {
+    /// Offers two lookups per millisecond, each of which runs for `run_ms`. Returns the limit at
+    /// the end and the number of lookups that ended in the last second.
+    fn run(&mut self, run_ms: u64, seconds: u64) -> (u16, u64) {
         let end = self.now + seconds * 1000;
         let mut done = 0;
         while self.now < end {
@@ -195,22 +194,22 @@
                 running.into_iter().partition(|(end, _)| *end <= self.now);
             self.running = running;
             for (_, started) in ended {
-                let took = whole(self.now - started);
-                self.server.on_finished(now, Class::Lookup, took);
+                let outcome = completed(self.now - started);
+                self.server.on_finished(now, Class::Lookup, outcome);
                 done += u64::from(self.now + 1000 >= end);
             }
             for _ in 0..2 {
-                self.next += 1;
+                self.last_id += 1;
                 let offer = self
                     .server
-                    .offer(now, ticket(self.next, Class::Lookup, now));
+                    .offer(now, work_item(self.last_id, Class::Lookup, now));
                 if offer == AdmissionDecision::Start {
-                    self.start(service_ms);
+                    self.start(run_ms);
                 }
             }
             for (_, started) in drain(&mut self.server, now) {
                 if started {
-                    self.start(service_ms);
+                    self.start(run_ms);
                 }
             }
             self.now += 1;
@@ -219,12 +218,12 @@
     }
 }
 
-/// The backend server becomes ten times slower without anything waiting inside it. A limit that
-/// takes each longer time for a queue goes down to its minimum, and the slots stand empty.
+/// The backend server becomes ten times slower although nothing is queued inside it. A limit that
+/// interprets every longer run as queueing falls to its minimum, and slots stand empty.
 #[test]
-fn the_limit_finds_the_slots_and_keeps_them_when_the_server_slows() {
+fn the_limit_matches_the_slots_even_if_the_server_slows_down() {
     let server = ServerAdmission::new(Switches::ALL, 2, 400, MAX_WAIT);
-    let mut backend = Backend::new(server, 20);
+    let mut backend = SimulatedBackend::new(server, 20);
     let (limit, done) = backend.run(20, 20);
     assert!((18..=32).contains(&limit), "limit {limit}");
     assert!(done >= 950, "{done} of 1000");
@@ -235,13 +234,13 @@
     assert!(done >= 950, "{done} of 1000 after");
 }
 
-/// A server has just started, and sixteen counters send orders at once while it is still cold. It
-/// has the slots for them; a ramp that refuses them would lose sales with an idle server.
+/// A burst of orders arrives at a server that has just started and is still cold. It has the slots
+/// for them, so slow start must not refuse orders while the server is idle.
 #[test]
-fn a_cold_server_takes_a_burst_of_orders() {
+fn a_cold_server_accepts_a_burst_of_orders() {
     let mut server = ServerAdmission::new(Switches::ALL, 2, 400, MAX_WAIT);
     for id in 0..32 {
-        let offer = server.offer(at(0), ticket(id, Class::Order, at(0)));
+        let offer = server.offer(at(0), work_item(id, Class::Order, at(0)));
         assert_eq!(offer, AdmissionDecision::Start, "order {id}");
     }
 }
