--- a/crates/policy/src/admission_level.rs
+++ b/crates/policy/src/admission_level.rs
@@ -30,11 +30,11 @@
 /// a demand of 1.6, with this value 0.89 (decision logic alone, lookups with eight reads).
 const LOAD_TIME_CONSTANT: Duration = Duration::from_millis(600);
 
-/// Time in which the backlog should be worked off; the admitted load is reduced accordingly. With two
-/// seconds, 14 calls were queued on average for 16 slots, and lookups with eight sequential reads were
-/// late. If it is much shorter than the duration of a call tree, the same work is counted several
-/// times. No further slots are reserved: reserving a fifth of the square root of their number shed
-/// lookups that would have fitted.
+/// Time in which the backlog should be worked off; the admitted load is reduced accordingly. With
+/// two seconds, 14 calls were queued on average for 16 slots, and lookups with eight sequential
+/// reads were late. If it is much shorter than the duration of a call tree, the same work is
+/// counted several times. No further slots are reserved: reserving a fifth of the square root of
+/// their number shed lookups that would have fitted.
 const BACKLOG_DRAIN_TIME: Duration = Duration::from_millis(500);
 
 /// The admission value of an action: its random value within the half of the range for its class.
--- a/crates/policy/tests/fleet_retries.rs
+++ b/crates/policy/tests/fleet_retries.rs
@@ -169,8 +169,8 @@
                     let excess = simulate(seed, nodes, per_second, allowed, scenario).max_excess();
                     assert!(
                         excess <= allowed,
-                        "{nodes} nodes, {per_second} a second, {scenario:?}: {excess} beyond a fifth, \
-                         {allowed} are allowed"
+                        "{nodes} nodes, {per_second} a second, {scenario:?}: {excess} beyond a \
+                         fifth, {allowed} are allowed"
                     );
                 }
             }
--- a/crates/stdx/src/bounded.rs
+++ b/crates/stdx/src/bounded_map.rs
@@ -1,10 +1,10 @@
-//! A map that holds at most a set number of entries.
+//! A map with a maximum number of entries.
 
 use indexmap::IndexMap;
 use std::hash::Hash;
 
-/// A map for soft state that may be forgotten: past its capacity the entry that was inserted first
-/// goes. Never for records that must be kept.
+/// A map that evicts the entry inserted first when it exceeds its capacity. Use it only for soft
+/// state that may be lost.
 ///
 /// # Examples
 ///
@@ -20,49 +20,51 @@
 pub struct BoundedMap<K, V> {
     capacity: usize,
     entries: IndexMap<K, V>,
-    order: std::collections::VecDeque<K>,
+    /// The keys in the order of insertion.
+    insertion_order: std::collections::VecDeque<K>,
 }
 
 impl<K: Hash + Eq + Clone, V> BoundedMap<K, V> {
-    /// An empty map for at most `capacity` entries.
+    /// An empty map that holds at most `capacity` entries, and at least one.
     pub fn new(capacity: usize) -> Self {
         Self {
             capacity: capacity.max(1),
             entries: IndexMap::new(),
-            order: std::collections::VecDeque::new(),
+            insertion_order: std::collections::VecDeque::new(),
         }
     }
 
-    /// Inserts an entry, and forgets the oldest one if there is no room.
+    /// Inserts an entry, and evicts the oldest one if the capacity is exceeded. Replacing the value
+    /// of a key does not change its age.
     pub fn insert(&mut self, key: K, value: V) {
         if self.entries.insert(key.clone(), value).is_some() {
             return;
         }
-        self.order.push_back(key);
+        self.insertion_order.push_back(key);
         while self.entries.len() > self.capacity {
-            let Some(oldest) = self.order.pop_front() else {
+            let Some(oldest) = self.insertion_order.pop_front() else {
                 return;
             };
             self.entries.swap_remove(&oldest);
         }
     }
 
-    /// The entry's value, if it has not been forgotten.
+    /// The value of a key, unless it has been evicted.
     pub fn get(&self, key: &K) -> Option<&V> {
         self.entries.get(key)
     }
 
-    /// The entry's value for change, if it has not been forgotten.
+    /// A mutable reference to the value of a key, unless it has been evicted.
     pub fn get_mut(&mut self, key: &K) -> Option<&mut V> {
         self.entries.get_mut(key)
     }
 
-    /// How many entries there are.
+    /// The number of entries.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether there is no entry.
+    /// Whether the map has no entries.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
--- a/crates/stdx/src/derives.rs
+++ b/crates/stdx/src/derives.rs
@@ -1,6 +1,6 @@
-//! The common sets of derives. Each macro takes one item.
+//! Macros for common sets of derives. Each macro takes one item.
 
-/// Gives an item the derives of a plain, copyable value that travels in messages.
+/// Adds the derives for a plain value that is `Copy` and can be sent in messages.
 ///
 /// # Examples
 ///
@@ -20,7 +20,7 @@
     };
 }
 
-/// Gives an item that owns memory and travels in messages its derives.
+/// Adds the derives for data that is `Clone` but not `Copy` and can be sent in messages.
 ///
 /// # Examples
 ///
--- a/crates/stdx/src/time.rs
+++ b/crates/stdx/src/time.rs
@@ -1,13 +1,13 @@
-//! A point in time that is passed in by whoever drives the decision logic.
+//! A point in time for code that does not read a clock.
 
 use std::ops::Add;
 use std::time::Duration;
 
 crate::plain! {
-    /// Microseconds since an origin that the driver chose; monotonic within one instance.
+    /// Microseconds since an origin chosen by the caller; monotonic within one instance.
     ///
-    /// Decision logic takes it as an argument and never reads a clock, so that a test or a bench
-    /// can drive many instances on a clock of its own.
+    /// Decision logic takes the current time as an argument and never reads a clock, so that a test
+    /// or a benchmark can run many instances on a simulated clock.
     ///
     /// # Examples
     ///
@@ -25,7 +25,7 @@
 }
 
 impl Time {
-    /// The driver's origin.
+    /// The origin.
     pub const ZERO: Time = Time(0);
 
     /// The point `micros` microseconds after the origin.
@@ -38,12 +38,12 @@
         self.0
     }
 
-    /// The time that passed since `earlier`; zero if `earlier` is not earlier.
+    /// The time elapsed since `earlier`; zero if `earlier` is not earlier.
     pub const fn since(self, earlier: Time) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
 
-    /// The time that is left until `deadline`; zero if it has passed.
+    /// The time remaining until `deadline`; zero if it has passed.
     pub const fn until(self, deadline: Time) -> Duration {
         deadline.since(self)
     }
