--- a/crates/journal/src/fold.rs
+++ b/crates/journal/src/fold.rs
@@ -1,4 +1,4 @@
-//! The fold: one record after another. Every reader must come to the same state, so it depends on
+//! The fold of records into the state. Every reader must compute the same state, so it depends on
 //! nothing but the records and their offsets.
 
 use crate::Change;
@@ -10,24 +10,25 @@
 use rules::Rules;
 use std::sync::Arc;
 
-/// The largest record that is read, in bytes. Larger ones are passed over by every reader.
+/// Maximum length of a record, in bytes. Every reader skips longer ones.
 pub const MAX_RECORD_LEN: usize = 2 << 20;
 
-/// The longest name of a service, failure domain, region or operator, in bytes.
+/// Maximum length of the name of a service, failure domain, region or operator, in bytes.
 pub const MAX_NAME_LEN: usize = 64;
 
-/// The most instances in all views together.
+/// Maximum number of instances in all views together.
 pub const MAX_INSTANCES: usize = 4096;
 
-/// The most services that ever had a view.
+/// Maximum number of services that ever had a view.
 pub const MAX_SERVICES: usize = 256;
 
-/// How many departed incarnations the topic has records of before the oldest are forgotten: two
-/// records of some 100 bytes each, so that a start reads 200 KB of them at most.
+/// Number of departed incarnations that the topic keeps records of; beyond it the oldest are
+/// forgotten. Each has two records of about 100 bytes, so a starting node reads at most 200 KB of
+/// them.
 pub const MAX_DEPARTED: usize = 1024;
 
 impl State {
-    /// Folds the value of the record at `offset`.
+    /// Applies the record at `offset`, given its encoded value.
     ///
     /// # Examples
     ///
@@ -49,7 +50,7 @@
             return Change::Gap;
         }
         self.next_offset = offset + 1;
-        // The value of a key that is dropped. `Record::Forget` beside it says what that means.
+        // An empty value deletes a key. The `Record::Forget` appended with it describes the change.
         if value.is_empty() {
             return Change::Unchanged;
         }
@@ -63,7 +64,7 @@
         }
     }
 
-    /// Goes on at a later offset. What stood in between was replaced or dropped.
+    /// Continues at a later offset. The records in between were superseded or deleted.
     pub fn skip_to(&mut self, next: u64) {
         self.next_offset = self.next_offset.max(next);
     }
@@ -123,15 +124,16 @@
             return Change::Invalid;
         }
         let service = instance.service.clone();
-        self.replace_at_address(offset, &instance);
+        self.evict_at_address(offset, &instance);
         let view = self.views.entry(service.clone()).or_default();
-        view.join(offset, instance);
+        view.add(offset, instance);
         Change::View(service)
     }
 
-    /// A newcomer at a member's address proves that the member's process has ended.
-    fn replace_at_address(&mut self, offset: u64, newcomer: &Instance) {
-        let old = self.instances().find(|old| old.addr == newcomer.addr);
+    /// Evicts the member at the address of a joining instance, which proves that the member's
+    /// process has ended.
+    fn evict_at_address(&mut self, offset: u64, joining: &Instance) {
+        let old = self.instances().find(|old| old.addr == joining.addr);
         if let Some(old) = old.map(|old| old.incarnation) {
             self.depart(offset, old, Departure::Evicted);
         }
@@ -139,13 +141,13 @@
 
     fn leave(&mut self, offset: u64, incarnation: Incarnation) -> Change {
         let change = self.depart(offset, incarnation, Departure::Left);
-        // One that never joined, and may have asked to, does not any more.
+        // Also prevents a later join of an incarnation that has not joined yet.
         self.remember_departed(offset, incarnation);
         change
     }
 
-    /// Only a member evicts: of two that take each other for dead, the first one to reach the
-    /// stream stays, and not neither.
+    /// Only a member can evict. If two members consider each other dead, the one whose record comes
+    /// first in the topic stays; otherwise neither would.
     fn evict(&mut self, offset: u64, incarnation: Incarnation, by: Incarnation) -> Change {
         if by == incarnation || !self.is_listed(by) {
             return Change::Unchanged;
@@ -153,9 +155,9 @@
         self.depart(offset, incarnation, Departure::Evicted)
     }
 
-    fn depart(&mut self, offset: u64, incarnation: Incarnation, how: Departure) -> Change {
+    fn depart(&mut self, offset: u64, incarnation: Incarnation, departure: Departure) -> Change {
         for (service, view) in &mut self.views {
-            if view.depart(offset, incarnation, how) {
+            if view.remove(offset, incarnation, departure) {
                 let service = service.clone();
                 self.remember_departed(offset, incarnation);
                 return Change::View(service);
@@ -168,9 +170,9 @@
         self.departed.entry(incarnation).or_insert(offset);
     }
 
-    /// Which departure is to be forgotten next, if there are too many. They go in their order, so
-    /// what one record needs of an earlier one, an eviction of its author's `Join` for example, is
-    /// never dropped first.
+    /// The record that forgets the oldest departure, if there are more than [`MAX_DEPARTED`].
+    /// Departures are forgotten in order, so that a record is never deleted before the later ones
+    /// that depend on it, for example the `Join` of a member before an eviction by that member.
     ///
     /// # Examples
     ///
@@ -179,24 +181,24 @@
     /// ```
     pub fn next_forget_record(&self) -> Option<Record> {
         let (incarnation, departed) = self.departed.first()?;
-        let many = self.departed.len() > MAX_DEPARTED;
-        many.then_some(Record::Forget {
+        let is_full = self.departed.len() > MAX_DEPARTED;
+        is_full.then_some(Record::Forget {
             incarnation: *incarnation,
             departed: *departed,
         })
     }
 
-    /// Whether a `Join` of this instance would be taken. One that is not must not be appended: a
-    /// reader that begins later, after others were forgotten, could find room for it.
+    /// Whether a `Join` of this instance would be accepted. One that would not must not be
+    /// appended, because a reader that starts after other instances were forgotten could accept it.
     pub fn can_join(&self, instance: &Instance) -> bool {
-        let known = self.views.contains_key(&instance.service);
-        is_bounded(instance)
+        let has_view = self.views.contains_key(&instance.service);
+        has_valid_names(instance)
             && self.instances().count() < MAX_INSTANCES
-            && (known || self.views.len() < MAX_SERVICES)
+            && (has_view || self.views.len() < MAX_SERVICES)
     }
 }
 
-fn is_bounded(instance: &Instance) -> bool {
+fn has_valid_names(instance: &Instance) -> bool {
     let names = [
         &instance.service,
         &instance.failure_domain,
--- a/crates/journal/src/lib.rs
+++ b/crates/journal/src/lib.rs
@@ -1,7 +1,9 @@
-//! What nodes keep on the store: the topic's records, and the fold by which every reader comes to the
-//! same state, whether it saw all records or begins with the newest of each key.
+//! The replicated state shared by all nodes: the records of a topic on the store, and the fold that
+//! computes the state from them. Every reader computes the same state, whether it reads all records
+//! or starts from the newest record of each key.
 //!
-//! This package does no I/O. It knows nothing about how records reach it, about calls or leases.
+//! This package does no I/O. It knows nothing about how records are transported, or about calls and
+//! leases.
 
 mod fold;
 mod record;
--- a/crates/journal/src/record.rs
+++ b/crates/journal/src/record.rs
@@ -1,4 +1,4 @@
-//! What the topic holds.
+//! The records of the topic and their keys.
 
 use bytes::Bytes;
 use proto::Incarnation;
@@ -6,43 +6,44 @@
 use std::sync::Arc;
 use stdx::data;
 
-/// The key under which the rules in force stand.
+/// The key of the rules in force.
 const RULES_KEY: &str = "rules";
 
-/// The key of the last record that says what was dropped.
+/// The key of the newest [`Record::Forget`].
 const FORGOTTEN_KEY: &str = "forgotten";
 
 data! {
     /// One record of the topic.
     ///
-    /// A record is appended only if nothing was appended since its writer read the topic. So each one
-    /// says something new, and none of them can be overtaken by another.
+    /// A record is appended only if nothing was appended since its writer read the topic. Every
+    /// record therefore adds information, and concurrent records cannot overtake each other.
     pub enum Record {
         /// An operator publishes a rules file.
         Publish {
-            /// One more than the version before.
+            /// One more than the previous version.
             version: u64,
-            /// Chosen by the operator's tool, so that a lost answer can be settled by reading.
+            /// Chosen by the operator's tool, so that after a lost answer it can find out by
+            /// reading whether the record was appended.
             publication: u128,
-            /// Who publishes.
+            /// The operator who publishes.
             operator: Arc<str>,
-            /// The whole file.
+            /// The text of the file.
             file: Arc<str>,
         },
-        /// A node announces itself.
+        /// A node joins.
         Join(Instance),
-        /// A node leaves as planned; it has stopped starting work that it is home to.
+        /// A node leaves as planned. It has stopped starting work for the keys that it owns.
         Leave(Incarnation),
-        /// A node is taken for dead by another.
+        /// A node is evicted by another one that considers it dead.
         Evict {
-            /// Whom.
+            /// The evicted node.
             incarnation: Incarnation,
-            /// By whom.
+            /// The node that evicts it.
             by: Incarnation,
         },
-        /// What the topic said of a node that departed long ago is dropped.
+        /// The records of a node that departed long ago are deleted.
         Forget {
-            /// Which node.
+            /// The departed node.
             incarnation: Incarnation,
             /// The offset at which it departed.
             departed: u64,
@@ -50,15 +51,15 @@
     }
 }
 
-/// A key of the topic and its new value; an empty value drops the key.
+/// A key of the topic and its new value; an empty value deletes the key.
 pub type TopicEntry = (Arc<str>, Bytes);
 
 impl Record {
-    /// What has to be appended, all or nothing.
+    /// The entries to append atomically for this record.
     ///
-    /// The topic keeps the newest value of each key for good. Each fact about a node has a key of
-    /// its own: under a common one the last fact would hide the ones before it, and a reader that
-    /// begins late would come to other views than one that saw them all.
+    /// The topic keeps only the newest value of each key permanently, so the join and the departure
+    /// of a node have separate keys. With a common key, the departure would replace the join, and a
+    /// reader that starts later would compute other views than one that read all records.
     ///
     /// # Examples
     ///
@@ -83,11 +84,11 @@
             Record::Publish { .. } => vec![(RULES_KEY.into(), value)],
             Record::Join(instance) => vec![(join_key(instance.incarnation), value)],
             Record::Leave(incarnation) | Record::Evict { incarnation, .. } => {
-                vec![(gone_key(*incarnation), value)]
+                vec![(departed_key(*incarnation), value)]
             }
             Record::Forget { incarnation, .. } => vec![
                 (join_key(*incarnation), Bytes::new()),
-                (gone_key(*incarnation), Bytes::new()),
+                (departed_key(*incarnation), Bytes::new()),
                 (FORGOTTEN_KEY.into(), value),
             ],
         }
@@ -98,6 +99,6 @@
     format!("join/{incarnation}").into()
 }
 
-fn gone_key(incarnation: Incarnation) -> Arc<str> {
+fn departed_key(incarnation: Incarnation) -> Arc<str> {
     format!("gone/{incarnation}").into()
 }
--- a/crates/journal/src/restore.rs
+++ b/crates/journal/src/restore.rs
@@ -1,4 +1,4 @@
-//! Taking over what others know: the topic's newest records, and a peer's state.
+//! Restoring the state from the newest records of the topic, or from the state of a peer.
 
 use crate::fold::MAX_INSTANCES;
 use crate::fold::MAX_SERVICES;
@@ -9,15 +9,16 @@
 use rules::Rules;
 use std::sync::Arc;
 
-/// Reads a rules file; `None` if it has faults.
+/// Parses a rules file; returns `None` if it is invalid.
 pub type ParseRules = fn(&str) -> Option<Rules>;
 
-/// How many departures a peer's state may hold: those that are not forgotten yet may pile up while
-/// the store is away.
+/// Maximum number of departures in the state of a peer. It is larger than
+/// [`crate::fold::MAX_DEPARTED`] because departures accumulate while the store is unavailable and
+/// none can be forgotten.
 const MAX_PEER_DEPARTED: usize = 8 * crate::fold::MAX_DEPARTED;
 
-/// The newest values of all keys in the order of their offsets, without what came after `end`, while
-/// pages were read: that is read again from `end` on, in its order.
+/// Sorts the newest values of all keys by offset, without those at or after `end`. Those were
+/// appended while the pages were read; they are read again in order, starting at `end`.
 ///
 /// # Examples
 ///
@@ -33,7 +34,8 @@
 }
 
 impl State {
-    /// The state by the newest value of each key, [`sorted_before`]. `end` is where to read on.
+    /// The state computed from the newest value of each key, sorted by [`sorted_before`]. Reading
+    /// continues at `end`.
     ///
     /// # Examples
     ///
@@ -55,15 +57,16 @@
         state
     }
 
-    /// Whether going on from `next` with this state's newest records leaves no view out.
-    pub fn is_complete_since(&self, next: u64) -> bool {
-        self.last_forgotten.is_none_or(|departed| departed < next)
+    /// Whether this state, built from the newest records, contains all departures since `offset`.
+    /// Otherwise a reader that has read up to `offset` would miss a view.
+    pub fn is_complete_since(&self, offset: u64) -> bool {
+        self.last_forgotten.is_none_or(|departed| departed < offset)
     }
 
-    /// Takes over another reader's state as far as it is newer, if it takes nothing back.
+    /// Adopts the parts of another reader's state that are newer, unless any part would go back.
     ///
-    /// Without the check a stale copy would put an older version in force, or let an older view
-    /// decide who is home to a key.
+    /// Without this check a stale copy could put older rules in force, or an older view could
+    /// determine which instance owns a key.
     ///
     /// # Examples
     ///
@@ -82,7 +85,7 @@
         self.adopt_with_parser(other, |file| Rules::parse(file).ok())
     }
 
-    /// The same where rules files are in another format.
+    /// Like [`State::adopt`], for rules files in another format.
     pub fn adopt_with_parser(&mut self, other: State, parse: ParseRules) -> Change {
         let (rules_newer, views_newer) = (
             other.version > self.version,
@@ -91,7 +94,7 @@
         if !rules_newer && !views_newer {
             return Change::Stale;
         }
-        if !other.is_bounded() || (views_newer && other.takes_back(self)) {
+        if !other.is_within_limits() || (views_newer && other.goes_back_from(self)) {
             return Change::Invalid;
         }
         if rules_newer {
@@ -113,7 +116,8 @@
         Change::Restored
     }
 
-    /// Takes a rules file that was given its version elsewhere, if that is newer.
+    /// Puts a rules file in force whose version was assigned outside the topic, if that version is
+    /// newer.
     ///
     /// # Examples
     ///
@@ -139,8 +143,8 @@
         Change::Rules
     }
 
-    /// Whether the state keeps the fold's own bounds, as every honest one does.
-    fn is_bounded(&self) -> bool {
+    /// Whether the state keeps the limits that the fold enforces, as every correct state does.
+    fn is_within_limits(&self) -> bool {
         self.instances().count() <= MAX_INSTANCES
             && self.views.len() <= MAX_SERVICES
             && self.departed.len() <= MAX_PEER_DEPARTED
@@ -150,21 +154,21 @@
                 .all(|view| view.number < self.next_offset)
     }
 
-    /// Whether a version or a view would go back from what `earlier` has. Versions and views of one
-    /// topic come in one order, so who is ahead in the one is not behind in the other.
-    fn takes_back(&self, earlier: &State) -> bool {
-        let rules_back = self.version < earlier.version
+    /// Whether the rules or a view are older than those of `earlier`. Versions and views of one
+    /// topic are totally ordered, so a state that is ahead in one cannot be behind in the other.
+    fn goes_back_from(&self, earlier: &State) -> bool {
+        let rules_older = self.version < earlier.version
             || (self.version == earlier.version && self.file != earlier.file);
-        // A reader that began late does not know views that were made by forgotten departures.
-        let known = |view: &View| {
+        // A reader that started late does not know views created by forgotten departures.
+        let is_known = |view: &View| {
             self.last_forgotten
                 .is_none_or(|departed| departed < view.number)
         };
-        let mut views = earlier.views.iter().filter(|(_, view)| known(view));
-        let views_back = views.any(|(service, view)| {
+        let mut views = earlier.views.iter().filter(|(_, view)| is_known(view));
+        let views_older = views.any(|(service, view)| {
             self.view(service)
                 .is_none_or(|newer| newer.number < view.number)
         });
-        rules_back || views_back
+        rules_older || views_older
     }
 }
--- a/crates/journal/src/state.rs
+++ b/crates/journal/src/state.rs
@@ -1,4 +1,4 @@
-//! What the topic says, and the questions that it answers.
+//! The state computed from the topic.
 
 use crate::view::View;
 use indexmap::IndexMap;
@@ -9,54 +9,54 @@
 use std::sync::Arc;
 use stdx::data;
 
-/// What a record changed.
+/// The effect of applying a record or a state.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Change {
-    /// Nothing.
+    /// No change.
     Unchanged,
-    /// The record could not be read, or breaks a bound, and was passed over.
+    /// The input was skipped: it could not be decoded, exceeds a limit or would undo newer state.
     Invalid,
-    /// A rules file is in force.
+    /// A new rules file is in force.
     Rules,
-    /// This service has a new view; perhaps others too.
+    /// This service has a new view. Others may have one as well.
     View(Arc<str>),
-    /// Rules, views or both were taken from a peer.
+    /// Rules, views or both were adopted from a peer.
     Restored,
-    /// The offset or version was applied before.
+    /// The offset or version is not newer than what was already applied.
     Stale,
-    /// Records between [`State::next_offset`] and this offset are missing; nothing was applied.
+    /// Records between [`State::next_offset`] and this offset are missing. Nothing was applied.
     Gap,
 }
 
 data! {
-    /// What the topic says up to `next_offset`.
+    /// The state after all records before `next_offset`.
     #[derive(Default)]
     pub struct State {
-        /// The offset of the next record to fold.
+        /// The offset of the next record to apply.
         pub next_offset: u64,
         /// The version of the rules in force; 0 if there are none.
         pub version: u64,
-        /// The id of their publication.
+        /// The id of the publication of these rules.
         pub publication: u128,
-        /// Who published them.
+        /// The operator who published them.
         pub operator: Arc<str>,
-        /// The rules file in force.
+        /// The text of the rules file in force.
         pub file: Arc<str>,
-        /// Its parsed form; rebuilt from `file`.
+        /// The parsed form of `file`. Not serialised, but parsed again from `file`.
         #[serde(skip)]
         pub rules: Arc<Rules>,
         /// The current view of each service.
         pub views: IndexMap<Arc<str>, View>,
-        /// Incarnations that went, oldest first, and the offset at which they did. They never come
-        /// back.
+        /// Departed incarnations, oldest first, and the offset at which they departed. They never
+        /// join again.
         pub departed: IndexMap<Incarnation, u64>,
-        /// The newest departure of which the topic has no record any more.
+        /// The offset of the newest departure whose records were deleted from the topic.
         pub last_forgotten: Option<u64>,
     }
 }
 
 impl State {
-    /// How much of what nodes share this state has.
+    /// How current this state is.
     pub fn progress(&self) -> Progress {
         Progress {
             version: self.version,
@@ -64,12 +64,12 @@
         }
     }
 
-    /// Every instance of every service, as the views have them.
+    /// All instances in the current views of all services.
     pub fn instances(&self) -> impl Iterator<Item = &Instance> {
         self.views.values().flat_map(|view| &view.members)
     }
 
-    /// Whether a view names this incarnation.
+    /// Whether this incarnation is a member of a current view.
     pub fn is_listed(&self, incarnation: Incarnation) -> bool {
         self.instances()
             .any(|instance| instance.incarnation == incarnation)
--- a/crates/journal/src/view.rs
+++ b/crates/journal/src/view.rs
@@ -1,73 +1,81 @@
-//! The views of a service, and how one that skipped some of them catches up.
+//! The views of a service, and the recent changes that let a reader catch up on skipped views.
 
 use proto::Incarnation;
 use proto::Instance;
 use stdx::data;
 use stdx::plain;
 
-/// How many of its last steps a view remembers.
-const MAX_STEPS: usize = 16;
+/// Maximum number of recent changes that a view keeps.
+const MAX_RECENT_CHANGES: usize = 16;
 
 data! {
-    /// The order in which a service's instances came and went. The number only rises.
+    /// The members of a service at one point in the topic. The number only increases.
     #[derive(Default)]
     pub struct View {
-        /// The offset of the record that made this view.
+        /// The offset of the record that created this view.
         pub number: u64,
-        /// The members, oldest first.
+        /// The members, in the order of joining.
         pub members: Vec<Instance>,
-        /// Who went with this view, and how.
+        /// The members removed by this view, and how they departed.
         pub departed: Vec<(Incarnation, Departure)>,
-        /// The last steps that led here, oldest first.
+        /// The most recent changes that led to this view, oldest first.
         pub recent_changes: Vec<ViewChange>,
     }
 }
 
 data! {
-    /// One step from view to view.
+    /// The change from one view to the next.
     pub struct ViewChange {
-        /// The number of the view before; `None` for a service's first.
+        /// The number of the previous view; `None` for the first view of a service.
         pub previous: Option<u64>,
-        /// The number of the view that it made.
+        /// The number of the view that it created.
         pub number: u64,
-        /// Who went.
+        /// The members that departed, and how.
         pub departed: Vec<(Incarnation, Departure)>,
-        /// Who came.
+        /// The members that joined.
         pub joined: Vec<Instance>,
     }
 }
 
 plain! {
-    /// How a member went.
+    /// How a member departed.
     pub enum Departure {
-        /// As planned; it hands its records over.
+        /// It left as planned, and hands over its records.
         Left,
-        /// Taken for dead.
+        /// It was evicted because it was considered dead.
         Evicted,
     }
 }
 
 impl View {
-    /// Takes a member out, by the record at `offset`; `false` if it is none.
-    pub(crate) fn depart(&mut self, offset: u64, who: Incarnation, how: Departure) -> bool {
+    /// Removes a member because of the record at `offset`; returns `false` if it is not a member.
+    pub(crate) fn remove(
+        &mut self,
+        offset: u64,
+        incarnation: Incarnation,
+        departure: Departure,
+    ) -> bool {
         let before = self.members.len();
-        self.members.retain(|member| member.incarnation != who);
+        self.members
+            .retain(|member| member.incarnation != incarnation);
         if self.members.len() == before {
             return false;
         }
-        self.step(offset).departed.push((who, how));
-        self.departed.push((who, how));
+        self.change_at(offset)
+            .departed
+            .push((incarnation, departure));
+        self.departed.push((incarnation, departure));
         true
     }
 
-    /// Takes a member in, by the record at `offset`.
-    pub(crate) fn join(&mut self, offset: u64, instance: Instance) {
-        self.step(offset).joined.push(instance.clone());
+    /// Adds a member because of the record at `offset`.
+    pub(crate) fn add(&mut self, offset: u64, instance: Instance) {
+        self.change_at(offset).joined.push(instance.clone());
         self.members.push(instance);
     }
 
-    /// The views after `known` up to this one, oldest first; `None` if the steps do not reach back
-    /// so far.
+    /// The views after `known` up to this one, oldest first; `None` if [`View::recent_changes`]
+    /// does not reach back to `known`.
     ///
     /// # Examples
     ///
@@ -82,12 +90,12 @@
         let start = self
             .recent_changes
             .iter()
-            .position(|step| step.previous == Some(known.number))?;
+            .position(|change| change.previous == Some(known.number))?;
         Some(replay(known.clone(), &self.recent_changes[start..]))
     }
 
-    /// All views from the service's first up to this one; `None` if the steps do not reach back so
-    /// far.
+    /// All views from the first one of the service up to this one; `None` if
+    /// [`View::recent_changes`] does not reach back to the first.
     ///
     /// # Examples
     ///
@@ -96,19 +104,19 @@
     /// ```
     pub fn history(&self) -> Option<Vec<View>> {
         let first = self.recent_changes.first()?;
-        let whole = first.previous.is_none();
-        whole.then(|| replay(View::default(), &self.recent_changes))
+        let is_complete = first.previous.is_none();
+        is_complete.then(|| replay(View::default(), &self.recent_changes))
     }
 
-    /// The step of the record at `offset`, which may take one member out and another in.
-    fn step(&mut self, offset: u64) -> &mut ViewChange {
+    /// The change made by the record at `offset`, which may both remove and add a member.
+    fn change_at(&mut self, offset: u64) -> &mut ViewChange {
         if self
             .recent_changes
             .last()
-            .is_none_or(|step| step.number != offset)
+            .is_none_or(|change| change.number != offset)
         {
-            let previous = self.recent_changes.last().map(|step| step.number);
-            if self.recent_changes.len() == MAX_STEPS {
+            let previous = self.recent_changes.last().map(|change| change.number);
+            if self.recent_changes.len() == MAX_RECENT_CHANGES {
                 self.recent_changes.remove(0);
             }
             self.recent_changes.push(ViewChange {
@@ -125,14 +133,14 @@
     }
 }
 
-/// The views that the steps make, one after the other.
-fn replay(mut view: View, steps: &[ViewChange]) -> Vec<View> {
-    let views = steps.iter().map(|step| {
-        let gone = |who| step.departed.iter().any(|(gone, _)| *gone == who);
-        view.members.retain(|member| !gone(member.incarnation));
-        view.members.extend(step.joined.iter().cloned());
-        view.number = step.number;
-        view.departed = step.departed.clone();
+/// The views that result from applying the changes to `view` one after the other.
+fn replay(mut view: View, changes: &[ViewChange]) -> Vec<View> {
+    let views = changes.iter().map(|change| {
+        let has_left = |member| change.departed.iter().any(|(left, _)| *left == member);
+        view.members.retain(|member| !has_left(member.incarnation));
+        view.members.extend(change.joined.iter().cloned());
+        view.number = change.number;
+        view.departed = change.departed.clone();
         view.clone()
     });
     views.collect()
--- a/crates/journal/tests/fold.rs
+++ b/crates/journal/tests/fold.rs
@@ -1,4 +1,4 @@
-//! The fold, record by record: who wins, who is in, and what is passed over.
+//! Applying records one by one: conflicts, membership and skipped records.
 
 use bilberry_journal::Change;
 use bilberry_journal::Record;
@@ -48,18 +48,21 @@
     state
 }
 
-/// Folds the records; says who is in the views, by incarnation.
+/// Folds the records, and checks the members of all views by incarnation.
 fn check(records: &[Record], members: &[u64]) -> State {
     let state = fold(records);
-    let listed: Vec<u64> = state.instances().map(|i| i.incarnation.0).collect();
+    let listed: Vec<u64> = state
+        .instances()
+        .map(|instance| instance.incarnation.0)
+        .collect();
     assert_eq!(listed, members);
     state
 }
 
-/// A release that reads rules in another way puts a file in the store that this one cannot read. The
-/// rules that were in force stay; without any, a node would refuse every call.
+/// A release with a different rules parser publishes a file that this one cannot parse. The
+/// previous rules must stay in force; without any rules, a node would refuse every call.
 #[test]
-fn a_bad_file_changes_nothing_in_force() {
+fn an_invalid_rules_file_leaves_the_previous_rules_in_force() {
     let bad = Record::Publish {
         version: 2,
         publication: 2,
@@ -71,23 +74,23 @@
     assert_eq!((state.publication, &*state.operator), (1, "anna"));
 }
 
-/// An old publication is read again after a newer one. Were it put in force, rules that were
-/// replaced would come back.
+/// An old publication is read again after a newer one. It must not put replaced rules back in
+/// force.
 #[test]
-fn a_version_only_rises() {
+fn a_version_only_increases() {
     let state = check(&[publish(2, 5), publish(1, 4), publish(2, 6)], &[]);
     assert_eq!((state.version, state.publication), (2, 5));
 }
 
-/// Records are cut short, written twice, too large or not ours at all. A reader that stopped there,
-/// or that read them in its own way, would have other rules in force than the rest.
+/// Records are truncated, followed by trailing bytes, too large or foreign. A reader that stopped
+/// there or interpreted them differently would have other rules in force than the other readers.
 #[test]
-fn what_cannot_be_read_is_passed_over() {
+fn invalid_records_are_skipped() {
     let whole = proto::encode(&publish(1, 1));
     let trailing = [&whole[..], b"x"].concat();
     let mut long_name = instance(1, "press", 7001);
     long_name.region = "x".repeat(MAX_NAME_LEN + 1).into();
-    let broken = [
+    let invalid = [
         whole[..whole.len() - 1].to_vec(),
         trailing,
         vec![0xff; 64],
@@ -95,36 +98,36 @@
         proto::encode(&Record::Join(long_name)),
     ];
     let mut state = State::default();
-    for (record, offset) in broken.iter().zip(0..) {
+    for (record, offset) in invalid.iter().zip(0..) {
         assert_eq!(state.apply(offset, record), Change::Invalid, "{offset}");
         assert_eq!(state.next_offset, offset + 1);
     }
     assert_eq!(state.apply(state.next_offset, &whole), Change::Rules);
 }
 
-/// A node is stopped while its `Join` is on its way, and the `Leave` overtakes it. Taking the late
+/// A node stops while its `Join` is in flight, and the `Leave` overtakes it. Accepting the late
 /// `Join` would list a process that has ended.
 #[test]
-fn a_departed_incarnation_never_comes_back() {
+fn a_departed_incarnation_never_joins_again() {
     check(&[Record::Leave(Incarnation(1)), join(1)], &[]);
     check(&[join(1), Record::Leave(Incarnation(1)), join(1)], &[]);
     check(&[join(1), join(2), evict(1, 2), join(1)], &[2]);
 }
 
-/// The network splits a service and both halves take each other for dead. If both evictions
-/// counted, nobody would be left.
+/// A network partition splits a service, and both sides consider each other dead. If both evictions
+/// were applied, no member would be left.
 #[test]
-fn of_two_that_evict_each_other_one_stays() {
+fn one_of_two_members_that_evict_each_other_stays() {
     check(&[join(1), join(2), evict(2, 1), evict(1, 2)], &[1]);
     check(&[join(1), evict(1, 1), evict(1, 9)], &[1]);
 }
 
-/// A node is killed and another one starts at its address, for another service. Whoever still
-/// routed to the old one would reach the wrong backend server.
+/// A node is killed, and a node of another service starts at its address. Calls still routed to the
+/// old node would reach the wrong backend server.
 #[test]
-fn a_newcomer_takes_the_place_at_its_address() {
-    let newcomer = Record::Join(instance(2, "order", 7001));
-    let state = check(&[join(1), newcomer], &[2]);
+fn a_joining_instance_evicts_the_member_at_its_address() {
+    let joining = Record::Join(instance(2, "order", 7001));
+    let state = check(&[join(1), joining], &[2]);
     assert_eq!(state.view("press").unwrap().number, 1);
     check(&[join(1), Record::Join(instance(2, "press", 7001))], &[2]);
 }
