--- a/crates/journal/tests/fold.rs
+++ b/crates/journal/tests/fold.rs
@@ -86,12 +86,12 @@
 /// there or interpreted them differently would have other rules in force than the other readers.
 #[test]
 fn invalid_records_are_skipped() {
-    let whole = proto::encode(&publish(1, 1));
-    let trailing = [&whole[..], b"x"].concat();
+    let valid = proto::encode(&publish(1, 1));
+    let trailing = [&valid[..], b"x"].concat();
     let mut long_name = instance(1, "press", 7001);
     long_name.region = "x".repeat(MAX_NAME_LEN + 1).into();
     let invalid = [
-        whole[..whole.len() - 1].to_vec(),
+        valid[..valid.len() - 1].to_vec(),
         trailing,
         vec![0xff; 64],
         vec![0; MAX_RECORD_LEN + 1],
@@ -102,7 +102,7 @@
         assert_eq!(state.apply(offset, record), Change::Invalid, "{offset}");
         assert_eq!(state.next_offset, offset + 1);
     }
-    assert_eq!(state.apply(state.next_offset, &whole), Change::Rules);
+    assert_eq!(state.apply(state.next_offset, &valid), Change::Rules);
 }
 
 /// A node stops while its `Join` is in flight, and the `Leave` overtakes it. Accepting the late
--- a/crates/policy/src/admission_level.rs
+++ b/crates/policy/src/admission_level.rs
@@ -13,8 +13,8 @@
 //! stood idle half of the time.
 
 use crate::priority_bands::Group;
-use crate::priority_bands::PROBES;
-use crate::priority_bands::PROTECTED;
+use crate::priority_bands::MIN_PROTECTED_VALUE;
+use crate::priority_bands::PROBE_SHARE;
 use crate::PriorityBands;
 use crate::WorkItem;
 use indexmap::IndexMap;
@@ -51,7 +51,7 @@
 pub fn admission_value(class: Class, random_value: u16) -> u16 {
     let half = random_value >> 1;
     if class.is_protected() {
-        PROTECTED | half
+        MIN_PROTECTED_VALUE | half
     } else {
         half
     }
@@ -89,11 +89,11 @@
 /// ```
 pub fn retry_delay(level: u16, class: Class, random_value: u16) -> Duration {
     let shed = if class.is_protected() {
-        level.saturating_sub(PROTECTED)
+        level.saturating_sub(MIN_PROTECTED_VALUE)
     } else {
-        level.min(PROTECTED)
+        level.min(MIN_PROTECTED_VALUE)
     };
-    let admitted = 1.0 - f64::from(shed) / f64::from(PROTECTED);
+    let admitted = 1.0 - f64::from(shed) / f64::from(MIN_PROTECTED_VALUE);
     BASE_RETRY_DELAY.mul_f64(retry_jitter(random_value) / admitted.max(0.1))
 }
 
@@ -163,7 +163,7 @@
     pub(crate) fn record_offered(&mut self, now: Time, item: &WorkItem, slot_time: Duration) {
         let group = Group::new(item.class, item.priority);
         // Calls of actions admitted earlier still arrive after their group was shed entirely.
-        let share = self.bands.share(group, item.passed_level).max(PROBES);
+        let share = self.bands.share(group, item.passed_level).max(PROBE_SHARE);
         if !self.offered.contains_key(&group) {
             self.offered.insert_sorted(group, OfferedLoad::default());
         }
--- a/crates/policy/src/failure_share.rs
+++ b/crates/policy/src/failure_share.rs
@@ -6,7 +6,7 @@
 
 /// Each finished run has a weight of one in this many in the moving average: at 40 runs per second,
 /// half of a change is visible after 0.3 s.
-const SMOOTHING: f32 = 16.0;
+const SMOOTHING_WINDOW: f32 = 16.0;
 
 /// Without new results the share halves in this time, so that a server that receives no more work
 /// is tried again. Long enough that one failure among few runs does not make the share rise and
@@ -32,7 +32,7 @@
 }
 
 impl FailureShare {
-    /// Takes the outcome of a run.
+    /// Records the outcome of a run.
     pub(crate) fn record(&mut self, now: Time, outcome: WorkOutcome) {
         let failed = match outcome {
             WorkOutcome::Refused | WorkOutcome::Lost | WorkOutcome::Unreachable => 1.0,
@@ -41,7 +41,7 @@
             WorkOutcome::Failed | WorkOutcome::Abandoned { .. } => return,
         };
         self.decay(now);
-        self.share += (failed - self.share) / SMOOTHING;
+        self.share += (failed - self.share) / SMOOTHING_WINDOW;
     }
 
     /// The penalty to add to the server's load, in thousandths of its limit.
--- a/crates/policy/src/instance_selector.rs
+++ b/crates/policy/src/instance_selector.rs
@@ -305,20 +305,20 @@
         let reported = self.weighted(now, self.report.utilisation, UNKNOWN_LOAD);
         let estimate = reported + self.sent_since_report * 1000 / limit;
         let load = estimate.max(self.in_flight * 1000 / limit);
-        load * self.cold_divisor(now)
+        load * self.warm_up_factor(now)
     }
 
     /// A reported value that changes linearly into `unknown` as the report ages.
     fn weighted(&self, now: Time, reported: u16, unknown: u32) -> u32 {
         let age = self.reported_at.map_or(REPORT_LIFETIME, |at| now.since(at));
         let lifetime = REPORT_LIFETIME.as_millis() as u32;
-        let left = lifetime.saturating_sub(age.as_millis() as u32);
-        (u32::from(reported) * left + unknown * (lifetime - left)) / lifetime
+        let remaining = lifetime.saturating_sub(age.as_millis() as u32);
+        (u32::from(reported) * remaining + unknown * (lifetime - remaining)) / lifetime
     }
 
     /// Factor by which the load of a new instance is multiplied; it falls to 1 during [`WARM_UP`].
     /// A new instance has cold caches, and its limit is not known yet.
-    fn cold_divisor(&self, now: Time) -> u32 {
+    fn warm_up_factor(&self, now: Time) -> u32 {
         let age = self.new_since.map_or(WARM_UP, |at| now.since(at));
         let warm = WARM_UP.as_millis() as u32;
         let age = (age.as_millis() as u32).clamp(warm / COLD_DIVISOR, warm);
--- a/crates/policy/src/lookup_hold.rs
+++ b/crates/policy/src/lookup_hold.rs
@@ -16,7 +16,7 @@
 }
 
 impl LookupHold {
-    /// A protected call was refused for load.
+    /// Starts or extends the hold, because a protected call was refused for load.
     pub(crate) fn begin(&mut self, now: Time) {
         self.until = Some(now + MIN_HOLD);
         self.last_refusal = now;
--- a/crates/policy/src/priority_bands.rs
+++ b/crates/policy/src/priority_bands.rs
@@ -5,7 +5,7 @@
 use stdx::plain;
 
 /// The lowest admission value of protected classes.
-pub(crate) const PROTECTED: u16 = 0x8000;
+pub(crate) const MIN_PROTECTED_VALUE: u16 = 0x8000;
 
 /// The share of the remaining range that all more urgent priorities have together. The least urgent
 /// priority is shed most often, so it has most of the range and can be shed in fine steps.
@@ -13,11 +13,11 @@
 
 /// The share of each priority that has the highest values of its half of the range. While the rest
 /// is shed, these probes show how much load is offered and when there is capacity again.
-pub(crate) const PROBES: f64 = 1.0 / 64.0;
+pub(crate) const PROBE_SHARE: f64 = 1.0 / 64.0;
 
 /// Number of values in one half of the range: the lower one is for lookups, the upper one for
 /// protected classes.
-const HALF: f64 = PROTECTED as f64;
+const HALF_RANGE: f64 = MIN_PROTECTED_VALUE as f64;
 
 plain! {
     /// Actions that are shed together. Sorted with the most urgent first.
@@ -93,33 +93,33 @@
         let band = self.band(Group::new(class, priority));
         let range = f64::from(u16::MAX) + 1.0;
         let position = f64::from(random_value) / range;
-        if band == Band::WHOLE || position >= 1.0 - PROBES {
+        if band == Band::WHOLE || position >= 1.0 - PROBE_SHARE {
             return random_value;
         }
-        ((band.from * (1.0 - PROBES) + position * band.width()) * range) as u16
+        ((band.from * (1.0 - PROBE_SHARE) + position * band.width()) * range) as u16
     }
 
     /// The share of a group that a level admits.
     pub(crate) fn share(&self, group: Group, level: u16) -> f64 {
         let position = match group.is_lookup {
-            true => f64::from(level) / HALF,
-            false => f64::from(level.saturating_sub(PROTECTED)) / HALF,
+            true => f64::from(level) / HALF_RANGE,
+            false => f64::from(level.saturating_sub(MIN_PROTECTED_VALUE)) / HALF_RANGE,
         };
         if position >= 1.0 {
             return 0.0;
         }
         let band = self.band(group);
-        let admitted = (band.to - position / (1.0 - PROBES)) / band.width();
-        PROBES + (1.0 - PROBES) * admitted.clamp(0.0, 1.0)
+        let admitted = (band.to - position / (1.0 - PROBE_SHARE)) / band.width();
+        PROBE_SHARE + (1.0 - PROBE_SHARE) * admitted.clamp(0.0, 1.0)
     }
 
     /// The level that admits no more than `capacity` of these loads, which are sorted with the most
     /// urgent first.
     pub(crate) fn level(&self, loads: &[(Group, f64)], capacity: f64) -> u16 {
         let total: f64 = loads.iter().map(|(_, load)| load).sum();
-        let mut remaining = capacity - total * PROBES;
+        let mut remaining = capacity - total * PROBE_SHARE;
         for (group, load) in loads {
-            let load = load * (1.0 - PROBES);
+            let load = load * (1.0 - PROBE_SHARE);
             if load > remaining {
                 return self.level_for(*group, remaining.max(0.0) / load);
             }
@@ -131,12 +131,12 @@
     /// The level that admits this share of a group in addition to its probes.
     fn level_for(&self, group: Group, share: f64) -> u16 {
         let band = self.band(group);
-        let position = (band.to - share * band.width()) * (1.0 - PROBES);
+        let position = (band.to - share * band.width()) * (1.0 - PROBE_SHARE);
         let base = match group.is_lookup {
             true => 0,
-            false => PROTECTED,
+            false => MIN_PROTECTED_VALUE,
         };
-        base + (position * HALF) as u16
+        base + (position * HALF_RANGE) as u16
     }
 
     fn band(&self, group: Group) -> Band {
--- a/crates/policy/src/quarantine.rs
+++ b/crates/policy/src/quarantine.rs
@@ -74,7 +74,7 @@
 }
 
 impl<K: Hash + Eq + Clone> Quarantine<K> {
-    /// Whether no request is suspected, so that lookups can be skipped.
+    /// Whether no request is suspected, so that [`Self::verdict`] need not be called.
     pub fn is_empty(&self) -> bool {
         self.suspects.is_empty()
     }
--- a/crates/policy/src/reported_level.rs
+++ b/crates/policy/src/reported_level.rs
@@ -10,11 +10,11 @@
 
 /// A level is kept unchanged for this long without a report, because reports are rare while few
 /// calls pass.
-const HOLD: Duration = Duration::from_millis(500);
+const HOLD_TIME: Duration = Duration::from_millis(500);
 
 /// Without further reports the level then falls by one half of the range in this time. Otherwise an
 /// instance that receives no calls because of its level would never report again.
-const DECAY: Duration = Duration::from_secs(2);
+const DECAY_TIME: Duration = Duration::from_secs(2);
 
 /// One half of the range of levels.
 const HALF_RANGE: f64 = 32_768.0;
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Takes a reported level.
+    /// Applies a reported level.
     pub fn observe(&mut self, now: Time, level: u16) {
         let reported = f64::from(level);
         // At least 1 ms, so that several reports at the same time each have some weight.
@@ -60,13 +60,13 @@
 
     /// Whether a report was received recently.
     pub fn is_fresh(&self, now: Time) -> bool {
-        now.since(self.updated) < DECAY
+        now.since(self.updated) < DECAY_TIME
     }
 
     /// The current level, decayed if no report was received recently.
     pub fn get(&self, now: Time) -> u16 {
-        let silence = now.since(self.updated).saturating_sub(HOLD);
-        let decay = silence.as_secs_f64() / DECAY.as_secs_f64() * HALF_RANGE;
+        let silence = now.since(self.updated).saturating_sub(HOLD_TIME);
+        let decay = silence.as_secs_f64() / DECAY_TIME.as_secs_f64() * HALF_RANGE;
         (self.level - decay).max(0.0) as u16
     }
 }
--- a/crates/policy/src/slowdown.rs
+++ b/crates/policy/src/slowdown.rs
@@ -32,8 +32,7 @@
 /// The ratio of recent run times to the usual ones.
 ///
 /// The load of a slow server looks like that of a busy one, so by load alone it is given up to as
-/// many concurrent calls as a normal one, and a lookup with eight reads nearly always hits a slow
-/// server if one in six is slow. At five times the usual time every such lookup is late.
+/// many concurrent calls as a normal one, and a lookup with eight reads nearly always hits one of six slow servers. At five times the usual time every such lookup is late.
 #[derive(Debug)]
 pub(crate) struct Slowdown {
     /// Mean own time in seconds and number of runs, by class.
--- a/crates/policy/src/work.rs
+++ b/crates/policy/src/work.rs
@@ -35,7 +35,7 @@
 pub enum AdmissionDecision {
     /// Start it now.
     Start,
-    /// It is queued; a later call of [`ServerAdmission::next_decision`] returns the decision.
+    /// It is queued; a later call of [`crate::ServerAdmission::next_decision`] returns the decision.
     Queued,
     /// It must not run.
     Refused(Refusal),
