--- a/crates/proto/src/answer.rs
+++ b/crates/proto/src/answer.rs
@@ -1,4 +1,4 @@
-//! What a call ends with.
+//! The result of a call: outcome, refusal reason and load report.
 
 use crate::Response;
 use std::time::Duration;
@@ -6,20 +6,21 @@
 use stdx::plain;
 
 data! {
-    /// The three ways a call can end.
+    /// How a call ended.
     pub enum Outcome {
-        /// The backend server's whole response.
+        /// The complete response of the backend server.
         Completed(Response),
-        /// The work was never handed to a backend server, or the server's documented refusal came
-        /// back whole.
+        /// The request was not executed: it never reached a backend server, or the server rejected
+        /// it with its documented refusal response.
         NotRun(Refusal),
-        /// The work may have run or may still run; the caller must not assume either.
+        /// The request may have been executed or may still be running; the caller must assume
+        /// neither.
         Unknown(Reason),
     }
 }
 
 impl Outcome {
-    /// The name in headers and metrics.
+    /// Returns the name used in headers and metrics.
     ///
     /// # Examples
     ///
@@ -31,7 +32,8 @@
     pub fn name(&self) -> &'static str {
         match self {
             Outcome::Completed(_) => "whole",
-            // An earlier attempt may have run; the caller must not take it for undone.
+            // An earlier attempt may have been executed, so the caller must not treat the request
+            // as not run.
             Outcome::NotRun(refusal) if refusal.attempt_only => "unknown",
             Outcome::NotRun(_) => "not-run",
             Outcome::Unknown(_) => "unknown",
@@ -40,20 +42,21 @@
 }
 
 plain! {
-    /// Why a call was not run, and when it is worth coming back.
+    /// Why a call was not executed, and when to retry it.
     pub struct Refusal {
-        /// The reason, one counter each.
+        /// The reason; each has its own counter.
         pub reason: Reason,
-        /// When to come back, in milliseconds; goes out as `Retry-After`, rounded up to seconds.
+        /// Delay before a retry, in milliseconds. Sent as `Retry-After`, rounded up to whole
+        /// seconds.
         pub retry_after_ms: u32,
-        /// Only this attempt certainly did not run. An earlier one with the same key may have:
-        /// nobody who knows the key's record was asked.
+        /// Only this attempt is known not to have run. An earlier attempt with the same key may
+        /// have been executed, because no node holding the key's record was consulted.
         pub attempt_only: bool,
     }
 }
 
 impl Refusal {
-    /// A refusal with the time after which to come back.
+    /// Creates a refusal that suggests retrying after `retry_after`.
     pub fn new(reason: Reason, retry_after: Duration) -> Self {
         Self {
             reason,
@@ -62,7 +65,7 @@
         }
     }
 
-    /// The same refusal, for a key whose record was not looked at.
+    /// Limits the refusal to this attempt, for a key whose record was not looked up.
     ///
     /// # Examples
     ///
@@ -82,68 +85,70 @@
 }
 
 plain! {
-    /// Why a call ended without a whole answer. Each has a counter of its own.
+    /// Why a call ended without a complete response. Each reason has its own counter.
     #[derive(Hash, PartialOrd, Ord)]
     pub enum Reason {
-        /// Shed for load by admission level.
+        /// Rejected by load shedding, according to the admission level.
         Shed,
-        /// The queue of the backend server is full, or the wait in it would pass the deadline.
+        /// The backend server's queue is full, or the expected queueing time exceeds the deadline.
         QueueFull,
-        /// The deadline passed.
+        /// The deadline expired.
         Deadline,
-        /// This node is leaving.
+        /// This node is shutting down.
         Draining,
         /// No live instance of the service is known.
         NoInstance,
-        /// The key's slot is on its way to another node, or this node is not its home.
+        /// The key's slot is being transferred to another node, or this node is not the slot's
+        /// home.
         Moving,
-        /// The key's home holds no valid lease.
+        /// The home node of the key holds no valid lease.
         NoLease,
-        /// The node has no configuration in force yet.
+        /// The node has no rules in force yet.
         NoRules,
-        /// A bounded table is full.
+        /// A table has reached its size limit.
         TableFull,
-        /// The request crashed backend servers before.
+        /// The request has crashed backend servers before.
         Quarantined,
-        /// The key was used before for another request.
+        /// The key was already used for a different request.
         KeyMismatch,
         /// The key is malformed or too long.
         BadKey,
         /// The request is malformed.
         BadRequest,
-        /// The head or body is larger than allowed.
+        /// The request head or body exceeds the size limit.
         TooLarge,
-        /// No rule names the service or the operation.
+        /// No rule matches the service or operation.
         NoSuchOperation,
-        /// The backend server refused the work by its documented refusal.
+        /// The backend server rejected the request with its documented refusal response.
         ServerRefused,
-        /// The other node could not be reached, or the connection was lost.
+        /// The other node was unreachable, or the connection to it was lost.
         PeerLost,
-        /// The backend server could not be reached, or broke off.
+        /// The backend server was unreachable, or closed the connection before it had answered.
         ServerLost,
-        /// The record of the key was lost with its home, or its run ended unknown.
+        /// The record of the key was lost with its home node, or the outcome of its run is unknown.
         RecordLost,
-        /// The caller re-sent more often than the edge allows.
+        /// The caller exceeded the limit on re-sent requests at the entry node.
         ResendLimit,
-        /// The caller went away.
+        /// The caller disconnected.
         CallerGone,
-        /// The run that made this call is over.
+        /// The run that made this call has already ended.
         ParentGone,
-        /// The call would be a retry, and the retries of the action are spent.
+        /// The call would be a retry, but the action's retry allowance is spent.
         AllowanceSpent,
-        /// The request names no organisation by a key that the rules hold.
+        /// The request carries no API key of an organisation in the rules.
         UnknownOrganisation,
-        /// The organisation has used up its quota.
+        /// The organisation has exhausted its quota.
         QuotaExceeded,
-        /// Whether the organisation has quota left could not be found out in time.
+        /// The node could not determine in time whether the organisation has quota left.
         QuotaUnknown,
-        /// The rules here were not confirmed as the newest lately, so keys may have been revoked.
+        /// This node's rules have not recently been confirmed as the newest version, so API keys
+        /// may have been revoked in the meantime.
         RulesUnconfirmed,
     }
 }
 
 impl Reason {
-    /// Every reason, for counters and tests.
+    /// All reasons, for counters and tests.
     pub const ALL: [Reason; 27] = [
         Reason::Shed,
         Reason::QueueFull,
@@ -174,7 +179,7 @@
         Reason::RulesUnconfirmed,
     ];
 
-    /// The name in counters, headers and logs.
+    /// Returns the name used in counters, headers and logs.
     ///
     /// # Examples
     ///
@@ -213,7 +218,7 @@
         }
     }
 
-    /// Whether sending the same request again can never help.
+    /// Whether the request itself is at fault, so that sending it again unchanged cannot succeed.
     pub fn is_client_error(self) -> bool {
         matches!(
             self,
@@ -228,45 +233,48 @@
 }
 
 data! {
-    /// A call's outcome, with what the node that gives it says about itself.
+    /// The outcome of a call, together with the state of the node that answers.
     pub struct Answer {
         /// How the call ended.
         pub outcome: Outcome,
-        /// The part of the lent retry allowance that was not spent.
+        /// Retries of [`Call::retry_allowance`](crate::Call::retry_allowance) that were not used.
         pub unspent_retries: u16,
-        /// The load of the instance that answers.
+        /// The load of the answering instance.
         pub load: LoadReport,
-        /// What the run met in the calls that it made.
+        /// Summary of the calls that the run made.
         pub downstream: DownstreamSummary,
     }
 }
 
 plain! {
-    /// What a run met in the calls that it made, and they in theirs.
+    /// Summary of all calls in the call tree below a run.
     #[derive(Default)]
     pub struct DownstreamSummary {
-        /// The highest admission level, so that the first hop sheds what a deeper service would.
+        /// The highest admission level in the tree. The entry node uses it to shed actions that a
+        /// service further down would shed.
         pub level: u16,
-        /// How many calls there were.
+        /// The number of calls.
         pub calls: u16,
     }
 }
 
 plain! {
-    /// What a node measured of its own backend server. The server's own word is only a hint in it.
+    /// Load of a backend server as measured by the node beside it. Load that the server reports
+    /// about itself is only a hint.
     #[derive(Default)]
     pub struct LoadReport {
-        /// Work running and queued, in thousandths of the concurrency limit.
+        /// Running and queued requests, in thousandths of the concurrency limit.
         pub utilisation: u16,
-        /// What the server fails of its work, and how much slower than usual it is, as if it were
-        /// load, in the same unit: it keeps calls away also while there is room.
+        /// Penalty for failed requests and above-normal latency, in the unit of `utilisation`. It
+        /// diverts calls from the server even while it has spare capacity.
         pub penalty: u16,
-        /// The admission level of the service here: an action passes when its random value is at
-        /// or above it. 0 admits all; lookups use the lower half of the range, all else the upper.
+        /// The admission level of the service on this node. An action is admitted if its random
+        /// value is at or above the level; 0 admits all. Lookups use the lower half of the range,
+        /// all other classes the upper half.
         pub level: u16,
         /// The current concurrency limit, in calls.
         pub limit: u16,
-        /// The node is leaving and takes nothing new.
+        /// The node is shutting down and accepts no new calls.
         pub draining: bool,
     }
 }
--- a/crates/proto/src/codec.rs
+++ b/crates/proto/src/codec.rs
@@ -1,14 +1,14 @@
-//! Encoding of messages by `postcard`.
+//! Encoding of messages with `postcard`.
 
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 
-/// Why bytes are not a message.
+/// Why bytes could not be decoded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DecodeError {
-    /// The bytes end early or hold no such message.
+    /// The bytes are truncated or not a valid message.
     Malformed,
-    /// Bytes are left after the message.
+    /// The message is followed by further bytes.
     TrailingBytes,
 }
 
@@ -16,7 +16,7 @@
 ///
 /// # Panics
 ///
-/// Never for the messages of this package: they hold nothing that `postcard` refuses.
+/// Never for the messages of this package, which contain only types that `postcard` can encode.
 ///
 /// # Examples
 ///
@@ -30,7 +30,7 @@
     postcard::to_stdvec(message).expect("plain messages always encode")
 }
 
-/// Decodes a message that takes up all of `bytes`.
+/// Decodes a message that occupies all of `bytes`.
 ///
 /// # Errors
 ///
--- a/crates/proto/src/datagram.rs
+++ b/crates/proto/src/datagram.rs
@@ -1,4 +1,4 @@
-//! What nodes say to each other over UDP.
+//! Messages between nodes over UDP.
 
 use crate::Incarnation;
 use crate::MemberMessage;
@@ -7,18 +7,18 @@
 use stdx::plain;
 
 plain! {
-    /// How much a node has of what nodes share through the store.
+    /// How far a node has caught up with the state that nodes share through the store.
     #[derive(Default)]
     pub struct SyncProgress {
-        /// The version of the rules in force; 0 before there are any.
+        /// The version of the rules in force; 0 if there are none yet.
         pub rules_version: u64,
-        /// The next offset of the topic of views that it lacks.
+        /// Offset of the next record to read from the topic of views.
         pub next_offset: u64,
     }
 }
 
 impl SyncProgress {
-    /// Whether this has anything that `other` lacks.
+    /// Whether this is ahead of `other` in at least one field.
     ///
     /// # Examples
     ///
@@ -34,34 +34,34 @@
 }
 
 data! {
-    /// One datagram. Any of them may be lost, late, repeated or out of order.
+    /// A UDP message. Datagrams may be lost, delayed, duplicated or reordered.
     pub enum Datagram {
         /// Membership.
         Member {
-            /// [`crate::PROTOCOL_VERSION`] of the sender.
+            /// The sender's [`crate::PROTOCOL_VERSION`].
             version: u16,
-            /// What the sender knows; a receiver that knows less asks it.
+            /// The sender's progress; a receiver that is behind requests the missing state.
             progress: SyncProgress,
             /// The message.
             message: MemberMessage,
         },
         /// Leases within a service.
         Lease {
-            /// [`crate::PROTOCOL_VERSION`] of the sender.
+            /// The sender's [`crate::PROTOCOL_VERSION`].
             version: u16,
             /// The message.
             message: LeaseMessage,
         },
-        /// How fresh the rules of a node are.
+        /// Freshness of the rules on a node.
         Freshness {
-            /// [`crate::PROTOCOL_VERSION`] of the sender.
+            /// The sender's [`crate::PROTOCOL_VERSION`].
             version: u16,
             /// The message.
             message: FreshnessMessage,
         },
         /// Quotas of organisations.
         Quota {
-            /// [`crate::PROTOCOL_VERSION`] of the sender.
+            /// The sender's [`crate::PROTOCOL_VERSION`].
             version: u16,
             /// The message.
             message: QuotaMessage,
@@ -70,110 +70,115 @@
 }
 
 plain! {
-    /// How a home keeps its right to start work: by a quorum of its service's view.
+    /// How the home node of a slot renews its lease, which permits it to start runs. A lease needs
+    /// grants from a quorum of the nodes in the service's view.
     pub enum LeaseMessage {
-        /// Asks for the lease.
+        /// Requests a lease.
         Request {
-            /// Who asks.
+            /// The requesting node.
             from: Incarnation,
             /// The newest view that the sender knows.
             view: u64,
-            /// Counts the sender's rounds; a grant names the round it answers.
+            /// Incremented by the sender for each round of requests; a grant repeats it.
             round: u64,
         },
-        /// Says which view the granter is in. A granter that has seen a newer view than the asker
-        /// grants it nothing until the asker has caught up.
+        /// Reports the granter's view. A granter that knows a newer view than the requester grants
+        /// nothing until the requester has caught up.
         Grant {
-            /// Who grants.
+            /// The granting node.
             from: Incarnation,
-            /// Who asked. A restarted node at the same address counts its rounds anew and would
-            /// otherwise take a late grant to its predecessor for its own.
+            /// The requesting node. A node that restarts at the same address counts its rounds from
+            /// the start, and without this field would accept a late grant meant for its previous
+            /// incarnation.
             to: Incarnation,
             /// The newest view that the granter knows.
             view: u64,
             /// All views below this one are fenced, as far as the granter knows.
             fenced_below: u64,
-            /// The round that is answered.
+            /// The round of the request.
             round: u64,
-            /// Milliseconds since the granter, or whoever told it, began to read the log to its end.
+            /// Milliseconds since the granter, or the node that it got its state from, began
+            /// reading the log to its end.
             log_age_ms: u32,
-            /// Whether the granter lends its votes: it knows no view newer than the asker's.
+            /// Whether the granter gives its vote, which it does if it knows no newer view than the
+            /// requester.
             granted: bool,
         },
     }
 }
 
 plain! {
-    /// How a node finds out that its rules are the newest without reading the store itself.
+    /// How a node confirms that its rules are the newest version without querying the store itself.
     pub enum FreshnessMessage {
-        /// Asks for a [`FreshnessMessage::Report`].
+        /// Requests a [`FreshnessMessage::Report`].
         Query {
-            /// Repeated in the report. The asker counts the report's age from the time at which it
-            /// sent this number, so that a report that was held up on its way does not look newer
-            /// than it is.
+            /// Repeated in the report. The sender measures the age of the report from the time at
+            /// which it sent this query, so that a delayed report does not appear fresher than it
+            /// is.
             request_id: u64,
         },
         /// Answers a query.
         Report {
-            /// The query's.
+            /// The `request_id` of the query.
             request_id: u64,
             /// The version of the rules that the sender holds.
             rules: u64,
-            /// Milliseconds from the time at which `rules` is known to have been the newest version to
-            /// the time at which the query was handled.
+            /// Milliseconds between the last time at which `rules` was known to be the newest
+            /// version and the handling of the query.
             age_ms: u32,
         },
     }
 }
 
 data! {
-    /// How the quotas of organisations are kept over the whole fleet.
+    /// How the quota of an organisation is shared by all nodes.
     pub enum QuotaMessage {
-        /// Asks a lender for tokens, and may lend it the sender's vote.
+        /// Requests tokens from a lender and may give it the sender's vote.
         Borrow {
-            /// Who asks.
+            /// The requesting node.
             from: Incarnation,
-            /// Who is asked. Another incarnation at the address knows nothing of earlier votes.
+            /// The lender. Another incarnation at the same address has no record of earlier votes.
             to: Incarnation,
-            /// Which group of organisations this is about.
+            /// The group of organisations concerned.
             group: u8,
             /// Repeated in the answer.
             request_id: u64,
-            /// The stamp of the lender's last answer, if the sender lends it its vote; else 0. The lender
-            /// counts the vote from the time at which it gave out the stamp.
+            /// The stamp of the lender's last answer if the sender gives it its vote, else 0. The
+            /// lender dates the vote from the time at which it issued the stamp.
             vote_stamp: u64,
-            /// How many tokens the sender asks for, by organisation.
+            /// The number of tokens requested for each organisation.
             wanted: Vec<(OrganisationId, u16)>,
         },
         /// Answers a borrower.
         Lend {
-            /// Who lends.
+            /// The lender.
             from: Incarnation,
-            /// Who asked.
+            /// The requesting node.
             to: Incarnation,
-            /// Which group of organisations this is about.
+            /// The group of organisations concerned.
             group: u8,
-            /// The request's.
+            /// The `request_id` of the request.
             request_id: u64,
-            /// To be returned with a vote; 0 if the lender takes none.
+            /// To be sent back with a vote; 0 if the lender accepts none.
             stamp: u64,
-            /// What is lent, by organisation.
+            /// The tokens lent, by organisation.
             loans: Vec<Loan>,
         },
     }
 }
 
 plain! {
-    /// Tokens of an organisation's quota, each of which admits one request.
+    /// Tokens of an organisation's quota. Each admits one request.
     pub struct Loan {
-        /// Which organisation.
+        /// The organisation.
         pub organisation: OrganisationId,
-        /// How many.
+        /// The number of tokens.
         pub tokens: u16,
-        /// If these are fewer than were asked for: milliseconds until the lender expects to have the next
-        /// one; else 0.
+        /// Estimated milliseconds until the lender has the next token, if fewer tokens were lent
+        /// than requested; else 0.
         pub wait_ms: u16,
-        /// The lender has most of the organisation's burst in hand, so that tokens may be kept in reserve.
+        /// The lender holds most of the organisation's burst, so that the borrower may keep tokens
+        /// in reserve.
         pub has_surplus: bool,
     }
 }
--- a/crates/proto/src/frame.rs
+++ b/crates/proto/src/frame.rs
@@ -1,4 +1,4 @@
-//! What nodes say to each other over TCP.
+//! Messages between nodes over TCP.
 
 use crate::ActionId;
 use crate::Answer;
@@ -15,115 +15,116 @@
 use stdx::data;
 use stdx::plain;
 
-/// The version of frames and datagrams; others are refused and counted.
+/// Version of frames and datagrams. Messages of other versions are rejected and counted.
 pub const PROTOCOL_VERSION: u16 = 5;
 
 data! {
-    /// One frame. The shell adds the length in front.
+    /// A message on a TCP connection between nodes. The transport adds the length prefix.
     pub enum Frame {
-        /// The first frame each way.
+        /// The first frame in each direction.
         Hello {
-            /// [`PROTOCOL_VERSION`] of the sender.
+            /// The sender's [`PROTOCOL_VERSION`].
             version: u16,
             /// The sender.
             from: Incarnation,
-            /// The receiver that the sender expects; a newer incarnation at that address says so
-            /// by its own `Hello` and the connection is closed.
+            /// The receiver that the sender expects. If another incarnation runs at that address,
+            /// its own `Hello` reveals that and the connection is closed.
             to: Option<Incarnation>,
         },
-        /// Asks whether the other end still hears; sent when nothing else was.
+        /// Keepalive; sent when the connection was otherwise idle.
         Ping(u64),
         /// Answers a [`Frame::Ping`].
         Pong(u64),
-        /// A call. A second one with the same id attaches to the first.
+        /// A call. A second frame with the same id attaches to the call in progress.
         Call(Box<Call>),
-        /// The end of the call with this id.
+        /// The answer to the call with this id.
         Answer(CallId, Box<Answer>),
-        /// The caller has gone: work that may be cancelled is.
+        /// The caller disconnected; work that can be cancelled is cancelled.
         Cancel(CallId),
-        /// A slot of the key space changes hands.
+        /// Transfers a slot of the key space to its new home node.
         Transfer(Box<SlotTransfer>),
-        /// The slot's new holder has it.
+        /// The new home node has received the whole slot.
         TransferAck {
             /// The slot.
             slot: u16,
-            /// The view that moved it.
+            /// The view that moved the slot.
             view: u64,
         },
-        /// The sender's backend server broke off while this request ran: to the nodes of the
-        /// service, so that a request that crashes servers is soon refused by all of them.
+        /// The sender's backend server crashed while running this request. Sent to the nodes of the
+        /// service, so that all of them soon refuse a request that crashes servers.
         CrashReport {
             /// The service.
             service: std::sync::Arc<str>,
             /// The request.
             request: Fingerprint,
-            /// How often it did so at the sender.
+            /// Number of crashes at the sender.
             crashes: u32,
         },
-        /// A run has ended whose record moved to the receiver while it was under way.
+        /// A run has ended whose record was transferred to the receiver while it was in progress.
         RunFinished(Box<KeyRecord>),
-        /// The receiver of [`Frame::RunFinished`] has put it in its records.
+        /// The receiver of [`Frame::RunFinished`] has stored the record.
         RunFinishedAck(KeyHash),
-        /// Asks for what the receiver knows beyond this, from a node that the store does not answer.
+        /// Requests state newer than this; sent by a node that gets no answer from the store.
         FetchState(SyncProgress),
-        /// The receiver's state, encoded by the journal package.
+        /// The receiver's state, as encoded by the journal package.
         State(Bytes),
-        /// Asks for the status page; from the operator's tool.
+        /// Requests the status page; sent by `bilberryctl`.
         FetchStatus,
-        /// The status page: lines of a key and a value.
+        /// The status page, as lines of a key and a value.
         Status(Bytes),
-        /// The call with this id runs and has no answer after a time after which others do.
+        /// The call with this id is running and has exceeded the usual latency of its operation, so
+        /// the caller may send a second attempt elsewhere.
         SlowCall(CallId),
     }
 }
 
 plain! {
-    /// What the receiver of a call is asked to be.
+    /// The role that the sender of a call assigns to the receiver.
     #[derive(Hash)]
     pub enum CallRole {
-        /// Run the call on the receiver's own backend server. If it is not idempotent, the sender
-        /// owns it, and gives it to no other node unless this one says that it did not run.
+        /// Run the call on the receiver's own backend server. For a non-idempotent call, the sender
+        /// does not try another node unless the receiver reports that the call was not run.
         Serve,
-        /// Be the home of the call's key: check the records, then run it.
+        /// Act as the home node of the call's key: check the key's record first, then run the call.
         Home,
     }
 }
 
 data! {
-    /// A call from node to node.
+    /// A call from one node to another.
     pub struct Call {
-        /// Never reused; the same id means the same call.
+        /// Unique; frames with the same id refer to the same call.
         pub id: CallId,
-        /// The customer's action.
+        /// The customer action that this call is part of.
         pub action: ActionId,
-        /// The action's random value for admission, the same at every hop.
+        /// The random value of the action that decides on admission, the same at every hop.
         pub admission_sample: u16,
-        /// The admission level that the action passed at its first hop, so that a service below can
-        /// tell from what comes how much would come if nothing were shed.
+        /// The admission level that the action passed at its entry node. From this, a service
+        /// further down the call tree can estimate its load without shedding.
         pub passed_level: u16,
-        /// What the receiver is asked to be.
+        /// The role of the receiver.
         pub role: CallRole,
-        /// What the action is for: that of the first call of the tree that is protected, so that a
-        /// lookup that an order needs is not shed with other lookups.
+        /// The class of the action: that of the first protected call in the tree. A lookup made on
+        /// behalf of an order is thus not shed with ordinary lookups.
         pub class: Class,
-        /// How urgent the action is among those of its class; 0 is the most urgent.
+        /// Priority among actions of the same class; 0 is the most urgent.
         pub priority: u8,
-        /// Milliseconds that are left for the answer.
+        /// Time left until the deadline, in milliseconds.
         pub remaining_ms: u32,
-        /// Retries lent to this call and all below it.
+        /// Number of retries that this call and all calls below it may use.
         pub retry_allowance: u16,
-        /// The work below may have been done before, because an answer was lost: each child call
-        /// counts as a retry.
+        /// An earlier attempt whose answer was lost may have made the same child calls, so each
+        /// child call counts as a retry.
         pub possible_repeat: bool,
-        /// Running it twice is the same as running it once.
+        /// Running the call twice has the same effect as running it once.
         pub idempotent: bool,
-        /// The key, for non-idempotent calls that have a home.
+        /// The hash and fingerprint for a non-idempotent call whose key has a home node.
         pub key: Option<(KeyHash, Fingerprint)>,
-        /// The sender knows that no attempt with this key was ever made before.
+        /// The sender knows that this is the first attempt with this key.
         pub first_attempt: bool,
-        /// How many calls are above this one.
+        /// Number of calls above this one in the call tree.
         pub depth: u8,
-        /// What is asked.
+        /// The request.
         pub request: Request,
     }
 }
--- a/crates/proto/src/ids.rs
+++ b/crates/proto/src/ids.rs
@@ -1,4 +1,4 @@
-//! Identifiers. None of them is ever reused.
+//! Identifiers. None is ever reused.
 
 use siphasher::sip128::Hasher128;
 use siphasher::sip128::SipHasher13;
@@ -8,20 +8,20 @@
 use stdx::plain;
 
 plain! {
-    /// One start of a node's process. A restart at the same address is another incarnation,
-    /// because it has forgotten everything.
+    /// One start of a node process. A restart at the same address is a new incarnation, because the
+    /// process has lost all its state.
     #[derive(Hash, PartialOrd, Ord)]
     pub struct Incarnation(pub u64);
 }
 
 plain! {
-    /// Stands for an organisation's name in messages and tables.
+    /// Stands in for an organisation's name in messages and tables.
     #[derive(Hash, PartialOrd, Ord)]
     pub struct OrganisationId(pub u64);
 }
 
 impl OrganisationId {
-    /// The id that belongs to a name.
+    /// Computes the id from the organisation's name.
     ///
     /// # Examples
     ///
@@ -36,35 +36,35 @@
 }
 
 plain! {
-    /// A customer's action, shared by all calls of its call tree.
+    /// A customer action, shared by all calls of its call tree.
     #[derive(Hash, PartialOrd, Ord)]
     pub struct ActionId(pub u128);
 }
 
 plain! {
-    /// One call from one node to another; `number` counts up within `from`.
+    /// One call from a node to another.
     #[derive(Hash, PartialOrd, Ord)]
     pub struct CallId {
-        /// The node that made the call.
+        /// The calling node.
         pub from: Incarnation,
-        /// The count of calls of that node.
+        /// Sequence number among the calls of that node.
         pub number: u64,
     }
 }
 
 plain! {
-    /// One piece of work that a node handed to its own backend server.
+    /// One execution of a request by the backend server beside a node.
     #[derive(Hash, PartialOrd, Ord)]
     pub struct RunId {
         /// The node beside the backend server.
         pub at: Incarnation,
-        /// The count of runs of that node.
+        /// Sequence number among the runs of that node.
         pub number: u64,
     }
 }
 
 impl RunId {
-    /// Reads the text form that the context header carries.
+    /// Parses the text form used in the context header.
     ///
     /// # Examples
     ///
@@ -108,7 +108,8 @@
     }
 }
 
-/// A hash that is the same in every process and version: SipHash-1-3 with a fixed key.
+/// Hashes a value with SipHash-1-3 and a fixed key, so that the result is the same in every process
+/// and version.
 ///
 /// # Examples
 ///
@@ -121,7 +122,7 @@
     hasher.finish()
 }
 
-/// As [`hash64`], with 128 bits, for values that must not collide.
+/// Like [`hash64`] but with 128 bits, for values that must not collide.
 pub(crate) fn hash128<T: Hash>(value: &T) -> u128 {
     let mut hasher = SipHasher13::new();
     value.hash(&mut hasher);
--- a/crates/proto/src/instance.rs
+++ b/crates/proto/src/instance.rs
@@ -1,4 +1,4 @@
-//! Who a node is.
+//! The identity of a node and its backend server.
 
 use crate::Incarnation;
 use std::net::SocketAddr;
@@ -6,18 +6,18 @@
 use stdx::data;
 
 data! {
-    /// A node together with the backend server instance that it stands beside, as announced.
+    /// A backend server together with the node beside it, as announced to other nodes.
     #[derive(Hash)]
     pub struct Instance {
-        /// This start of the process.
+        /// The incarnation of the node's process.
         pub incarnation: Incarnation,
-        /// The service that the backend server belongs to.
+        /// The service of the backend server.
         pub service: Arc<str>,
-        /// The failure domain, unique over all regions.
+        /// The failure domain, unique across all regions.
         pub failure_domain: Arc<str>,
-        /// The region that the failure domain is in.
+        /// The region of the failure domain.
         pub region: Arc<str>,
-        /// Where other nodes reach it, by TCP and by UDP alike.
+        /// The address at which other nodes reach this one, both over TCP and UDP.
         pub addr: SocketAddr,
     }
 }
--- a/crates/proto/src/lib.rs
+++ b/crates/proto/src/lib.rs
@@ -1,7 +1,7 @@
-//! The typed messages between the system's processes, and the identifiers and outcomes in them.
+//! Message types exchanged between the processes of the system, with the identifiers and outcomes
+//! that they contain.
 //!
-//! This package does no I/O and takes no decisions. It knows nothing about sockets, rules or
-//! policy.
+//! This package does no I/O and makes no decisions; it does not depend on sockets, rules or policy.
 
 mod answer;
 mod codec;
--- a/crates/proto/src/member.rs
+++ b/crates/proto/src/member.rs
@@ -1,4 +1,4 @@
-//! Membership messages: SWIM-style probes with rumours on them.
+//! Membership messages: SWIM-style probes that piggyback gossip about other peers.
 
 use crate::Instance;
 use crate::LoadReport;
@@ -7,87 +7,86 @@
 use stdx::plain;
 
 plain! {
-    /// What is known of a peer. Later variants override earlier ones of the same `beat`; a higher
-    /// `beat`, which only the peer itself can give out, overrides them all.
+    /// The state of a peer. With equal `revision`, later variants override earlier ones; a higher
+    /// `revision`, which only the peer itself assigns, overrides all of them.
     #[derive(Hash, PartialOrd, Ord)]
     pub enum PeerState {
-        /// It answers.
+        /// The peer answers probes.
         Alive,
-        /// It did not answer, and has not said yet that it is there.
+        /// The peer did not answer a probe and has not refuted the suspicion yet.
         Suspect,
-        /// It is leaving: nothing new goes to it.
+        /// The peer is shutting down and gets no new calls.
         Leaving,
-        /// It is taken for gone. This is a verdict of soft state and may be wrong, after a cut for
-        /// example: a peer that hears it refutes it with a higher `beat`. It is final once the
-        /// log's views have dropped the incarnation, or once another incarnation has answered at
-        /// its address.
+        /// The peer is considered gone. This is soft state and may be wrong, for example after a
+        /// network partition; a peer that learns of it refutes it with a higher `revision`. It
+        /// becomes final once the views in the log no longer contain the incarnation, or once
+        /// another incarnation has answered at its address.
         Dead,
     }
 }
 
 data! {
-    /// News about one peer, carried on other messages.
+    /// State of one peer, piggybacked on other messages.
     pub struct PeerUpdate {
-        /// Whom it is about, whole, so that a node that hears of it for the first time can use it.
+        /// The peer, with everything that a receiver needs that did not know it before.
         pub instance: Instance,
-        /// Its state.
+        /// The peer's state.
         pub state: PeerState,
-        /// A count that only the instance itself raises, to refute a suspicion or to tell news of
-        /// itself.
+        /// Incremented only by the instance itself, to refute a suspicion or to announce a change.
         pub revision: u32,
-        /// Whether its backend server takes new work. A node whose server drains, or has not been
-        /// heard of yet, still takes its callers' requests.
+        /// Whether the backend server accepts new work. A node whose server is draining, or has not
+        /// registered yet, still accepts requests from callers.
         pub accepts_work: bool,
     }
 }
 
 data! {
-    /// One membership message.
+    /// A membership message.
     pub enum MemberMessage {
-        /// Asks for an [`MemberMessage::Ack`].
+        /// Requests a [`MemberMessage::Ack`].
         Ping {
-            /// The sender, as it sees itself.
+            /// The sender's own state.
             from: PeerUpdate,
-            /// Matches the answer to it.
+            /// Repeated in the ack.
             seq: u64,
-            /// A digest of the peers that the sender holds to be there.
+            /// Digest of the peers that the sender considers present.
             digest: u64,
             /// The sender's load.
             load: LoadReport,
-            /// News.
+            /// State of other peers.
             updates: Vec<PeerUpdate>,
         },
-        /// Answers a ping; a relay passes it on to the node that asked for the ping.
+        /// Answers a ping. A relay forwards it to the node that requested the ping.
         Ack {
-            /// Who answers, as it sees itself.
+            /// The state of the node that answers.
             from: PeerUpdate,
-            /// The ping's.
+            /// The `seq` of the ping.
             seq: u64,
-            /// A digest of the peers that the sender holds to be there.
+            /// Digest of the peers that the sender considers present.
             digest: u64,
             /// The sender's load.
             load: LoadReport,
-            /// News.
+            /// State of other peers.
             updates: Vec<PeerUpdate>,
         },
-        /// Asks the receiver to ping an address and to pass the ack on.
+        /// Requests that the receiver ping an address and forward the ack.
         PingReq {
-            /// The ping's.
+            /// The `seq` of the ping.
             seq: u64,
-            /// Whom to ping.
+            /// The address to ping.
             target: SocketAddr,
         },
-        /// News that is not answered.
+        /// State of other peers; not acknowledged.
         Gossip {
-            /// The news.
+            /// The updates.
             updates: Vec<PeerUpdate>,
         },
-        /// Asks for the part of the receiver's table that differs from the sender's.
+        /// Requests the entries of the receiver's table that differ from the sender's.
         Pull {
             /// Digests of the sender's table, one for each bucket of incarnations.
             digests: Vec<u32>,
         },
-        /// Answers a [`MemberMessage::Pull`], perhaps in several datagrams.
+        /// Answers a [`MemberMessage::Pull`], possibly in several datagrams.
         PullReply {
             /// Entries of the sender's table.
             updates: Vec<PeerUpdate>,
--- a/crates/proto/src/request.rs
+++ b/crates/proto/src/request.rs
@@ -1,4 +1,4 @@
-//! A request and a response, as they pass through the nodes: whole, and bounded in size.
+//! Requests and responses as nodes forward them: buffered completely and limited in size.
 
 use bytes::Bytes;
 use std::sync::Arc;
@@ -6,10 +6,10 @@
 use stdx::plain;
 
 plain! {
-    /// What a call is for. Lookups are shed before everything else.
+    /// The purpose of a call. Lookups are shed before all other classes.
     #[derive(Hash, PartialOrd, Ord)]
     pub enum Class {
-        /// A catalogue lookup, or anything else that changes nothing of worth.
+        /// A catalogue lookup, or anything else that changes nothing of value.
         Lookup,
         /// An order.
         Order,
@@ -23,7 +23,7 @@
 }
 
 impl Class {
-    /// Whether this class is shed only after all lookups.
+    /// Whether calls of this class are shed only after all lookups.
     ///
     /// # Examples
     ///
@@ -37,7 +37,7 @@
         self != Class::Lookup
     }
 
-    /// The name that rules and counters use.
+    /// Returns the name used in rules and counters.
     pub fn name(self) -> &'static str {
         match self {
             Class::Lookup => "lookup",
@@ -53,29 +53,29 @@
     /// A request to a service.
     #[derive(Hash)]
     pub struct Request {
-        /// The caller's own name of this attempt, for logs and for the calls that the backend
-        /// server makes while it serves it; empty if the caller gave none.
+        /// The caller's identifier for this attempt, used in logs and for the calls that the
+        /// backend server makes while handling it; empty if the caller sent none.
         pub id: Arc<str>,
-        /// The host that the caller asked, where routes decide by host; else empty.
+        /// The host that the caller addressed, if a route is chosen by host; else empty.
         pub host: Arc<str>,
-        /// The service that is asked.
+        /// The service that the request is for.
         pub service: Arc<str>,
-        /// The organisation that the caller belongs to; empty for a call of a backend server, and where
-        /// no key was needed.
+        /// The organisation of the caller; empty for calls made by backend servers and where no API
+        /// key was required.
         pub organisation: Arc<str>,
-        /// The method, as in HTTP.
+        /// The HTTP method.
         pub method: Arc<str>,
-        /// The path below the service, with the query.
+        /// The path within the service, including the query.
         pub path: Arc<str>,
-        /// End-to-end headers, names in lower case.
+        /// End-to-end headers; names are in lower case.
         pub headers: Vec<(Arc<str>, Bytes)>,
-        /// The whole body.
+        /// The complete body.
         pub body: Bytes,
     }
 }
 
 impl Request {
-    /// A request without headers.
+    /// Creates a request without headers.
     pub fn new(service: &str, method: &str, path: &str, body: Bytes) -> Self {
         Self {
             id: "".into(),
@@ -89,27 +89,27 @@
         }
     }
 
-    /// Bytes that this request takes up in a table, roughly.
+    /// Approximate memory that this request occupies in a table, in bytes.
     pub fn size(&self) -> usize {
         self.body.len() + self.path.len() + headers_size(&self.headers) + 64
     }
 }
 
 data! {
-    /// A backend server's whole response.
+    /// The complete response of a backend server.
     #[derive(Hash)]
     pub struct Response {
-        /// The status, as in HTTP.
+        /// The HTTP status code.
         pub status: u16,
-        /// End-to-end headers, names in lower case.
+        /// End-to-end headers; names are in lower case.
         pub headers: Vec<(Arc<str>, Bytes)>,
-        /// The whole body.
+        /// The complete body.
         pub body: Bytes,
     }
 }
 
 impl Response {
-    /// Bytes that this response takes up in a table, roughly.
+    /// Approximate memory that this response occupies in a table, in bytes.
     pub fn size(&self) -> usize {
         self.body.len() + headers_size(&self.headers) + 32
     }
--- a/crates/proto/src/transfer.rs
+++ b/crates/proto/src/transfer.rs
@@ -1,4 +1,4 @@
-//! Key records, as they move from one home to the next.
+//! Key records, as transferred from one home node to the next.
 
 use crate::Fingerprint;
 use crate::Incarnation;
@@ -7,35 +7,35 @@
 use stdx::data;
 
 data! {
-    /// What a home remembers of a key.
+    /// What the home node stores about an idempotency key.
     pub struct KeyRecord {
         /// The key.
         pub key: KeyHash,
-        /// What was asked with it.
+        /// The fingerprint of the request that the key was used for.
         pub fingerprint: Fingerprint,
-        /// How far its run is.
+        /// The state of the run.
         pub state: RecordState,
-        /// Milliseconds until the record may be forgotten, counted from the run's end.
+        /// Milliseconds for which the record is kept after the run has ended.
         pub retention_ms: u32,
     }
 }
 
 data! {
-    /// How far the run of a key is. It only ever moves forward.
+    /// The state of the run for a key. It only advances.
     pub enum RecordState {
-        /// A run may be under way at the home named here; re-sends attach to it.
+        /// A run may be in progress at this home node; re-sent requests attach to it.
         Running(Incarnation),
-        /// It ended with this whole response.
+        /// The run ended with this complete response.
         Done(Response),
-        /// It may have run; nobody can tell any more.
+        /// The request may have been executed, and there is no way left to find out.
         Unknown,
-        /// It certainly did not run; the record is void and the key may be used again.
+        /// The request was certainly not executed; the record is void and the key may be reused.
         NotRun,
     }
 }
 
 data! {
-    /// One slot on its way from the home in an earlier view to the home in `view`.
+    /// Transfer of a slot from its home node in an earlier view to its home node in `view`.
     pub struct SlotTransfer {
         /// The service.
         pub service: std::sync::Arc<str>,
@@ -43,16 +43,17 @@
         pub slot: u16,
         /// The view that moved it.
         pub view: u64,
-        /// Who gives it. It has stopped starting work in this slot.
+        /// The previous home node, which no longer starts runs for this slot.
         pub from: Incarnation,
-        /// The count of this part, from 0. A slot whose records do not fit one frame has several.
+        /// Index of this part, from 0. A slot whose records exceed the frame size is sent in
+        /// several parts.
         pub part: u16,
-        /// How many parts there are.
+        /// The number of parts.
         pub parts: u16,
-        /// The live records of the slot, in this part.
+        /// The live records of the slot that are in this part.
         pub records: Vec<KeyRecord>,
-        /// Milliseconds for which keys that are in no record may have run all the same, because
-        /// an earlier home was lost with its records; 0 if there is no such doubt.
+        /// Milliseconds during which a key without a record may still have been executed, because
+        /// an earlier home node was lost together with its records; 0 if no records were lost.
         pub uncertain_ms: u32,
     }
 }
