--- a/crates/ctl/tests/ctl.rs
+++ b/crates/ctl/tests/ctl.rs
@@ -95,7 +95,7 @@
     let bad = File::new("operation press POST /slots class=gift # asked by Anna\nx\n");
     let expected = format!(
         "{0}:1:29: `class` takes lookup, order, booking, payment or print-job\n\
-         {0}:2:2: no comment says who asked for it: end the line with `# asked by NAME`",
+         {0}:2:2: missing comment that names the requester: end the line with `# asked by NAME`",
         bad.path()
     );
     check(&["check", bad.path()], 2, &expected).await;
--- a/crates/rules/src/duration.rs
+++ b/crates/rules/src/duration.rs
@@ -1,8 +1,8 @@
-//! Durations as rules and settings write them.
+//! Durations as written in rules and settings.
 
 use std::time::Duration;
 
-/// Reads a whole number with its unit: `ms`, `s`, `m` or `h`.
+/// Parses a whole number followed by a unit: `ms`, `s`, `m` or `h`.
 ///
 /// # Examples
 ///
--- a/crates/rules/src/error.rs
+++ b/crates/rules/src/error.rs
@@ -1,58 +1,58 @@
-//! What can be wrong with a rules file.
+//! Errors in rules files.
 
 use std::fmt;
 
-/// A fault in a rules file, with its place.
+/// An error in a rules file, with its location.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RuleError {
-    /// The line, from 1.
+    /// The line number, from 1.
     pub line: u32,
     /// The column in characters, from 1.
     pub column: u32,
-    /// What is wrong there.
+    /// The kind of error.
     pub kind: RuleErrorKind,
 }
 
-/// What is wrong with a rule.
+/// The kind of an error in a rules file.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RuleErrorKind {
-    /// The rule has no comment `# asked by NAME`.
-    NobodyAsked,
-    /// The first word is no kind of rule.
-    UnknownKind(String),
-    /// A word is missing.
+    /// The rule does not end with the comment `# asked by NAME`.
+    MissingRequester,
+    /// The first word does not name a type of rule.
+    UnknownRule(String),
+    /// A required word or option is missing.
     Missing(&'static str),
-    /// An option that this kind of rule does not have.
+    /// The rule has no option of this name.
     UnknownOption(String),
-    /// An option stands twice.
+    /// An option occurs twice.
     RepeatedOption(String),
-    /// A value is not what the option takes.
+    /// The value of an argument or option is invalid.
     BadValue {
-        /// The option.
+        /// The name of the argument or option.
         option: &'static str,
-        /// What it takes.
+        /// The values that it accepts.
         allowed: &'static str,
     },
-    /// The same operation, or the same bound of a service, was set on an earlier line.
+    /// An earlier line already defines the same operation, limit of a service, or organisation.
     Duplicate {
         /// The earlier line.
         earlier: u32,
     },
-    /// A key of the organisation was given to another one on an earlier line.
+    /// An organisation on an earlier line has one of the keys.
     SharedKey {
         /// The earlier line.
         earlier: u32,
     },
-    /// The rule can never decide a call, because an earlier one always matches first.
+    /// The rule never applies, because an earlier one matches all its calls.
     Unreachable {
         /// The earlier line.
         earlier: u32,
     },
-    /// The file holds no rule.
+    /// The file contains no `operation` rule.
     Empty,
-    /// The file holds more rules than allowed.
+    /// The file contains more than [`MAX_RULES`](crate::MAX_RULES) rules.
     TooManyRules,
-    /// The file is larger than allowed.
+    /// The file is larger than [`MAX_FILE_BYTES`](crate::MAX_FILE_BYTES).
     TooLarge,
 }
 
@@ -65,35 +65,30 @@
 impl fmt::Display for RuleErrorKind {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            RuleErrorKind::NobodyAsked => write!(
+            RuleErrorKind::MissingRequester => write!(
                 f,
-                "no comment says who asked for it: end the line with `# asked by NAME`"
+                "missing comment that names the requester: end the line with `# asked by NAME`"
             ),
-            RuleErrorKind::UnknownKind(word) => write!(
+            RuleErrorKind::UnknownRule(word) => write!(
                 f,
-                "`{word}` is no kind of rule: use operation, limit, keys, resends or organisation"
+                "unknown rule `{word}`: expected operation, limit, keys, resends or organisation"
             ),
-            RuleErrorKind::Missing(what) => write!(f, "{what} is missing"),
-            RuleErrorKind::UnknownOption(word) => write!(f, "`{word}` is no option of this rule"),
-            RuleErrorKind::RepeatedOption(word) => write!(f, "`{word}` stands twice"),
+            RuleErrorKind::Missing(what) => write!(f, "missing {what}"),
+            RuleErrorKind::UnknownOption(word) => write!(f, "unknown option `{word}`"),
+            RuleErrorKind::RepeatedOption(word) => write!(f, "duplicate option `{word}`"),
             RuleErrorKind::BadValue { option, allowed } => write!(f, "`{option}` takes {allowed}"),
             RuleErrorKind::Duplicate { earlier } => write!(f, "already set on line {earlier}"),
             RuleErrorKind::SharedKey { earlier } => {
-                write!(
-                    f,
-                    "the organisation on line {earlier} has one of these keys"
-                )
+                write!(f, "key already used by the organisation on line {earlier}")
             }
             RuleErrorKind::Unreachable { earlier } => {
-                write!(f, "never used: line {earlier} matches first")
+                write!(f, "unreachable: line {earlier} matches first")
             }
-            RuleErrorKind::Empty => write!(f, "the file holds no rule"),
+            RuleErrorKind::Empty => write!(f, "file contains no operation rule"),
             RuleErrorKind::TooManyRules => {
-                write!(f, "the file holds more than {} rules", crate::MAX_RULES)
-            }
-            RuleErrorKind::TooLarge => {
-                write!(f, "the file exceeds {} bytes", crate::MAX_FILE_BYTES)
+                write!(f, "file contains more than {} rules", crate::MAX_RULES)
             }
+            RuleErrorKind::TooLarge => write!(f, "file exceeds {} bytes", crate::MAX_FILE_BYTES),
         }
     }
 }
--- a/crates/rules/src/explain.rs
+++ b/crates/rules/src/explain.rs
@@ -1,4 +1,4 @@
-//! Which rules decide a call, and who asked for them.
+//! Explains which rules apply to a call and who requested them.
 
 use crate::Operation;
 use crate::RuleOrigin;
@@ -9,22 +9,22 @@
 use stdx::plain;
 
 plain! {
-    /// One bound of a service.
+    /// A limit of a service.
     #[derive(Hash, PartialOrd, Ord)]
     pub enum LimitKind {
-        /// Calls at a time on one backend server.
+        /// Concurrent calls on one backend server.
         Concurrency,
-        /// The wait in the queue.
+        /// Waiting time in the queue.
         Queue,
-        /// How long the record of a key is kept.
+        /// Retention of idempotency key records.
         KeyRetention,
-        /// A caller's own re-sends.
+        /// Requests re-sent by a caller.
         Resends,
     }
 }
 
 impl LimitKind {
-    /// Every bound.
+    /// All limits.
     pub const ALL: [LimitKind; 4] = [
         LimitKind::Concurrency,
         LimitKind::Queue,
@@ -33,17 +33,17 @@
     ];
 }
 
-/// The rules that decide a call. Its `Display` has one line for each rule and each default.
+/// The rules that apply to a call. `Display` prints one line for each rule and each default.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Explanation<'a> {
-    /// The first operation in the file that matches; without one the call is refused.
+    /// The first matching operation in the file. If there is none, the call is refused.
     pub operation: Option<&'a Operation>,
-    /// The bounds of the service, with who asked for each; one that nobody asked for is a default.
+    /// The limits of the service. Those without an origin are defaults.
     pub limits: ServiceLimits,
 }
 
 impl Rules {
-    /// Says which rules decide a call. `path` may have a query.
+    /// Returns the rules that apply to a call. `path` may contain a query.
     ///
     /// # Examples
     ///
@@ -93,8 +93,8 @@
                 let (min, max) = (self.min_concurrency, self.max_concurrency);
                 write!(f, "concurrency={min}..{max}")
             }
-            LimitKind::Queue => write!(f, "queue={}", Shown(self.queue)),
-            LimitKind::KeyRetention => write!(f, "retention={}", Shown(self.key_retention)),
+            LimitKind::Queue => write!(f, "queue={}", Readable(self.queue)),
+            LimitKind::KeyRetention => write!(f, "retention={}", Readable(self.key_retention)),
             LimitKind::Resends => write!(f, "percent={}", self.resend_percent),
         }
     }
@@ -109,7 +109,7 @@
             self.method,
             self.path,
             self.class.name(),
-            Shown(self.deadline),
+            Readable(self.deadline),
             self.retries
         )?;
         if self.priority > 0 {
@@ -125,10 +125,10 @@
     }
 }
 
-/// A duration as rules write it, in the largest unit that has no rest.
-struct Shown(Duration);
+/// Formats a duration as in rules, in the largest unit that divides it.
+struct Readable(Duration);
 
-impl fmt::Display for Shown {
+impl fmt::Display for Readable {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let millis = self.0.as_millis();
         for (unit, length) in [("h", 3_600_000), ("m", 60_000), ("s", 1_000)] {
--- a/crates/rules/src/lib.rs
+++ b/crates/rules/src/lib.rs
@@ -1,7 +1,7 @@
-//! The rules file: one rule a line, each with a comment that names who asked for it.
+//! Parser and model of the rules file, which has one rule per line, each with a comment that names
+//! its requester.
 //!
-//! This package parses and answers questions about the rules. It knows nothing about where a file
-//! comes from, and does no I/O.
+//! This package does no I/O and does not know where a file comes from.
 
 mod duration;
 mod error;
--- a/crates/rules/src/model.rs
+++ b/crates/rules/src/model.rs
@@ -1,4 +1,4 @@
-//! The rules, parsed.
+//! The parsed rules.
 
 use crate::LimitKind;
 use crate::Organisations;
@@ -11,61 +11,63 @@
 use stdx::data;
 
 data! {
-    /// Where a rule stands and who asked for it.
+    /// The line of a rule and the person who requested it.
     pub struct RuleOrigin {
-        /// The line in the file, from 1.
+        /// The line number, from 1.
         pub line: u32,
-        /// The comment's text after `asked by`.
+        /// The text after `asked by` in the comment.
         pub requested_by: Arc<str>,
     }
 }
 
 data! {
-    /// An `operation` rule: what a method and path of a service means.
+    /// An `operation` rule, which sets the class, deadline and retry policy for a method and path
+    /// of a service.
     pub struct Operation {
         /// The service.
         pub service: Arc<str>,
-        /// The method; `*` for any.
+        /// The HTTP method, or `*` for any.
         pub method: Arc<str>,
-        /// The path; a final `*` stands for any rest.
+        /// The path; a final `*` matches any suffix.
         pub path: Arc<str>,
-        /// What it is for.
+        /// The class of the calls.
         pub class: Class,
-        /// Whether running it twice is the same as running it once.
+        /// Whether running the operation twice has the same effect as running it once.
         pub idempotent: bool,
-        /// The longest a call may take, when its caller sets no shorter deadline.
+        /// Maximum duration of a call whose caller sets no shorter deadline.
         pub deadline: Duration,
-        /// How urgent it is among operations that are shed alike: 0 is the most urgent, and the last
-        /// to be shed.
+        /// Priority among operations of the same shedding class; 0 is the most urgent and is shed
+        /// last.
         pub priority: u8,
-        /// Retries that a root call of this operation may spend over its whole tree.
+        /// Number of retries that a root call of this operation may use in its whole call tree.
         pub retries: u16,
-        /// Whether callers need no key, where there are organisations.
+        /// Whether callers need no API key when organisations are configured.
         pub public: bool,
-        /// Where this rule stands.
+        /// The origin of the rule.
         pub origin: RuleOrigin,
     }
 }
 
 data! {
-    /// The bounds that hold for a service; the defaults where no rule sets them.
+    /// The limits of a service, with defaults where no rule sets them.
     pub struct ServiceLimits {
-        /// The least that the adaptive concurrency limit goes down to, in calls.
+        /// Lower bound of the adaptive concurrency limit, in calls.
         pub min_concurrency: u16,
-        /// The most that it goes up to, in calls.
+        /// Upper bound of the adaptive concurrency limit, in calls.
         pub max_concurrency: u16,
-        /// The longest a call waits in the queue.
+        /// Maximum time that a call waits in the queue.
         pub queue: Duration,
-        /// How long the record of a key is kept after its run ended.
+        /// How long the record of an idempotency key is kept after its run has ended.
         pub key_retention: Duration,
-        /// A caller's own re-sends, in hundredths of its first sends, at the edge.
+        /// Requests that a caller may re-send, as a percentage of its first sends, enforced at the
+        /// entry node.
         pub resend_percent: u16,
-        /// Who asked for which of these bounds; the others are defaults.
+        /// The origin of each limit that was set by a rule; the others are defaults.
         pub origin: IndexMap<LimitKind, RuleOrigin>,
     }
 }
 
-/// Hundredths of first sends, where no rule says otherwise.
+/// Default for [`ServiceLimits::resend_percent`].
 const DEFAULT_RESEND_PERCENT: u16 = 20;
 
 impl Default for ServiceLimits {
@@ -82,24 +84,26 @@
 }
 
 data! {
-    /// A whole rules file.
+    /// The contents of a rules file.
     #[derive(Default)]
     pub struct Rules {
-        /// `operation` rules in the file's order.
+        /// The `operation` rules in file order.
         pub operations: Vec<Operation>,
-        /// `limit`, `keys` and `resends` rules by service.
+        /// The limits set by `limit`, `keys` and `resends` rules, by service.
         pub limits: IndexMap<Arc<str>, ServiceLimits>,
         /// Routes by host and path.
         pub routes: Routes,
-        /// Where a service's backend servers say whether they are healthy and stay, by service.
+        /// The path of the health check by service. Its response also shows whether the backend
+        /// server is about to leave.
         pub health_paths: IndexMap<Arc<str>, Arc<str>>,
-        /// The organisations whose callers may send requests; anybody may if there are none.
+        /// The organisations whose callers may send requests. `None` admits every caller.
         pub organisations: Option<Organisations>,
     }
 }
 
 impl Rules {
-    /// The rule that decides a call: the first in the file that matches. `path` may have a query.
+    /// Returns the rule that applies to a call, which is the first match in the file. `path` may
+    /// contain a query.
     ///
     /// # Examples
     ///
@@ -116,8 +120,8 @@
             .find(|operation| operation.matches(service, method, path))
     }
 
-    /// A caller's own re-sends that the edge lets through, in hundredths of its first sends. RuleOrigin
-    /// for each request, so it copies no bounds.
+    /// Returns [`ServiceLimits::resend_percent`] of a service. This is called for each request, so
+    /// it does not clone the limits.
     ///
     /// # Examples
     ///
@@ -133,13 +137,14 @@
         limit.map_or(DEFAULT_RESEND_PERCENT, |limit| limit.resend_percent)
     }
 
-    /// Every operation, those of routes among them.
+    /// Iterates over all operations, including those of routes.
     pub fn all_operations(&self) -> impl Iterator<Item = &Operation> {
         let routes = self.routes.iter().map(|route| &route.operation);
         self.operations.iter().chain(routes)
     }
 
-    /// Each class and priority that a request can have.
+    /// Iterates over all combinations of class and priority that a request can have. A combination
+    /// may occur more than once.
     pub fn class_priorities(&self) -> impl Iterator<Item = (Class, u8)> + '_ {
         let organisations = self.organisations.iter().flat_map(Organisations::iter);
         let priorities = organisations.filter_map(|(_, organisation)| organisation.priority);
@@ -152,7 +157,7 @@
         })
     }
 
-    /// The bounds of a service.
+    /// Returns the limits of a service.
     pub fn service_limits(&self, service: &str) -> ServiceLimits {
         self.limits.get(service).cloned().unwrap_or_default()
     }
--- a/crates/rules/src/organisation.rs
+++ b/crates/rules/src/organisation.rs
@@ -1,4 +1,4 @@
-//! Organisations: by which keys their callers are known, how much they may send, how urgent it is.
+//! Organisations, with their API keys, quotas and priorities.
 
 use crate::RuleOrigin;
 use indexmap::IndexMap;
@@ -10,11 +10,11 @@
 use stdx::data;
 use stdx::plain;
 
-/// What the text form of a digest begins with.
+/// Prefix of the text form of a digest.
 const DIGEST_PREFIX: &str = "sha256:";
 
-/// The SHA-256 digest of an organisation's key. A key itself is kept nowhere: whoever reads the rules, the
-/// log or a core file finds nothing that could be sent in a request.
+/// The SHA-256 digest of an organisation's API key. The key itself is never stored, so that the
+/// rules, the log and core dumps contain nothing that could be used in a request.
 ///
 /// # Examples
 ///
@@ -29,12 +29,12 @@
 pub struct KeyDigest([u8; 32]);
 
 impl KeyDigest {
-    /// The digest of a key.
+    /// Computes the digest of a key.
     pub fn of(key: &str) -> Self {
         Self(Sha256::digest(key.as_bytes()).into())
     }
 
-    /// Reads the text form: `sha256:` and 64 hexadecimal digits.
+    /// Parses the text form, which is `sha256:` followed by 64 hexadecimal digits.
     pub fn parse(text: &str) -> Option<Self> {
         let digits = text.strip_prefix(DIGEST_PREFIX)?;
         if digits.len() != 64 || !digits.bytes().all(|b| b.is_ascii_hexdigit()) {
@@ -62,54 +62,54 @@
 }
 
 plain! {
-    /// How many requests an organisation may send, to all nodes together.
+    /// The number of requests that an organisation may send to all nodes together.
     #[derive(Hash)]
     pub struct Quota {
-        /// The sustained rate, in requests per thousand seconds.
+        /// The sustained rate, in requests per 1,000 seconds.
         pub per_kilosecond: u64,
-        /// How many requests may come at once beyond the rate.
+        /// The number of requests that may arrive at once in excess of the rate.
         pub burst: u32,
     }
 }
 
 impl Quota {
-    /// The sustained rate, in requests per second.
+    /// Returns the sustained rate in requests per second.
     pub fn rate(self) -> f64 {
         self.per_kilosecond as f64 / 1000.0
     }
 }
 
 data! {
-    /// One organisation.
+    /// An organisation.
     pub struct Organisation {
-        /// Its name, which backend servers are told.
+        /// The name, which is passed on to backend servers.
         pub name: Arc<str>,
-        /// How urgent its requests are, in place of their operations' priority; 0 is the most urgent.
+        /// Overrides the priority of the operations it calls; 0 is the most urgent.
         pub priority: Option<u8>,
-        /// What it may send; without one, any number.
+        /// The quota; unlimited if absent.
         pub quota: Option<Quota>,
-        /// Where this rule stands.
+        /// The origin of the rule.
         pub origin: RuleOrigin,
     }
 }
 
-/// Why an organisation was not entered.
+/// Why an organisation could not be added.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrganisationError {
-    /// An organisation of this name was entered before.
-    NameTwice {
-        /// Where.
+    /// Another organisation has the same name.
+    NameTaken {
+        /// Line of the other organisation.
         earlier: u32,
     },
-    /// A key of it was entered before.
-    KeyTwice {
-        /// Where.
+    /// Another organisation has one of the keys.
+    KeyTaken {
+        /// Line of the other organisation.
         earlier: u32,
     },
 }
 
 data! {
-    /// All organisations that may send requests.
+    /// The organisations that may send requests.
     #[derive(Default)]
     pub struct Organisations {
         by_id: IndexMap<OrganisationId, Organisation>,
@@ -118,11 +118,11 @@
 }
 
 impl Organisations {
-    /// Enters an organisation with its keys.
+    /// Adds an organisation with its keys.
     ///
     /// # Errors
     ///
-    /// [`OrganisationError`]; nothing is entered then.
+    /// [`OrganisationError`], in which case nothing is added.
     ///
     /// # Examples
     ///
@@ -148,29 +148,29 @@
         let id = OrganisationId::of(&organisation.name);
         if let Some(earlier) = self.by_id.get(&id) {
             let earlier = earlier.origin.line;
-            return Err(OrganisationError::NameTwice { earlier });
+            return Err(OrganisationError::NameTaken { earlier });
         }
         if let Some(holder) = keys.iter().find_map(|key| self.by_key.get(key)) {
             let earlier = self.by_id[holder].origin.line;
-            return Err(OrganisationError::KeyTwice { earlier });
+            return Err(OrganisationError::KeyTaken { earlier });
         }
         self.by_key.extend(keys.iter().map(|key| (*key, id)));
         self.by_id.insert(id, organisation);
         Ok(())
     }
 
-    /// The organisation that holds a key.
+    /// Returns the organisation that a key belongs to.
     pub fn find(&self, key: &KeyDigest) -> Option<(OrganisationId, &Organisation)> {
         let id = self.by_key.get(key)?;
         Some((*id, &self.by_id[id]))
     }
 
-    /// The organisation of this id.
+    /// Returns the organisation with this id.
     pub fn get(&self, id: OrganisationId) -> Option<&Organisation> {
         self.by_id.get(&id)
     }
 
-    /// Every organisation.
+    /// Iterates over all organisations.
     pub fn iter(&self) -> impl Iterator<Item = (OrganisationId, &Organisation)> {
         self.by_id
             .iter()
--- a/crates/rules/src/parse.rs
+++ b/crates/rules/src/parse.rs
@@ -1,4 +1,4 @@
-//! Parsing, line by line. All faults of a file are reported, not only the first.
+//! Line-based parser. It reports all errors of a file, not only the first.
 
 mod limits;
 mod operation;
@@ -10,16 +10,16 @@
 use crate::RuleOrigin;
 use crate::Rules;
 use words::column_at;
-use words::words;
+use words::split_words;
 use words::LineResult;
 
-/// The largest rules file, in bytes. It travels in one record of the log.
+/// Maximum size of a rules file in bytes. A file is published as a single record of the log.
 pub const MAX_FILE_BYTES: usize = 256 * 1024;
 
-/// The most rules in a file. Each call is held against the operations of its service in turn.
+/// Maximum number of rules in a file. Each call is compared with the operations in file order.
 pub const MAX_RULES: usize = 2000;
 
-/// The most faults that are reported. A file with more is something else altogether.
+/// Maximum number of errors reported. A file with more is probably not a rules file at all.
 const MAX_ERRORS: usize = 100;
 
 impl Rules {
@@ -27,17 +27,17 @@
     ///
     /// # Errors
     ///
-    /// The faults of the file, with line and column; the first hundred, if there are more.
+    /// The errors in the file with line and column, but no more than the first 100.
     ///
     /// # Examples
     ///
     /// ```
     /// let errors = bilberry_rules::Rules::parse("limit press queue=1s").unwrap_err();
-    /// assert_eq!(errors[0].kind, bilberry_rules::RuleErrorKind::NobodyAsked);
+    /// assert_eq!(errors[0].kind, bilberry_rules::RuleErrorKind::MissingRequester);
     /// ```
     pub fn parse(text: &str) -> Result<Rules, Vec<RuleError>> {
         if text.len() > MAX_FILE_BYTES {
-            return Err(vec![whole_file(RuleErrorKind::TooLarge)]);
+            return Err(vec![file_error(RuleErrorKind::TooLarge)]);
         }
         let mut rules = Rules::default();
         let mut errors = Vec::new();
@@ -52,14 +52,14 @@
                 }),
             }
             if count > MAX_RULES {
-                return Err(vec![whole_file(RuleErrorKind::TooManyRules)]);
+                return Err(vec![file_error(RuleErrorKind::TooManyRules)]);
             }
             if errors.len() == MAX_ERRORS {
                 return Err(errors);
             }
         }
         if errors.is_empty() && rules.operations.is_empty() {
-            errors.push(whole_file(RuleErrorKind::Empty));
+            errors.push(file_error(RuleErrorKind::Empty));
         }
         if errors.is_empty() {
             Ok(rules)
@@ -69,7 +69,7 @@
     }
 }
 
-fn whole_file(kind: RuleErrorKind) -> RuleError {
+fn file_error(kind: RuleErrorKind) -> RuleError {
     RuleError {
         line: 1,
         column: 1,
@@ -77,34 +77,34 @@
     }
 }
 
-/// Says whether the line holds a rule.
+/// Parses one line and returns whether it contains a rule.
 fn parse_line(line: &str, number: u32, rules: &mut Rules) -> LineResult<bool> {
     let (rule, comment) = match line.split_once('#') {
         Some((rule, comment)) => (rule, Some(comment)),
         None => (line, None),
     };
-    let mut words = words(rule);
+    let mut words = split_words(rule);
     if words.is_empty() {
         return Ok(false);
     }
-    let end = column_at(line, rule.len());
+    let end_column = column_at(line, rule.len());
     let by = comment
         .and_then(|comment| comment.trim().strip_prefix("asked by "))
         .map(str::trim)
         .filter(|by| !by.is_empty())
-        .ok_or((end, RuleErrorKind::NobodyAsked))?;
+        .ok_or((end_column, RuleErrorKind::MissingRequester))?;
     let origin = RuleOrigin {
         line: number,
         requested_by: by.into(),
     };
-    let (column, kind) = words.remove(0);
-    match kind {
-        "operation" => operation::parse(&words, end, origin, rules)?,
-        "limit" => limits::parse_limit(&words, end, origin, rules)?,
-        "keys" => limits::parse_keys(&words, end, origin, rules)?,
-        "organisation" => organisation::parse(&words, end, origin, rules)?,
-        "resends" => limits::parse_resends(&words, end, origin, rules)?,
-        other => return Err((column, RuleErrorKind::UnknownKind(other.to_owned()))),
+    let (column, keyword) = words.remove(0);
+    match keyword {
+        "operation" => operation::parse(&words, end_column, origin, rules)?,
+        "limit" => limits::parse_limit(&words, end_column, origin, rules)?,
+        "keys" => limits::parse_keys(&words, end_column, origin, rules)?,
+        "organisation" => organisation::parse(&words, end_column, origin, rules)?,
+        "resends" => limits::parse_resends(&words, end_column, origin, rules)?,
+        other => return Err((column, RuleErrorKind::UnknownRule(other.to_owned()))),
     }
     Ok(true)
 }
--- a/crates/rules/src/parse/limits.rs
+++ b/crates/rules/src/parse/limits.rs
@@ -1,10 +1,10 @@
 //! `limit SERVICE [concurrency=MIN..MAX] [queue=TIME]`, `keys SERVICE retention=TIME` and
 //! `resends SERVICE percent=N`
 
-use super::words::duration;
-use super::words::number;
-use super::words::options;
-use super::words::service;
+use super::words::bounded_duration;
+use super::words::parse_name;
+use super::words::parse_number;
+use super::words::parse_options;
 use super::words::LineResult;
 use super::words::Word;
 use crate::LimitKind;
@@ -15,26 +15,26 @@
 
 pub(super) fn parse_limit(
     words: &[Word],
-    end: u32,
+    end_column: u32,
     origin: RuleOrigin,
     rules: &mut Rules,
 ) -> LineResult<()> {
-    let service = service(words, end)?;
+    let service = parse_name(words, end_column)?;
     let limit = rules.limits.entry(service.into()).or_default();
-    let options = options(words, 1)?;
+    let options = parse_options(words, 1)?;
     if options.is_empty() {
-        return Err((end, RuleErrorKind::Missing("concurrency or queue")));
+        return Err((end_column, RuleErrorKind::Missing("concurrency or queue")));
     }
     for (column, option, value) in options {
         match option {
             "concurrency" => {
-                let bounds = concurrency(value).ok_or((column, CONCURRENCY))?;
+                let bounds = parse_concurrency(value).ok_or((column, BAD_CONCURRENCY))?;
                 (limit.min_concurrency, limit.max_concurrency) = bounds;
-                set(limit, column, LimitKind::Concurrency, &origin)?;
+                record_origin(limit, column, LimitKind::Concurrency, &origin)?;
             }
             "queue" => {
-                limit.queue = duration(value).ok_or((column, QUEUE))?;
-                set(limit, column, LimitKind::Queue, &origin)?;
+                limit.queue = bounded_duration(value).ok_or((column, BAD_QUEUE))?;
+                record_origin(limit, column, LimitKind::Queue, &origin)?;
             }
             _ => return Err((column, RuleErrorKind::UnknownOption(option.to_owned()))),
         }
@@ -44,32 +44,33 @@
 
 pub(super) fn parse_keys(
     words: &[Word],
-    end: u32,
+    end_column: u32,
     origin: RuleOrigin,
     rules: &mut Rules,
 ) -> LineResult<()> {
-    let service = service(words, end)?;
+    let service = parse_name(words, end_column)?;
     let limit = rules.limits.entry(service.into()).or_default();
-    let (column, value) = only_option(words, end, "retention")?;
-    limit.key_retention = duration(value).ok_or((column, RETENTION))?;
-    set(limit, column, LimitKind::KeyRetention, &origin)
+    let (column, value) = single_option(words, end_column, "retention")?;
+    limit.key_retention = bounded_duration(value).ok_or((column, BAD_RETENTION))?;
+    record_origin(limit, column, LimitKind::KeyRetention, &origin)
 }
 
 pub(super) fn parse_resends(
     words: &[Word],
-    end: u32,
+    end_column: u32,
     origin: RuleOrigin,
     rules: &mut Rules,
 ) -> LineResult<()> {
-    let service = service(words, end)?;
+    let service = parse_name(words, end_column)?;
     let limit = rules.limits.entry(service.into()).or_default();
-    let (column, value) = only_option(words, end, "percent")?;
-    limit.resend_percent = number(value, 0, 1_000).ok_or((column, PERCENT))?;
-    set(limit, column, LimitKind::Resends, &origin)
+    let (column, value) = single_option(words, end_column, "percent")?;
+    limit.resend_percent = parse_number(value, 0, 1_000).ok_or((column, BAD_PERCENT))?;
+    record_origin(limit, column, LimitKind::Resends, &origin)
 }
 
-/// Notes who set a bound. Of two rules for the same bound one would be without effect.
-fn set(
+/// Records the origin of a limit. A second rule for the same limit is rejected, because one of the
+/// two would have no effect.
+fn record_origin(
     limit: &mut ServiceLimits,
     column: u32,
     kind: LimitKind,
@@ -83,37 +84,41 @@
     Ok(())
 }
 
-/// The value of the one option that a rule takes.
-fn only_option<'a>(words: &[Word<'a>], end: u32, name: &'static str) -> LineResult<(u32, &'a str)> {
+/// Returns the value of the only option that a rule accepts.
+fn single_option<'a>(
+    words: &[Word<'a>],
+    end_column: u32,
+    name: &'static str,
+) -> LineResult<(u32, &'a str)> {
     let mut found = None;
-    for (column, option, value) in options(words, 1)? {
+    for (column, option, value) in parse_options(words, 1)? {
         if option != name {
             return Err((column, RuleErrorKind::UnknownOption(option.to_owned())));
         }
         found = Some((column, value));
     }
-    found.ok_or((end, RuleErrorKind::Missing(name)))
+    found.ok_or((end_column, RuleErrorKind::Missing(name)))
 }
 
-fn concurrency(value: &str) -> Option<(u16, u16)> {
+fn parse_concurrency(value: &str) -> Option<(u16, u16)> {
     let (min, max) = value.split_once("..")?;
-    let min = number(min, 1, 10_000)?;
-    Some((min, number(max, min, 10_000)?))
+    let min = parse_number(min, 1, 10_000)?;
+    Some((min, parse_number(max, min, 10_000)?))
 }
 
-const CONCURRENCY: RuleErrorKind = RuleErrorKind::BadValue {
+const BAD_CONCURRENCY: RuleErrorKind = RuleErrorKind::BadValue {
     option: "concurrency",
     allowed: "MIN..MAX, each from 1 to 10000",
 };
-const QUEUE: RuleErrorKind = RuleErrorKind::BadValue {
+const BAD_QUEUE: RuleErrorKind = RuleErrorKind::BadValue {
     option: "queue",
     allowed: "a duration from 1ms to 24h",
 };
-const RETENTION: RuleErrorKind = RuleErrorKind::BadValue {
+const BAD_RETENTION: RuleErrorKind = RuleErrorKind::BadValue {
     option: "retention",
     allowed: "a duration from 1ms to 24h",
 };
-const PERCENT: RuleErrorKind = RuleErrorKind::BadValue {
+const BAD_PERCENT: RuleErrorKind = RuleErrorKind::BadValue {
     option: "percent",
     allowed: "a whole number from 0 to 1000",
 };
--- a/crates/rules/src/parse/operation.rs
+++ b/crates/rules/src/parse/operation.rs
@@ -1,10 +1,11 @@
-//! `operation SERVICE METHOD PATH class=CLASS deadline=TIME [priority=N] [retries=N] [idempotent] [public]`
+//! `operation SERVICE METHOD PATH class=CLASS deadline=TIME [priority=N] [retries=N] [idempotent]
+//! [public]`
 
-use super::words::duration;
-use super::words::number;
-use super::words::options;
-use super::words::positional;
-use super::words::service;
+use super::words::bounded_duration;
+use super::words::parse_name;
+use super::words::parse_number;
+use super::words::parse_options;
+use super::words::positional_word;
 use super::words::LineResult;
 use super::words::Word;
 use crate::Operation;
@@ -15,18 +16,18 @@
 
 pub(super) fn parse(
     words: &[Word],
-    end: u32,
+    end_column: u32,
     origin: RuleOrigin,
     rules: &mut Rules,
 ) -> LineResult<()> {
-    let service = service(words, end)?;
-    let (column, method) = positional(words, 1, "the method", end)?;
+    let service = parse_name(words, end_column)?;
+    let (column, method) = positional_word(words, 1, "method", end_column)?;
     if !is_method(method) {
-        return Err((column, METHOD));
+        return Err((column, BAD_METHOD));
     }
-    let (column, path) = positional(words, 2, "the path", end)?;
+    let (column, path) = positional_word(words, 2, "path", end_column)?;
     if !is_path(path) {
-        return Err((column, PATH));
+        return Err((column, BAD_PATH));
     }
     let mut class = None;
     let mut deadline = None;
@@ -34,16 +35,16 @@
     let mut retries = 0;
     let mut idempotent = false;
     let mut public = false;
-    for (column, option, value) in options(words, 3)? {
+    for (column, option, value) in parse_options(words, 3)? {
         match option {
-            "class" => class = Some(parse_class(value).ok_or((column, CLASS))?),
-            "deadline" => deadline = Some(duration(value).ok_or((column, DEADLINE))?),
-            "priority" => priority = parse_priority(value).ok_or((column, PRIORITY))?,
-            "retries" => retries = number(value, 0, 10).ok_or((column, RETRIES))?,
+            "class" => class = Some(parse_class(value).ok_or((column, BAD_CLASS))?),
+            "deadline" => deadline = Some(bounded_duration(value).ok_or((column, BAD_DEADLINE))?),
+            "priority" => priority = parse_priority(value).ok_or((column, BAD_PRIORITY))?,
+            "retries" => retries = parse_number(value, 0, 10).ok_or((column, BAD_RETRIES))?,
             "idempotent" if value.is_empty() => idempotent = true,
-            "idempotent" => return Err((column, IDEMPOTENT)),
+            "idempotent" => return Err((column, BAD_IDEMPOTENT)),
             "public" if value.is_empty() => public = true,
-            "public" => return Err((column, PUBLIC)),
+            "public" => return Err((column, BAD_PUBLIC)),
             _ => return Err((column, RuleErrorKind::UnknownOption(option.to_owned()))),
         }
     }
@@ -51,31 +52,31 @@
         service: service.into(),
         method: method.into(),
         path: path.into(),
-        class: class.ok_or((end, RuleErrorKind::Missing("class")))?,
+        class: class.ok_or((end_column, RuleErrorKind::Missing("class")))?,
         idempotent,
-        deadline: deadline.ok_or((end, RuleErrorKind::Missing("deadline")))?,
+        deadline: deadline.ok_or((end_column, RuleErrorKind::Missing("deadline")))?,
         priority,
         retries,
         public,
         origin,
     };
-    refuse_hidden(rules, &operation)?;
+    check_reachable(rules, &operation)?;
     rules.operations.push(operation);
     Ok(())
 }
 
-/// Refuses an operation that an earlier one hides. Its author would believe it to be in force, and
-/// a payment might be treated as the lookup that stands above it.
-fn refuse_hidden(rules: &Rules, operation: &Operation) -> LineResult<()> {
-    let hides = |earlier: &&Operation| earlier.covers(operation);
-    let Some(earlier) = rules.operations.iter().find(hides) else {
+/// Rejects an operation that can never match because an earlier one always matches first. Its
+/// author would believe it to be in force, and a payment might be treated as the lookup above it.
+fn check_reachable(rules: &Rules, operation: &Operation) -> LineResult<()> {
+    let matches_first = |earlier: &&Operation| earlier.covers(operation);
+    let Some(earlier) = rules.operations.iter().find(matches_first) else {
         return Ok(());
     };
-    let same = earlier.method == operation.method && earlier.path == operation.path;
+    let is_same_pattern = earlier.method == operation.method && earlier.path == operation.path;
     let earlier = earlier.origin.line;
     Err((
         1,
-        match same {
+        match is_same_pattern {
             true => RuleErrorKind::Duplicate { earlier },
             false => RuleErrorKind::Unreachable { earlier },
         },
@@ -83,14 +84,14 @@
 }
 
 fn is_method(method: &str) -> bool {
-    let letters = method.bytes().all(|b| b.is_ascii_uppercase() || b == b'-');
-    method == "*" || (letters && method.len() <= 16)
+    let is_upper_case = method.bytes().all(|b| b.is_ascii_uppercase() || b == b'-');
+    method == "*" || (is_upper_case && method.len() <= 16)
 }
 
-/// A path without a query; `*` only at its end.
+/// Whether this is a path without a query, with `*` only at its end.
 fn is_path(path: &str) -> bool {
-    let stem = path.strip_suffix('*').unwrap_or(path);
-    path.starts_with('/') && !stem.contains(['*', '?'])
+    let prefix = path.strip_suffix('*').unwrap_or(path);
+    path.starts_with('/') && !prefix.contains(['*', '?'])
 }
 
 fn parse_class(value: &str) -> Option<Class> {
@@ -105,42 +106,42 @@
 }
 
 pub(super) fn parse_priority(value: &str) -> Option<u8> {
-    let priority = number(value, 0, u16::from(MAX_PRIORITY))?;
+    let priority = parse_number(value, 0, u16::from(MAX_PRIORITY))?;
     u8::try_from(priority).ok()
 }
 
-/// The least urgent priority that a rule may name.
+/// The least urgent priority that a rule may set.
 const MAX_PRIORITY: u8 = 9;
 
-const METHOD: RuleErrorKind = RuleErrorKind::BadValue {
+const BAD_METHOD: RuleErrorKind = RuleErrorKind::BadValue {
     option: "method",
     allowed: "a method in capitals, or `*` for any",
 };
-const PATH: RuleErrorKind = RuleErrorKind::BadValue {
+const BAD_PATH: RuleErrorKind = RuleErrorKind::BadValue {
     option: "path",
     allowed: "a path that starts with `/`, without a query, with `*` only at its end",
 };
-const CLASS: RuleErrorKind = RuleErrorKind::BadValue {
+const BAD_CLASS: RuleErrorKind = RuleErrorKind::BadValue {
     option: "class",
     allowed: "lookup, order, booking, payment or print-job",
 };
-const DEADLINE: RuleErrorKind = RuleErrorKind::BadValue {
+const BAD_DEADLINE: RuleErrorKind = RuleErrorKind::BadValue {
     option: "deadline",
     allowed: "a duration from 1ms to 24h",
 };
-pub(super) const PRIORITY: RuleErrorKind = RuleErrorKind::BadValue {
+pub(super) const BAD_PRIORITY: RuleErrorKind = RuleErrorKind::BadValue {
     option: "priority",
     allowed: "a whole number from 0, the most urgent, to 9",
 };
-const RETRIES: RuleErrorKind = RuleErrorKind::BadValue {
+const BAD_RETRIES: RuleErrorKind = RuleErrorKind::BadValue {
     option: "retries",
     allowed: "a whole number from 0 to 10",
 };
-const IDEMPOTENT: RuleErrorKind = RuleErrorKind::BadValue {
+const BAD_IDEMPOTENT: RuleErrorKind = RuleErrorKind::BadValue {
     option: "idempotent",
     allowed: "no value",
 };
-const PUBLIC: RuleErrorKind = RuleErrorKind::BadValue {
+const BAD_PUBLIC: RuleErrorKind = RuleErrorKind::BadValue {
     option: "public",
     allowed: "no value",
 };
--- a/crates/rules/src/parse/words.rs
+++ b/crates/rules/src/parse/words.rs
@@ -1,22 +1,22 @@
-//! The words of a line, with their places, and the values in them.
+//! Splits a line into words and options, and parses their values.
 
 use crate::parse_duration;
 use crate::RuleErrorKind;
 use std::time::Duration;
 
-/// A word of a rule and its column, from 1.
+/// A word of a rule with its column, from 1.
 pub(super) type Word<'a> = (u32, &'a str);
 
-/// What came of a line, or the column and kind of its fault.
+/// The result of parsing a line; the error holds the column and kind.
 pub(super) type LineResult<T> = Result<T, (u32, RuleErrorKind)>;
 
-/// The longest name of a service, in bytes.
-const MAX_NAME: usize = 64;
+/// Maximum length of a service or organisation name, in bytes.
+const MAX_NAME_BYTES: usize = 64;
 
-/// The longest deadline and retention that a rule may set.
+/// Maximum for any duration in a rule.
 const MAX_DURATION: Duration = Duration::from_secs(24 * 3600);
 
-pub(super) fn words(rule: &str) -> Vec<Word<'_>> {
+pub(super) fn split_words(rule: &str) -> Vec<Word<'_>> {
     let mut words = Vec::new();
     for word in rule.split_whitespace() {
         let offset = word.as_ptr() as usize - rule.as_ptr() as usize;
@@ -29,31 +29,32 @@
     line[..offset].chars().count() as u32 + 1
 }
 
-/// The word at a fixed place.
-pub(super) fn positional<'a>(
+/// Returns the word at a fixed position.
+pub(super) fn positional_word<'a>(
     words: &[Word<'a>],
     index: usize,
     what: &'static str,
-    end: u32,
+    end_column: u32,
 ) -> LineResult<Word<'a>> {
     let word = words.get(index).copied();
-    word.ok_or((end, RuleErrorKind::Missing(what)))
+    word.ok_or((end_column, RuleErrorKind::Missing(what)))
 }
 
-/// The service, which comes first in every rule.
-pub(super) fn service<'a>(words: &[Word<'a>], end: u32) -> LineResult<&'a str> {
-    let (column, name) = positional(words, 0, "the service", end)?;
-    let fits = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
-    // No instance can have another name, and `-` is the node itself in a path.
-    let is_name = name.len() <= MAX_NAME && name.chars().all(fits);
-    if !is_name || matches!(name, "-" | "." | "..") {
-        return Err((column, SERVICE));
+/// Returns the name that follows the keyword of every rule: the service or organisation.
+pub(super) fn parse_name<'a>(words: &[Word<'a>], end_column: u32) -> LineResult<&'a str> {
+    let (column, name) = positional_word(words, 0, "service", end_column)?;
+    let is_allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
+    // No instance can have any other name, and `-` refers to the node itself in a path.
+    let has_valid_form = name.len() <= MAX_NAME_BYTES && name.chars().all(is_allowed);
+    if !has_valid_form || matches!(name, "-" | "." | "..") {
+        return Err((column, BAD_NAME));
     }
     Ok(name)
 }
 
-/// The options from `index` on, as column, name and value; none stands twice.
-pub(super) fn options<'a>(
+/// Parses the words from `index` on as options, each with its column, name and value, and rejects
+/// repeated names.
+pub(super) fn parse_options<'a>(
     words: &[Word<'a>],
     index: usize,
 ) -> LineResult<Vec<(u32, &'a str, &'a str)>> {
@@ -68,16 +69,16 @@
     Ok(options)
 }
 
-pub(super) fn duration(value: &str) -> Option<Duration> {
+pub(super) fn bounded_duration(value: &str) -> Option<Duration> {
     parse_duration(value).filter(|d| !d.is_zero() && *d <= MAX_DURATION)
 }
 
-pub(super) fn number(value: &str, min: u16, max: u16) -> Option<u16> {
+pub(super) fn parse_number(value: &str, min: u16, max: u16) -> Option<u16> {
     let number = value.parse().ok();
     number.filter(|number| (min..=max).contains(number))
 }
 
-const SERVICE: RuleErrorKind = RuleErrorKind::BadValue {
+const BAD_NAME: RuleErrorKind = RuleErrorKind::BadValue {
     option: "service",
     allowed: "1 to 64 letters, digits, `-`, `_` or `.`",
 };
--- a/crates/rules/src/route.rs
+++ b/crates/rules/src/route.rs
@@ -1,4 +1,4 @@
-//! Routes: which service a host and path lead to, where callers name no service.
+//! Routes, which map a host and path to a service if callers do not name the service.
 
 use crate::Operation;
 use crate::Rules;
@@ -9,13 +9,13 @@
 use stdx::data;
 
 data! {
-    /// What the requests for one host and path prefix mean.
+    /// The operation and target services for requests with a given host and path prefix.
     pub struct Route {
-        /// What they mean, but for the service: that is the first of `targets`.
+        /// The operation. Its service is the first of `targets`.
         pub operation: Operation,
-        /// The services that share the requests, with their weights; at least one.
+        /// The services among which requests are split, with their weights; never empty.
         pub targets: Vec<(Arc<str>, u32)>,
-        /// The time within which an answer is worth most to its caller.
+        /// Target latency. A response within this time is of the most value to the caller.
         pub latency_objective: Duration,
     }
 }
@@ -24,20 +24,20 @@
     /// The routes of all hosts.
     #[derive(Default)]
     pub struct Routes {
-        /// By host, then by path prefix. Every prefix ends with a slash.
+        /// Routes by host, then by path prefix. Every prefix ends with a slash.
         hosts: IndexMap<Arc<str>, IndexMap<Arc<str>, Route>>,
     }
 }
 
 impl Routes {
-    /// Enters a route. One that was entered before for the same host and prefix is replaced.
+    /// Adds a route, replacing any earlier route for the same host and prefix.
     pub fn insert(&mut self, host: &Arc<str>, prefix: Arc<str>, route: Route) {
         let prefixes = self.hosts.entry(host.clone()).or_default();
         prefixes.insert(prefix, route);
     }
 
-    /// The route with the longest prefix of the path. Each slash of the path is looked up once, so
-    /// the cost does not grow with the number of routes.
+    /// Returns the route with the longest matching prefix. There is one lookup for each slash in
+    /// the path, so the cost does not depend on the number of routes.
     pub fn find(&self, host: &str, path: &str) -> Option<&Route> {
         let prefixes = self.hosts.get(host)?;
         let path = path.split('?').next().unwrap_or(path);
@@ -51,22 +51,22 @@
         None
     }
 
-    /// Every route.
+    /// Iterates over all routes.
     pub fn iter(&self) -> impl Iterator<Item = &Route> {
         self.hosts.values().flat_map(IndexMap::values)
     }
 }
 
 impl Route {
-    /// The service for a request with this random value. The values are cut in proportion to the
-    /// weights, so the same request gets the same service at every node.
-    pub fn target(&self, dice: u16) -> &Arc<str> {
+    /// Returns the service for a request with this random value. The range of values is divided in
+    /// proportion to the weights, so every node picks the same service for a request.
+    pub fn target(&self, sample: u16) -> &Arc<str> {
         let total: u64 = self
             .targets
             .iter()
             .map(|(_, weight)| u64::from(*weight))
             .sum();
-        let mut point = u64::from(dice) * total / (u64::from(u16::MAX) + 1);
+        let mut point = u64::from(sample) * total / (u64::from(u16::MAX) + 1);
         for (service, weight) in &self.targets {
             match point.checked_sub(u64::from(*weight)) {
                 Some(rest) => point = rest,
@@ -77,17 +77,17 @@
     }
 }
 
-/// What decides a request.
+/// The rule that applies to a request.
 #[derive(Debug, Clone, Copy)]
 pub enum MatchedRule<'a> {
-    /// The request names its service; this says what its method and path mean.
+    /// The request names its service; the operation matches its method and path.
     Operation(&'a Operation),
-    /// The request names a host; this says where it leads.
+    /// The request names a host; the route determines the service.
     Route(&'a Route),
 }
 
 impl<'a> MatchedRule<'a> {
-    /// What the request means.
+    /// Returns the operation of the rule.
     pub fn operation(self) -> &'a Operation {
         match self {
             MatchedRule::Operation(operation) => operation,
@@ -97,7 +97,8 @@
 }
 
 impl Rules {
-    /// The rule that decides a request: by its host if it names one, else by its service.
+    /// Returns the rule that applies to a request, matched by host if the request names one, else
+    /// by service.
     ///
     /// # Examples
     ///
@@ -117,7 +118,7 @@
             .map(MatchedRule::Route)
     }
 
-    /// Rules that consist of routes alone.
+    /// Creates rules that contain only routes.
     ///
     /// # Examples
     ///
--- a/crates/rules/tests/parse.rs
+++ b/crates/rules/tests/parse.rs
@@ -1,4 +1,4 @@
-//! Rules files with faults, and what is said of them.
+//! Errors in rules files and the explanation of rules.
 
 use bilberry_rules::KeyDigest;
 use bilberry_rules::Rules;
@@ -7,43 +7,51 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-const GOOD: &str = "operation press POST /slots class=booking deadline=2s # asked by Anna\n";
+const VALID_RULE: &str = "operation press POST /slots class=booking deadline=2s # asked by Anna\n";
 
-/// Parses a file that ends in `last`; gives the faults as the operator reads them.
+/// Parses `before` followed by `last` and compares the errors with the messages an operator sees.
 fn check(before: &str, last: &str, expected: &[&str]) {
-    let faults = match Rules::parse(&format!("{before}{last}")) {
+    let messages = match Rules::parse(&format!("{before}{last}")) {
         Ok(_) => Vec::new(),
         Err(errors) => errors.iter().map(|e| e.to_string()).collect(),
     };
-    assert_eq!(faults, expected, "{last}");
+    assert_eq!(messages, expected, "{last}");
 }
 
 #[test]
-fn each_fault_has_its_place() {
-    check("", GOOD, &[]);
-    check("", "", &["1:1: the file holds no rule"]);
-    check("", "# only a comment\n\n", &["1:1: the file holds no rule"]);
-    let nobody = "no comment says who asked for it: end the line with `# asked by NAME`";
-    check(GOOD, "limit press queue=1s", &[&format!("2:21: {nobody}")]);
+fn errors_report_line_and_column() {
+    check("", VALID_RULE, &[]);
+    check("", "", &["1:1: file contains no operation rule"]);
     check(
-        GOOD,
+        "",
+        "# only a comment\n\n",
+        &["1:1: file contains no operation rule"],
+    );
+    let missing = "missing comment that names the requester: end the line with `# asked by NAME`";
+    check(
+        VALID_RULE,
+        "limit press queue=1s",
+        &[&format!("2:21: {missing}")],
+    );
+    check(
+        VALID_RULE,
         "limit press queue=1s # Anna",
-        &[&format!("2:22: {nobody}")],
+        &[&format!("2:22: {missing}")],
     );
     check(
-        GOOD,
+        VALID_RULE,
         "limit press queue=1s # asked by  ",
-        &[&format!("2:22: {nobody}")],
+        &[&format!("2:22: {missing}")],
     );
     check(
-        GOOD,
+        VALID_RULE,
         "  deny press # asked by Ugo",
-        &["2:3: `deny` is no kind of rule: use operation, limit, keys, resends or organisation"],
+        &["2:3: unknown rule `deny`: expected operation, limit, keys, resends or organisation"],
     );
     check(
-        GOOD,
+        VALID_RULE,
         "limit press # asked by Ugo",
-        &["2:13: concurrency or queue is missing"],
+        &["2:13: missing concurrency or queue"],
     );
     check(
         "",
@@ -51,32 +59,32 @@
         &["1:49: `priority` takes a whole number from 0, the most urgent, to 9"],
     );
     check(
-        GOOD,
+        VALID_RULE,
         "limit # asked by Ugo",
-        &["2:7: the service is missing"],
+        &["2:7: missing service"],
     );
     check(
-        GOOD,
+        VALID_RULE,
         "keys press # asked by Ugo",
-        &["2:12: retention is missing"],
+        &["2:12: missing retention"],
     );
     check(
-        GOOD,
+        VALID_RULE,
         "limit press queue=1s queue=2s # asked by Ugo",
-        &["2:22: `queue` stands twice"],
+        &["2:22: duplicate option `queue`"],
     );
     check(
-        GOOD,
+        VALID_RULE,
         "keys press retention=1h percent=3 # asked by Ugo",
-        &["2:25: `percent` is no option of this rule"],
+        &["2:25: unknown option `percent`"],
     );
     check(
-        GOOD,
+        VALID_RULE,
         "limit preß queue=1s # asked by Ugo",
         &["2:7: `service` takes 1 to 64 letters, digits, `-`, `_` or `.`"],
     );
     check(
-        GOOD,
+        VALID_RULE,
         "limit press concurrency=9..3 # asked by Ugo\nresends press percent=x # asked by Ugo",
         &[
             "2:13: `concurrency` takes MIN..MAX, each from 1 to 10000",
@@ -86,7 +94,7 @@
 }
 
 #[test]
-fn operations_are_checked() {
+fn invalid_operations_are_rejected() {
     let rest = "class=order deadline=1s # asked by Ugo";
     let path =
         "`path` takes a path that starts with `/`, without a query, with `*` only at its end";
@@ -113,60 +121,70 @@
     check(
         "",
         "operation a GET /x class=order # asked by Ugo",
-        &["1:32: deadline is missing"],
+        &["1:32: missing deadline"],
     );
     check(
         "",
         "operation a GET /x class=order deadline=1s idempotent=no # asked by Ugo",
         &["1:44: `idempotent` takes no value"],
     );
-    // Retries are spent only on what certainly did not run, so they do not need idempotence.
+    // A retry happens only if the earlier attempt certainly did not run, so it does not require an
+    // idempotent operation.
     check("", &format!("operation a POST /x retries=2 {rest}"), &[]);
 }
 
-/// An operator adds a rule below one that already matches everything. It would never be used, and
-/// nobody would notice until a payment is treated as a lookup.
+/// A rule below one that already matches all its calls would never apply, which could go unnoticed
+/// until a payment is treated as a lookup.
 #[test]
-fn a_hidden_rule_is_refused() {
-    let hidden = "operation press POST /slots class=payment deadline=1s # asked by Ugo";
-    check(GOOD, hidden, &["2:1: already set on line 1"]);
+fn unreachable_operation_is_rejected() {
+    let unreachable = "operation press POST /slots class=payment deadline=1s # asked by Ugo";
+    check(VALID_RULE, unreachable, &["2:1: already set on line 1"]);
     for pattern in ["* /slots", "POST /sl*", "* /*"] {
         let first = format!("operation press {pattern} class=lookup deadline=1s # asked by Ugo\n");
-        check(&first, hidden, &["2:1: never used: line 1 matches first"]);
+        check(
+            &first,
+            unreachable,
+            &["2:1: unreachable: line 1 matches first"],
+        );
     }
     check(
-        GOOD,
+        VALID_RULE,
         "operation press * /* class=lookup deadline=1s # asked by Ugo",
         &[],
     );
-    check(GOOD, &hidden.replace(" press", " order"), &[]);
-    check(GOOD, &hidden.replace("POST", "GET"), &[]);
+    check(VALID_RULE, &unreachable.replace(" press", " order"), &[]);
+    check(VALID_RULE, &unreachable.replace("POST", "GET"), &[]);
     let limit = "limit press queue=1s # asked by Ugo\n";
     check(
-        &format!("{GOOD}{limit}"),
+        &format!("{VALID_RULE}{limit}"),
         limit,
         &["3:13: already set on line 2"],
     );
 }
 
 #[test]
-fn files_are_bounded() {
+fn file_size_rules_and_reported_errors_are_limited() {
     check(
         "",
         &" ".repeat(MAX_FILE_BYTES + 1),
-        &["1:1: the file exceeds 262144 bytes"],
+        &["1:1: file exceeds 262144 bytes"],
     );
     let rule = |n| format!("operation s GET /{n} class=lookup deadline=1s # asked by A\n");
-    let most: String = (0..MAX_RULES).map(rule).collect();
-    check(&most, "", &[]);
-    check(&most, GOOD, &["1:1: the file holds more than 2000 rules"]);
+    let full: String = (0..MAX_RULES).map(rule).collect();
+    check(&full, "", &[]);
+    check(
+        &full,
+        VALID_RULE,
+        &["1:1: file contains more than 2000 rules"],
+    );
     assert_eq!(Rules::parse(&"x\n".repeat(1000)).unwrap_err().len(), 100);
 }
 
-/// A customer complains and the operator asks why the call was treated as it was.
+/// An operator must be able to tell why a call was treated as it was, for example after a
+/// complaint.
 #[test]
-fn every_rule_that_decides_a_call_is_named() {
-    let text = format!("{GOOD}\nkeys press retention=2h # asked by the board\n");
+fn explanation_names_every_rule_that_applies() {
+    let text = format!("{VALID_RULE}\nkeys press retention=2h # asked by the board\n");
     let rules = Rules::parse(&text).unwrap();
     let explanation = rules.explain("press", "POST", "/slots?day=3").to_string();
     let expected = "\
@@ -192,8 +210,8 @@
     }
 }
 
-/// A word that is close to what a rule may hold.
-fn word() -> impl Strategy<Value = String> {
+/// Generates words that resemble parts of valid rules.
+fn rule_word() -> impl Strategy<Value = String> {
     let words = "operation|limit|keys|resends|press|POST|/slots\\*?|class=|class=order|deadline=1s\
         |deadline=99999999999999999999h|retries=3|idempotent|concurrency=1\\.\\.|queue=0ms|#|# asked by A\
         |\n|=|\\.\\.|ß=é|[\\PC]{0,4}";
@@ -203,11 +221,11 @@
 proptest! {
     #![proptest_config(config())]
 
-    /// A broken file reaches a node as a record of the log. If parsing panicked, every node of the
-    /// fleet would end at the same moment.
+    /// Rules files reach nodes as records of the log. If an invalid one made the parser panic, all
+    /// nodes would crash at the same moment.
     #[test]
-    fn no_text_makes_it_panic(
-        words in prop::collection::vec(word(), 0..40),
+    fn parser_never_panics(
+        words in prop::collection::vec(rule_word(), 0..40),
         raw in any::<String>(),
     ) {
         for text in [words.join(" "), raw] {
@@ -220,10 +238,10 @@
     }
 }
 
-/// An operator wonders why one lookup is shed before another. The line that ranked it is told, with who
-/// asked for it.
+/// The explanation must show the line that set a priority and its requester, as the reason why one
+/// lookup is shed before another.
 #[test]
-fn a_priority_is_explained() {
+fn explanation_includes_the_priority() {
     let text =
         "operation press GET /days class=lookup idempotent deadline=2s priority=2 # asked by Ugo";
     let rules = Rules::parse(text).unwrap();
@@ -234,11 +252,13 @@
 }
 
 const DIGEST: &str = "sha256:a6a99e93ec19ace525f95f61b460500529945fd8c1183fa268e36ff143aceb90";
-const OTHER: &str = "sha256:e3cbb1536588e2953f0d2f9443505b2e0a190e02f8d40b1d35cd3e29f5f753be";
+const OTHER_DIGEST: &str =
+    "sha256:e3cbb1536588e2953f0d2f9443505b2e0a190e02f8d40b1d35cd3e29f5f753be";
 
 #[test]
-fn each_fault_of_an_organisation_has_its_place() {
-    let first = format!("{GOOD}organisation anna keys={DIGEST} rate=20 burst=5 # asked by Ugo\n");
+fn organisation_errors_report_line_and_column() {
+    let first =
+        format!("{VALID_RULE}organisation anna keys={DIGEST} rate=20 burst=5 # asked by Ugo\n");
     check(&first, "", &[]);
     let check = |last: &str, expected: &str| check(&first, last, &[expected]);
     check(
@@ -246,35 +266,35 @@
         "3:20: `keys` takes digests of keys as `bilberryctl key` prints them, with commas between them",
     );
     check(
-        &format!("organisation marco keys={OTHER},{DIGEST} # asked by Ugo"),
-        "3:20: the organisation on line 2 has one of these keys",
+        &format!("organisation marco keys={OTHER_DIGEST},{DIGEST} # asked by Ugo"),
+        "3:20: key already used by the organisation on line 2",
     );
     check(
-        &format!("organisation anna keys={OTHER} # asked by Ugo"),
+        &format!("organisation anna keys={OTHER_DIGEST} # asked by Ugo"),
         "3:1: already set on line 2",
     );
     check(
         "organisation marco rate=5 # asked by Ugo",
-        "3:27: keys is missing",
+        "3:27: missing keys",
     );
     check(
-        &format!("organisation marco keys={OTHER} burst=5 # asked by Ugo"),
-        "3:97: rate is missing",
+        &format!("organisation marco keys={OTHER_DIGEST} burst=5 # asked by Ugo"),
+        "3:97: missing rate",
     );
     check(
-        &format!("organisation marco keys={OTHER} rate=0 # asked by Ugo"),
+        &format!("organisation marco keys={OTHER_DIGEST} rate=0 # asked by Ugo"),
         "3:97: `rate` takes a whole number of requests a second from 1 to 65535",
     );
 }
 
 #[test]
-fn an_organisation_is_found_by_its_keys() {
+fn organisation_is_found_by_its_keys() {
     let line = format!(
-        "organisation anna keys={DIGEST},{OTHER} rate=20 burst=5 priority=1 # asked by Ugo"
+        "organisation anna keys={DIGEST},{OTHER_DIGEST} rate=20 burst=5 priority=1 # asked by Ugo"
     );
-    let rules = Rules::parse(&format!("{GOOD}{line}")).unwrap();
+    let rules = Rules::parse(&format!("{VALID_RULE}{line}")).unwrap();
     let organisations = rules.organisations.unwrap();
-    for digest in [DIGEST, OTHER] {
+    for digest in [DIGEST, OTHER_DIGEST] {
         let (_, anna) = organisations
             .find(&KeyDigest::parse(digest).unwrap())
             .unwrap();
@@ -285,7 +305,7 @@
 }
 
 #[test]
-fn a_digest_is_not_shown_where_rules_are() {
+fn debug_output_hides_key_digests() {
     let shown = format!("{:?}", KeyDigest::parse(DIGEST).unwrap());
     assert!(!shown.contains("a6a99e"), "{shown}");
 }
--- a/crates/rules/tests/routes.rs
+++ b/crates/rules/tests/routes.rs
@@ -1,4 +1,4 @@
-//! Which route decides a host and path, and how a split shares requests.
+//! Route matching and the split of requests among target services.
 
 use bilberry_rules::Operation;
 use bilberry_rules::Route;
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn the_longest_prefix_decides() {
+fn longest_prefix_matches() {
     check("/x", Some("all"));
     check("/a", Some("all"));
     check("/a/", Some("a"));
@@ -57,11 +57,11 @@
     check("", None);
 }
 
-/// Shares are exact over all random values, and the same value always gets the same service.
+/// Shares must follow the weights over the whole range of random values.
 #[test]
-fn a_split_follows_its_weights() {
+fn requests_are_split_by_weight() {
     let route = route(&[("a", 90), ("b", 10)]);
-    let to_b = (0..=u16::MAX).filter(|dice| &**route.target(*dice) == "b");
+    let to_b = (0..=u16::MAX).filter(|sample| &**route.target(*sample) == "b");
     let share = to_b.count() as f64 / f64::from(u16::MAX);
     assert!((0.099..0.101).contains(&share), "{share}");
 }
