--- a/crates/organisation/src/borrower.rs
+++ b/crates/organisation/src/borrower.rs
@@ -1,7 +1,7 @@
-//! The side that borrows tokens of quotas, one for each request that it admits.
+//! Borrows tokens of quotas; each admitted request spends one.
 //!
-//! Tokens are asked for ahead of the demand, so that a request usually finds one; only for an organisation
-//! that is seldom seen here does a request wait for the lender's answer.
+//! Tokens are requested ahead of demand, so that there is usually one at hand. Only requests of an
+//! organisation that is rarely seen on this node wait for the lender's answer.
 
 use crate::lender::VOTE_LEASE;
 use crate::pool::Pool;
@@ -16,104 +16,105 @@
 use stdx::Bounded;
 use stdx::Time;
 
-/// How often a vote is lent anew. A message may be lost before it lapses.
+/// Interval between votes, chosen so that a vote stays valid if one message is lost.
 const VOTE_INTERVAL: Duration = Duration::from_millis(400);
 
-/// How soon the first vote follows the stamp that it needs.
-const FIRST_VOTE: Duration = Duration::from_millis(20);
+/// Delay between receiving the first stamp of a lender and sending it the first vote.
+const FIRST_VOTE_DELAY: Duration = Duration::from_millis(20);
 
-/// After this time without an answer a lender is asked again.
+/// Time after which an unanswered request is given up.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(120);
 
-/// So many timeouts in a row make a lender count as lost.
+/// Number of consecutive timeouts after which a lender is considered lost.
 const MAX_TIMEOUTS: u32 = 3;
 
-/// For how long a lost lender is not asked, and how many are remembered.
-const AVOID: Duration = Duration::from_secs(3);
+/// How long a lost lender is avoided, and how many such lenders are remembered.
+const AVOID_DURATION: Duration = Duration::from_secs(3);
 const MAX_AVOIDED: usize = 64;
 
-/// The time between two questions for an organisation whose quota is used up. A lender that has few votes
-/// may have many a moment later.
-const MIN_SHORT: Duration = Duration::from_millis(60);
-const MAX_SHORT: Duration = Duration::from_millis(250);
+/// Limits for the delay between two requests for an organisation whose quota is used up. A lender
+/// that has few votes now may have many a moment later, so the delay is short.
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(60);
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(250);
 
-/// Questions of a group that wait for their answers.
+/// Maximum number of unanswered requests in a group.
 const MAX_IN_FLIGHT: usize = 32;
 
-/// A token that was spent on a request.
+/// A token spent on a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct QuotaToken {
-    /// Whose.
+    /// The organisation whose quota the token counts against.
     pub organisation: OrganisationId,
-    /// Until when it could be spent.
+    /// When the token expires.
     pub expires: Time,
 }
 
-/// Asks a lender for tokens, and may lend it a vote.
+/// A request for tokens, which may also give the lender this node's vote.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LoanRequest {
-    /// Who is asked.
+    /// The lender to send the request to.
     pub lender: Incarnation,
-    /// The question's number.
+    /// Identifies the request in the answer.
     pub request_id: u64,
-    /// The stamp that lends this node's vote; 0 if it is not lent.
+    /// The stamp that gives the lender this node's vote; 0 to give none.
     pub vote_stamp: u64,
-    /// How many tokens are asked for.
+    /// The number of tokens requested for each organisation.
     pub wanted: Vec<(OrganisationId, u16)>,
 }
 
 #[derive(Debug)]
-struct Question {
-    sent: Time,
-    /// Its answer tells whether the present lender is there.
-    is_for_lender: bool,
+struct PendingRequest {
+    sent_at: Time,
+    /// Whether an answer or a timeout counts for the current lender. Cleared when the lender
+    /// changes.
+    is_to_current_lender: bool,
     wanted: Vec<(OrganisationId, u16)>,
 }
 
-/// Who lends in one group, as far as this node knows.
+/// The lender of a group as seen by this node, and the state of requests to it.
 #[derive(Debug)]
-struct Ballot {
+struct GroupState {
     lender: Option<Incarnation>,
-    /// The lender's last stamp; 0 before there is one.
+    /// The last stamp received from the lender; 0 if none.
     stamp: u64,
-    /// Who has this node's vote, and until when it may not be lent to another.
-    bound: Option<(Incarnation, Time)>,
+    /// The lender that has this node's vote, and the time until which no other may get it.
+    committed_vote: Option<(Incarnation, Time)>,
     vote_due: Time,
-    in_flight: IndexMap<u64, Question>,
+    in_flight: IndexMap<u64, PendingRequest>,
     timeouts: u32,
-    /// Lenders that were lost, and until when they are not asked.
+    /// Lenders considered lost, with the time until which they are avoided.
     avoided: Bounded<Incarnation, Time>,
-    /// A pool of the group may want tokens at once.
+    /// A pool of the group may need tokens at once.
     urgent: bool,
-    /// When a pool of the group whose lender had too few tokens may want some again.
-    again_at: Option<Time>,
+    /// When a pool of the group may request tokens again after its lender had too few.
+    retry_at: Option<Time>,
 }
 
-impl Ballot {
+impl GroupState {
     fn new() -> Self {
         Self {
             lender: None,
             stamp: 0,
-            bound: None,
+            committed_vote: None,
             vote_due: Time::ZERO,
             in_flight: IndexMap::new(),
             timeouts: 0,
             avoided: Bounded::new(MAX_AVOIDED),
             urgent: false,
-            again_at: None,
+            retry_at: None,
         }
     }
 
     fn avoid(&mut self, now: Time, lender: Incarnation) {
-        self.avoided.insert(lender, now + AVOID);
+        self.avoided.insert(lender, now + AVOID_DURATION);
         self.vote_due = now;
     }
 
-    fn follow(&mut self, lender: Option<Incarnation>) {
+    fn set_lender(&mut self, lender: Option<Incarnation>) {
         if self.lender != lender {
-            // What was asked of the last one is not to count against this one.
-            for question in self.in_flight.values_mut() {
-                question.is_for_lender = false;
+            // Timeouts of requests to the previous lender must not count against this one.
+            for request in self.in_flight.values_mut() {
+                request.is_to_current_lender = false;
             }
             self.lender = lender;
             self.stamp = 0;
@@ -123,34 +124,34 @@
     }
 }
 
-/// What this node borrows.
+/// The borrowing side of a node.
 #[derive(Debug)]
 pub struct Borrower {
-    bounds: QuotaTolerance,
-    /// When this node began. An earlier incarnation at its place may have lent its vote until
-    /// [`VOTE_LEASE`] later.
-    began: Option<Time>,
-    /// There are quotas, so this node has to vote.
-    active: bool,
+    tolerance: QuotaTolerance,
+    /// The time of the first poll. A previous incarnation of this node may have given a vote that
+    /// is valid until [`VOTE_LEASE`] after this.
+    started_at: Option<Time>,
+    /// Whether any organisation has a quota, so that this node must vote.
+    has_quotas: bool,
     pools: IndexMap<OrganisationId, Pool>,
-    ballots: Vec<Ballot>,
+    groups: Vec<GroupState>,
     last_request_id: u64,
 }
 
 impl Borrower {
-    /// A borrower without tokens.
-    pub fn new(bounds: QuotaTolerance) -> Self {
+    /// Creates a borrower without tokens.
+    pub fn new(tolerance: QuotaTolerance) -> Self {
         Self {
-            bounds,
-            began: None,
-            active: false,
+            tolerance,
+            started_at: None,
+            has_quotas: false,
             pools: IndexMap::new(),
-            ballots: (0..GROUP_COUNT).map(|_| Ballot::new()).collect(),
+            groups: (0..GROUP_COUNT).map(|_| GroupState::new()).collect(),
             last_request_id: 0,
         }
     }
 
-    /// Spends a token on a request that has come.
+    /// Spends a token on a newly arrived request.
     pub fn try_spend(
         &mut self,
         now: Time,
@@ -158,23 +159,23 @@
         quota: Quota,
     ) -> Option<QuotaToken> {
         let pool = self.pool(organisation, quota);
-        pool.demand.add(now);
-        let expires = pool.take(now);
-        self.note_need(now, organisation);
+        pool.demand.record(now);
+        let expires = pool.spend(now);
+        self.update_urgency(now, organisation);
         expires.map(|expires| QuotaToken {
             organisation,
             expires,
         })
     }
 
-    /// Spends a token on a request that waits.
+    /// Spends a token on a waiting request.
     pub fn try_spend_waiting(
         &mut self,
         now: Time,
         organisation: OrganisationId,
     ) -> Option<QuotaToken> {
         let pool = self.pools.get_mut(&organisation)?;
-        let expires = pool.take(now)?;
+        let expires = pool.spend(now)?;
         pool.waiting = pool.waiting.saturating_sub(1);
         Some(QuotaToken {
             organisation,
@@ -182,93 +183,94 @@
         })
     }
 
-    /// A request waits for a token.
+    /// Adds a request that waits for a token.
     pub fn start_waiting(&mut self, now: Time, organisation: OrganisationId) {
         if let Some(pool) = self.pools.get_mut(&organisation) {
             pool.waiting += 1;
-            self.note_need(now, organisation);
+            self.update_urgency(now, organisation);
         }
     }
 
-    /// A request does not wait any more.
+    /// Removes a request that no longer waits for a token.
     pub fn stop_waiting(&mut self, organisation: OrganisationId) {
         if let Some(pool) = self.pools.get_mut(&organisation) {
             pool.waiting = pool.waiting.saturating_sub(1);
         }
     }
 
-    /// Gives back a token whose request did not run.
-    pub fn refund(&mut self, now: Time, credit: QuotaToken) {
-        if let Some(pool) = self.pools.get_mut(&credit.organisation) {
-            if credit.expires > now {
-                pool.put(credit.expires, 1);
+    /// Returns the token of a request that was not run.
+    pub fn refund(&mut self, now: Time, token: QuotaToken) {
+        if let Some(pool) = self.pools.get_mut(&token.organisation) {
+            if token.expires > now {
+                pool.add_tokens(token.expires, 1);
             }
         }
     }
 
-    /// Whether the lender had too few tokens when it was asked last.
+    /// Whether the lender had too few tokens when it last answered.
     pub fn lender_was_short(&self, organisation: OrganisationId) -> bool {
         let pool = self.pools.get(&organisation);
-        pool.is_some_and(|pool| pool.short_until.is_some())
+        pool.is_some_and(|pool| pool.backoff_until.is_some())
     }
 
-    /// Whether a node is not to be chosen as the lender of a group now, because it was lost.
+    /// Whether a node must not be chosen as lender of a group for now, because it was considered
+    /// lost.
     pub fn avoids(&self, now: Time, group: u8, lender: Incarnation) -> bool {
-        let avoided = &self.ballots[usize::from(group)].avoided;
+        let avoided = &self.groups[usize::from(group)].avoided;
         avoided.get(&lender).is_some_and(|until| now < *until)
     }
 
-    /// Whether [`Borrower::poll`] has something to do in any group.
+    /// Whether [`Borrower::poll`] is due for any group.
     pub fn is_due(&self, now: Time) -> bool {
         self.next_timer().is_some_and(|due| due <= now)
     }
 
-    /// The next question of a group, to `lender`, if one is due.
+    /// Returns the next request to `lender` in a group, if one is due.
     pub fn poll(
         &mut self,
         now: Time,
         group: u8,
         lender: Option<Incarnation>,
     ) -> Option<LoanRequest> {
-        let began = *self.began.get_or_insert(now);
-        self.time_out(now, group);
-        let ballot = &mut self.ballots[usize::from(group)];
-        ballot.follow(lender);
-        let votes = now >= ballot.vote_due;
-        ballot.urgent |= ballot.again_at.take_if(|at| *at <= now).is_some();
-        if !std::mem::take(&mut ballot.urgent) && !votes {
+        let started_at = *self.started_at.get_or_insert(now);
+        self.expire_requests(now, group);
+        let state = &mut self.groups[usize::from(group)];
+        state.set_lender(lender);
+        let is_vote_due = now >= state.vote_due;
+        state.urgent |= state.retry_at.take_if(|at| *at <= now).is_some();
+        if !std::mem::take(&mut state.urgent) && !is_vote_due {
             return None;
         }
-        let is_full = ballot.in_flight.len() >= MAX_IN_FLIGHT;
-        let Some(lender) = ballot.lender.filter(|_| !is_full) else {
-            ballot.vote_due = ballot.vote_due.max(now + MIN_SHORT);
-            ballot.again_at = Some(now + MIN_SHORT);
+        let is_full = state.in_flight.len() >= MAX_IN_FLIGHT;
+        let Some(lender) = state.lender.filter(|_| !is_full) else {
+            state.vote_due = state.vote_due.max(now + MIN_RETRY_DELAY);
+            state.retry_at = Some(now + MIN_RETRY_DELAY);
             return None;
         };
-        let wanted = self.wanted(now, group);
-        if !votes && wanted.is_empty() {
+        let wanted = self.collect_requests(now, group);
+        if !is_vote_due && wanted.is_empty() {
             return None;
         }
-        let ballot = &mut self.ballots[usize::from(group)];
-        let is_free = ballot
-            .bound
+        let state = &mut self.groups[usize::from(group)];
+        let may_vote = state
+            .committed_vote
             .is_none_or(|(to, until)| to == lender || now >= until);
-        let vote_stamp = match is_free && now >= began + VOTE_LEASE {
-            true => ballot.stamp,
+        let vote_stamp = match may_vote && now >= started_at + VOTE_LEASE {
+            true => state.stamp,
             false => 0,
         };
         if vote_stamp != 0 {
-            ballot.bound = Some((lender, now + VOTE_LEASE));
+            state.committed_vote = Some((lender, now + VOTE_LEASE));
         }
-        ballot.vote_due = now + VOTE_INTERVAL;
+        state.vote_due = now + VOTE_INTERVAL;
         self.last_request_id += 1;
         let request_id = self.last_request_id;
-        let question = Question {
-            sent: now,
-            is_for_lender: true,
+        let request = PendingRequest {
+            sent_at: now,
+            is_to_current_lender: true,
             wanted: wanted.clone(),
         };
-        ballot.in_flight.insert(request_id, question);
+        state.in_flight.insert(request_id, request);
         Some(LoanRequest {
             lender,
             request_id,
@@ -277,27 +279,30 @@
         })
     }
 
-    /// When [`Borrower::poll`] has something to do.
+    /// Returns the time at which [`Borrower::poll`] is due next.
     pub fn next_timer(&self) -> Option<Time> {
-        if !self.active {
+        if !self.has_quotas {
             return None;
         }
-        let ballots = self.ballots.iter().map(|ballot| {
-            let answers = ballot.in_flight.values();
-            let timeout = answers.map(|question| question.sent + ANSWER_TIMEOUT).min();
-            let due = match ballot.urgent {
+        let groups = self.groups.iter().map(|state| {
+            let requests = state.in_flight.values();
+            let timeout = requests
+                .map(|request| request.sent_at + ANSWER_TIMEOUT)
+                .min();
+            let due = match state.urgent {
                 true => Time::ZERO,
-                false => ballot.vote_due,
+                false => state.vote_due,
             };
-            [timeout, ballot.again_at]
+            [timeout, state.retry_at]
                 .into_iter()
                 .flatten()
                 .fold(due, Time::min)
         });
-        ballots.min()
+        groups.min()
     }
 
-    /// A lender's answer to request `request_id`. Says which organisations have more tokens, or none.
+    /// Handles a lender's answer to the request `request_id` and returns the loans that were
+    /// accepted.
     pub fn on_lend(
         &mut self,
         now: Time,
@@ -307,50 +312,55 @@
         stamp: u64,
         loans: &[Loan],
     ) -> Vec<Loan> {
-        let Some(ballot) = self.ballots.get_mut(usize::from(group)) else {
+        let Some(state) = self.groups.get_mut(usize::from(group)) else {
             return Vec::new();
         };
-        let Some(question) = ballot.in_flight.swap_remove(&request_id) else {
+        let Some(request) = state.in_flight.swap_remove(&request_id) else {
             return Vec::new();
         };
-        if question.is_for_lender {
-            ballot.timeouts = 0;
+        if request.is_to_current_lender {
+            state.timeouts = 0;
         }
         if stamp == 0 {
-            ballot.bound.take_if(|(to, _)| *to == from);
-            ballot.avoid(now, from);
-        } else if ballot.lender == Some(from) {
-            if ballot.stamp == 0 {
-                ballot.vote_due = now + FIRST_VOTE;
+            state.committed_vote.take_if(|(to, _)| *to == from);
+            state.avoid(now, from);
+        } else if state.lender == Some(from) {
+            if state.stamp == 0 {
+                state.vote_due = now + FIRST_VOTE_DELAY;
             }
-            ballot.stamp = ballot.stamp.max(stamp);
+            state.stamp = state.stamp.max(stamp);
         }
-        self.forget_wanted(&question.wanted);
-        let mut taken = Vec::new();
-        for (organisation, wanted) in &question.wanted {
+        self.clear_requested(&request.wanted);
+        let mut received = Vec::new();
+        for (organisation, wanted) in &request.wanted {
             let Some(loan) = loans.iter().find(|loan| loan.organisation == *organisation) else {
                 continue;
             };
-            // No lender may give more than it was asked for.
+            // A lender must not lend more than was requested.
             let tokens = loan.tokens.min(*wanted);
-            self.take_loan(now, question.sent, Loan { tokens, ..*loan });
-            taken.push(*loan);
+            self.apply_loan(now, request.sent_at, Loan { tokens, ..*loan });
+            received.push(*loan);
         }
-        taken
+        received
     }
 
-    /// New rules are in force. `active` says whether any organisation has a quota, `quota_of` which.
-    pub fn set_quotas(&mut self, active: bool, quota_of: impl Fn(OrganisationId) -> Option<Quota>) {
-        self.active = active;
+    /// Applies new rules. `has_quotas` tells whether any organisation has a quota, `quota_of`
+    /// returns the quota of each.
+    pub fn set_quotas(
+        &mut self,
+        has_quotas: bool,
+        quota_of: impl Fn(OrganisationId) -> Option<Quota>,
+    ) {
+        self.has_quotas = has_quotas;
         self.pools.retain(|organisation, pool| {
             let quota = quota_of(*organisation);
             if let Some(quota) = quota {
-                // Tokens of a higher quota must not outlive it.
+                // Tokens lent under a higher quota must not remain valid.
                 if quota.rate() < pool.quota.rate() {
-                    pool.lots.clear();
+                    pool.batches.clear();
                 }
                 if quota != pool.quota {
-                    pool.short_until = None;
+                    pool.backoff_until = None;
                 }
                 pool.quota = quota;
             }
@@ -358,22 +368,23 @@
         });
     }
 
-    fn take_loan(&mut self, now: Time, sent: Time, loan: Loan) {
-        let bounds = self.bounds;
+    fn apply_loan(&mut self, now: Time, sent_at: Time, loan: Loan) {
+        let tolerance = self.tolerance;
         let Some(pool) = self.pools.get_mut(&loan.organisation) else {
             return;
         };
-        let expires = sent + bounds.terms(pool.quota).validity;
+        let expires = sent_at + tolerance.lending_terms(pool.quota).validity;
         if expires > now {
-            pool.put(expires, loan.tokens.into());
+            pool.add_tokens(expires, loan.tokens.into());
         }
         pool.has_surplus = loan.has_surplus;
-        let wait = Duration::from_millis(loan.wait_ms.into()).clamp(MIN_SHORT, MAX_SHORT);
-        pool.short_until = (loan.wait_ms > 0).then(|| now + wait);
+        let wait =
+            Duration::from_millis(loan.wait_ms.into()).clamp(MIN_RETRY_DELAY, MAX_RETRY_DELAY);
+        pool.backoff_until = (loan.wait_ms > 0).then(|| now + wait);
         if pool.waiting > u32::from(loan.tokens) {
-            let ballot = &mut self.ballots[usize::from(crate::group_of(loan.organisation))];
-            let again = pool.short_until.unwrap_or(now);
-            ballot.again_at = Some(ballot.again_at.map_or(again, |at| at.min(again)));
+            let state = &mut self.groups[usize::from(crate::group_of(loan.organisation))];
+            let due = pool.backoff_until.unwrap_or(now);
+            state.retry_at = Some(state.retry_at.map_or(due, |at| at.min(due)));
         }
     }
 
@@ -382,65 +393,65 @@
         pool.or_insert_with(|| Pool::new(quota))
     }
 
-    fn note_need(&mut self, now: Time, organisation: OrganisationId) {
+    fn update_urgency(&mut self, now: Time, organisation: OrganisationId) {
         if self
             .pools
             .get(&organisation)
             .is_some_and(|pool| pool.is_urgent(now))
         {
-            self.ballots[usize::from(crate::group_of(organisation))].urgent = true;
+            self.groups[usize::from(crate::group_of(organisation))].urgent = true;
         }
     }
 
-    fn wanted(&mut self, now: Time, group: u8) -> Vec<(OrganisationId, u16)> {
+    fn collect_requests(&mut self, now: Time, group: u8) -> Vec<(OrganisationId, u16)> {
         let mut wanted = Vec::new();
         for (organisation, pool) in &mut self.pools {
             if crate::group_of(*organisation) != group {
                 continue;
             }
-            let tokens = pool.wanted(now).min(u16::MAX.into()) as u16;
+            let tokens = pool.tokens_to_request(now).min(u16::MAX.into()) as u16;
             if tokens > 0 {
-                pool.asked += u32::from(tokens);
+                pool.requested += u32::from(tokens);
                 wanted.push((*organisation, tokens));
             }
         }
         wanted
     }
 
-    fn time_out(&mut self, now: Time, group: u8) {
-        let ballot = &mut self.ballots[usize::from(group)];
-        let late = |question: &Question| now.since(question.sent) >= ANSWER_TIMEOUT;
-        let mut lost = Vec::new();
-        let mut silent = false;
-        ballot.in_flight.retain(|_, question| {
-            let late = late(question);
-            if late {
-                silent |= question.is_for_lender;
-                lost.push(std::mem::take(&mut question.wanted));
+    fn expire_requests(&mut self, now: Time, group: u8) {
+        let state = &mut self.groups[usize::from(group)];
+        let is_late = |request: &PendingRequest| now.since(request.sent_at) >= ANSWER_TIMEOUT;
+        let mut expired = Vec::new();
+        let mut lender_timed_out = false;
+        state.in_flight.retain(|_, request| {
+            let is_late = is_late(request);
+            if is_late {
+                lender_timed_out |= request.is_to_current_lender;
+                expired.push(std::mem::take(&mut request.wanted));
             }
-            !late
+            !is_late
         });
-        if lost.is_empty() {
+        if expired.is_empty() {
             return;
         }
-        ballot.timeouts += u32::from(silent);
-        ballot.urgent = true;
-        ballot.vote_due = ballot.vote_due.min(now);
-        if ballot.timeouts >= MAX_TIMEOUTS {
-            ballot.timeouts = 0;
-            if let Some(lender) = ballot.lender {
-                ballot.avoid(now, lender);
+        state.timeouts += u32::from(lender_timed_out);
+        state.urgent = true;
+        state.vote_due = state.vote_due.min(now);
+        if state.timeouts >= MAX_TIMEOUTS {
+            state.timeouts = 0;
+            if let Some(lender) = state.lender {
+                state.avoid(now, lender);
             }
         }
-        for wanted in lost {
-            self.forget_wanted(&wanted);
+        for wanted in expired {
+            self.clear_requested(&wanted);
         }
     }
 
-    fn forget_wanted(&mut self, wanted: &[(OrganisationId, u16)]) {
+    fn clear_requested(&mut self, wanted: &[(OrganisationId, u16)]) {
         for (organisation, tokens) in wanted {
             if let Some(pool) = self.pools.get_mut(organisation) {
-                pool.asked = pool.asked.saturating_sub((*tokens).into());
+                pool.requested = pool.requested.saturating_sub((*tokens).into());
             }
         }
     }
--- a/crates/organisation/src/freshness.rs
+++ b/crates/organisation/src/freshness.rs
@@ -1,10 +1,11 @@
-//! Whether the rules held here were the newest a short time ago.
+//! Tracks whether this node's rules were the newest version a short time ago.
 //!
-//! A revoked key must be refused by every node within a bounded time, cut off or not. Delivery of new rules
-//! proves nothing about their absence, so a node needs positive evidence: a moment at which the version that
-//! it holds was the newest. One node of each failure domain gets it from the store, the others from that
-//! node. A moment is always counted from the own sending of the question, never from the arrival of
-//! an answer, which may have been held up.
+//! Every node must refuse a revoked key within a bounded time, even if it is cut off from the
+//! network. Receiving no new rules does not prove that there are none, so a node needs positive
+//! evidence: a point in time at which its version was known to be the newest. One node in each
+//! failure domain, the leader, gets this evidence from the store; the others get it from the
+//! leader. The point in time is derived from when a node sent its query, never from when the answer
+//! arrived, because the answer may have been delayed.
 
 use rand::rngs::StdRng;
 use rand::RngExt;
@@ -12,96 +13,99 @@
 use stdx::Bounded;
 use stdx::Time;
 
-/// How often the node that leads its failure domain asks the store.
-const INTERVAL: Duration = Duration::from_millis(1500);
+/// Interval at which the leader of a failure domain queries the store.
+const STORE_QUERY_INTERVAL: Duration = Duration::from_millis(1500);
 
-/// How long after the leader's next question to the store the other nodes ask the leader.
-const LAG: Duration = Duration::from_millis(100);
+/// How long after the leader's next store query the other nodes query the leader.
+const PEER_QUERY_LAG: Duration = Duration::from_millis(100);
 
-/// After this time without an answer the next node is asked.
-const ASK_TIMEOUT: Duration = Duration::from_millis(200);
+/// Time after which the next peer is queried if there is no answer.
+const PEER_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// How soon another node is asked when an answer was of no use.
-const ASK_NEXT: Duration = Duration::from_millis(30);
+/// Delay before the next peer is queried after an answer that did not help.
+const NEXT_PEER_DELAY: Duration = Duration::from_millis(30);
 
-/// How long a question to the store may take before another is sent. The connection may be silent.
-const READ_TIMEOUT: Duration = Duration::from_millis(800);
+/// Time after which another store query is sent if there is no answer, since the connection may be
+/// dead without an error.
+const STORE_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// The pause after a question to the store that failed.
-const READ_AGAIN: Duration = Duration::from_millis(400);
+/// Delay before the next store query after a failed one.
+const STORE_RETRY_DELAY: Duration = Duration::from_millis(400);
 
-/// A node whose evidence is older than this looks for it elsewhere too.
-const OLD: Duration = Duration::from_millis(2100);
+/// Age of the evidence from which a node also looks for other sources.
+const STALE_AGE: Duration = Duration::from_millis(2100);
 
-/// The least time between two questions to the store by a node that does not lead its failure domain; up to
-/// twice as much.
-const DIRECT_INTERVAL: Duration = Duration::from_secs(1);
+/// Minimum interval between store queries of a node that is not the leader; up to twice as long
+/// with jitter.
+const FALLBACK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Tries with peers before such a node asks the store, and before one does that has just started: of nodes
-/// that start together, a few ask for all.
-const TRIES_BEFORE_STORE: u32 = 3;
-const FIRST_TRIES: u32 = 12;
+/// Number of peer queries before a node that is not the leader queries the store, in normal
+/// operation and right after a start. The higher number lets a few nodes query the store on behalf
+/// of all when many start at once.
+const ATTEMPTS_BEFORE_STORE: u32 = 3;
+const INITIAL_ATTEMPTS_BEFORE_STORE: u32 = 12;
 
-/// Questions to peers whose answers are still of use.
-const MAX_ASKED: usize = 16;
+/// Maximum number of peer queries whose answers are still accepted.
+const MAX_PENDING_QUERIES: usize = 16;
 
-/// Of the bound for revocations, the part after which keys are no longer trusted.
-const TRUSTED: f64 = 0.95;
+/// Fraction of the revocation bound after which keys are no longer trusted.
+const TRUST_FRACTION: f64 = 0.95;
 
-/// Of the bound, the part within which a key that the rules do not hold is known to be none. Older rules may
-/// lack a key that was added since.
-const COMPLETE: f64 = 0.5;
+/// Fraction of the revocation bound within which a key that is missing from the rules is known to
+/// be invalid. Older rules may lack a key that was added since.
+const REJECT_FRACTION: f64 = 0.5;
 
-/// What to do now.
+/// An action for the caller to perform.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FreshnessAction {
-    /// Find out from the store whether there are newer rules.
+    /// Ask the store whether there are newer rules.
     QueryStore,
-    /// Ask a peer.
+    /// Query a peer.
     QueryPeer {
         /// To be repeated in the answer.
         request_id: u64,
-        /// How many were asked in vain before; whoever sends the question chooses the peer by it.
+        /// Number of preceding queries without success; determines which peer to query.
         attempt: u32,
     },
 }
 
-/// Evidence that the rules held here are the newest.
+/// Evidence that this node's rules are the newest version.
 #[derive(Debug)]
 pub struct Freshness {
-    /// Within this time after its revocation a key is refused; unbounded without it.
-    bound: Option<Duration>,
-    /// When the rules held here are known to have been the newest.
-    confirmed: Option<Time>,
-    due: Time,
+    /// The time after its revocation within which a key must be refused; `None` if there is no
+    /// bound.
+    revocation_bound: Option<Duration>,
+    /// When this node's rules were last known to be the newest version.
+    confirmed_at: Option<Time>,
+    peer_query_due: Time,
     attempt: u32,
     last_request_id: u64,
-    asked: Bounded<u64, Time>,
-    store_asked: Option<Time>,
-    store_due: Time,
+    pending_queries: Bounded<u64, Time>,
+    store_query_sent_at: Option<Time>,
+    store_query_due: Time,
 }
 
 impl Freshness {
-    /// No evidence yet.
-    pub fn new(bound: Option<Duration>) -> Self {
+    /// Creates the state without any evidence.
+    pub fn new(revocation_bound: Option<Duration>) -> Self {
         Self {
-            bound,
-            confirmed: None,
-            due: Time::ZERO,
+            revocation_bound,
+            confirmed_at: None,
+            peer_query_due: Time::ZERO,
             attempt: 0,
             last_request_id: 0,
-            asked: Bounded::new(MAX_ASKED),
-            store_asked: None,
-            store_due: Time::ZERO,
+            pending_queries: Bounded::new(MAX_PENDING_QUERIES),
+            store_query_sent_at: None,
+            store_query_due: Time::ZERO,
         }
     }
 
-    /// The time since the rules held here were known to be the newest.
+    /// Returns the time since this node's rules were last known to be the newest version.
     pub fn age(&self, now: Time) -> Option<Duration> {
-        self.confirmed.map(|at| now.since(at))
+        self.confirmed_at.map(|at| now.since(at))
     }
 
-    /// Whether no key that the rules hold can have been revoked longer ago than the bound allows.
+    /// Whether no key in the rules can have been revoked longer ago than the bound allows.
     ///
     /// # Examples
     ///
@@ -117,111 +121,117 @@
     /// assert!(!freshness.may_trust(Time::ZERO + Duration::from_secs(5)));
     /// ```
     pub fn may_trust(&self, now: Time) -> bool {
-        self.is_within(now, TRUSTED)
+        self.is_within(now, TRUST_FRACTION)
     }
 
-    /// Whether a key that the rules do not hold is known to be none.
+    /// Whether the rules are recent enough to reject a key that they do not contain.
     pub fn may_reject_unknown_key(&self, now: Time) -> bool {
-        self.is_within(now, COMPLETE)
+        self.is_within(now, REJECT_FRACTION)
     }
 
-    fn is_within(&self, now: Time, part: f64) -> bool {
-        let Some(bound) = self.bound else {
+    fn is_within(&self, now: Time, fraction: f64) -> bool {
+        let Some(revocation_bound) = self.revocation_bound else {
             return true;
         };
-        self.age(now).is_some_and(|age| age < bound.mul_f64(part))
+        self.age(now)
+            .is_some_and(|age| age < revocation_bound.mul_f64(fraction))
     }
 
-    /// The rules held now were the newest at this time.
+    /// Records that the current rules were the newest version at this time.
     pub fn confirm(&mut self, at: Time) {
-        self.confirmed = self.confirmed.max(Some(at));
+        self.confirmed_at = self.confirmed_at.max(Some(at));
     }
 
-    /// What to do now. `leads` says whether this node asks the store for its failure domain.
-    pub fn tick(&mut self, now: Time, leads: bool, rng: &mut StdRng) -> Vec<FreshnessAction> {
-        let mut steps = Vec::new();
-        if self.bound.is_none() {
-            return steps;
+    /// Returns the actions that are due. `is_leader` tells whether this node queries the store for
+    /// its failure domain.
+    pub fn tick(&mut self, now: Time, is_leader: bool, rng: &mut StdRng) -> Vec<FreshnessAction> {
+        let mut actions = Vec::new();
+        if self.revocation_bound.is_none() {
+            return actions;
         }
-        let old = self.age(now).is_none_or(|age| age >= OLD);
-        let tries = match self.confirmed {
-            Some(_) => TRIES_BEFORE_STORE,
-            None => FIRST_TRIES,
+        let is_stale = self.age(now).is_none_or(|age| age >= STALE_AGE);
+        let max_attempts = match self.confirmed_at {
+            Some(_) => ATTEMPTS_BEFORE_STORE,
+            None => INITIAL_ATTEMPTS_BEFORE_STORE,
         };
-        let direct = leads || (old && self.attempt >= tries);
-        let waits = self
-            .store_asked
-            .is_some_and(|at| now.since(at) < READ_TIMEOUT);
-        if direct && !waits && now >= self.store_due {
-            self.store_asked = Some(now);
-            self.store_due = match leads {
-                true => now + INTERVAL,
-                false => now + DIRECT_INTERVAL.mul_f64(rng.random_range(1.0..2.0)),
+        let may_query_store = is_leader || (is_stale && self.attempt >= max_attempts);
+        let is_store_query_pending = self
+            .store_query_sent_at
+            .is_some_and(|at| now.since(at) < STORE_TIMEOUT);
+        if may_query_store && !is_store_query_pending && now >= self.store_query_due {
+            self.store_query_sent_at = Some(now);
+            self.store_query_due = match is_leader {
+                true => now + STORE_QUERY_INTERVAL,
+                false => now + FALLBACK_INTERVAL.mul_f64(rng.random_range(1.0..2.0)),
             };
-            steps.push(FreshnessAction::QueryStore);
+            actions.push(FreshnessAction::QueryStore);
         }
-        if (old || !leads) && now >= self.due {
+        if (is_stale || !is_leader) && now >= self.peer_query_due {
             self.last_request_id += 1;
-            self.asked.insert(self.last_request_id, now);
-            steps.push(FreshnessAction::QueryPeer {
+            self.pending_queries.insert(self.last_request_id, now);
+            actions.push(FreshnessAction::QueryPeer {
                 request_id: self.last_request_id,
                 attempt: self.attempt,
             });
             self.attempt = self.attempt.saturating_add(1);
-            self.due = now + ASK_TIMEOUT;
+            self.peer_query_due = now + PEER_TIMEOUT;
         }
-        steps
+        actions
     }
 
-    /// When [`Freshness::tick`] has something to do.
-    pub fn next_timer(&self, leads: bool) -> Option<Time> {
-        self.bound?;
-        let timeout = self.store_asked.map(|at| at + READ_TIMEOUT);
-        let store = self.store_due.max(timeout.unwrap_or(Time::ZERO));
-        if !leads {
-            return Some(self.due);
+    /// Returns the time at which [`Freshness::tick`] is due next.
+    pub fn next_timer(&self, is_leader: bool) -> Option<Time> {
+        self.revocation_bound?;
+        let timeout = self.store_query_sent_at.map(|at| at + STORE_TIMEOUT);
+        let store = self.store_query_due.max(timeout.unwrap_or(Time::ZERO));
+        if !is_leader {
+            return Some(self.peer_query_due);
         }
-        // A leader asks peers once its evidence is old.
-        let old = self.confirmed.map_or(Time::ZERO, |at| at + OLD);
-        Some(store.min(old.max(self.due)))
+        // A leader also queries peers once its evidence is stale.
+        let stale_at = self.confirmed_at.map_or(Time::ZERO, |at| at + STALE_AGE);
+        Some(store.min(stale_at.max(self.peer_query_due)))
     }
 
-    /// The store answered a question that was sent at `asked`, and holds no newer rules than this node.
-    pub fn on_store_confirmed(&mut self, asked: Time) {
-        self.store_asked = None;
+    /// Handles an answer of the store to a query sent at `sent_at`: there are no newer rules than
+    /// this node's.
+    pub fn on_store_confirmed(&mut self, sent_at: Time) {
+        self.store_query_sent_at = None;
         self.attempt = 0;
-        self.confirm(asked);
+        self.confirm(sent_at);
     }
 
-    /// The store did not answer.
+    /// Handles a failed store query.
     pub fn on_store_failed(&mut self, now: Time) {
-        self.store_asked = None;
-        self.store_due = self.store_due.min(now + READ_AGAIN);
+        self.store_query_sent_at = None;
+        self.store_query_due = self.store_query_due.min(now + STORE_RETRY_DELAY);
     }
 
-    /// A peer that holds no newer rules than this node answered query `request_id`: its rules were the newest
-    /// `age` before it answered.
+    /// Handles a report from a peer that has no newer rules than this node: the rules were the
+    /// newest version `age` before it answered the query `request_id`.
     pub fn on_report(&mut self, now: Time, request_id: u64, age: Duration) {
-        let Some(asked) = self.asked.get(&request_id).copied() else {
+        let Some(sent_at) = self.pending_queries.get(&request_id).copied() else {
             return;
         };
-        self.confirm_before(asked, age);
+        self.confirm_earlier(sent_at, age);
         if request_id != self.last_request_id {
             return;
         }
-        let current = self.age(now).unwrap_or(Duration::MAX);
-        if current < INTERVAL {
+        let age_now = self.age(now).unwrap_or(Duration::MAX);
+        if age_now < STORE_QUERY_INTERVAL {
             self.attempt = 0;
-            self.due = now + (INTERVAL + LAG).saturating_sub(current).max(ASK_NEXT);
+            self.peer_query_due = now
+                + (STORE_QUERY_INTERVAL + PEER_QUERY_LAG)
+                    .saturating_sub(age_now)
+                    .max(NEXT_PEER_DELAY);
         } else {
-            self.due = now + ASK_NEXT;
+            self.peer_query_due = now + NEXT_PEER_DELAY;
         }
     }
 
-    fn confirm_before(&mut self, asked: Time, age: Duration) {
-        // A moment before this node's clock began tells nothing that could be used.
-        if asked.since(Time::ZERO) >= age {
-            self.confirm(Time::ZERO + (asked.since(Time::ZERO) - age));
+    fn confirm_earlier(&mut self, sent_at: Time, age: Duration) {
+        // A time before the start of this node's clock cannot be represented.
+        if sent_at.since(Time::ZERO) >= age {
+            self.confirm(Time::ZERO + (sent_at.since(Time::ZERO) - age));
         }
     }
 }
--- a/crates/organisation/src/lender.rs
+++ b/crates/organisation/src/lender.rs
@@ -1,11 +1,12 @@
-//! The side that lends tokens of quotas to the other nodes.
+//! Lends tokens of quotas to other nodes.
 //!
-//! Every node has one vote in each group of organisations and lends it to one lender at a time. A lender
-//! may give out the part of each quota that its votes are of all nodes. So however nodes disagree about who
-//! lends, in a partition or after a loss, the parts never add up to more than the whole.
+//! Each node has one vote in each group of organisations and gives it to one lender at a time. A
+//! lender may lend a share of each quota equal to its share of all votes. Therefore the shares
+//! never add up to more than the quota, even if nodes disagree about who the lender is after a
+//! network partition or the loss of a node.
 
+use crate::LendingTerms;
 use crate::QuotaTolerance;
-use crate::Terms;
 use indexmap::IndexMap;
 use proto::Incarnation;
 use proto::Loan;
@@ -14,85 +15,90 @@
 use std::time::Duration;
 use stdx::Time;
 
-/// For how long a vote is lent, from the time at which the lender gave out the stamp that came with it.
+/// How long a vote is valid, counted from the time at which the lender issued the stamp that was
+/// returned with it.
 pub(crate) const VOTE_LEASE: Duration = Duration::from_millis(1000);
 
-/// The longest time until the next token that a borrower is told.
+/// Maximum estimate of the time until the next token that is reported to a borrower.
 const MAX_WAIT: Duration = Duration::from_secs(10);
 
-/// Above this part of the burst in hand, borrowers may keep tokens in reserve.
-const PLENTY: f64 = 0.5;
+/// If the bucket holds more than this fraction of its capacity, borrowers may keep tokens in
+/// reserve.
+const SURPLUS_FRACTION: f64 = 0.5;
 
-/// Tokens of one organisation.
+/// Token bucket of an organisation.
 #[derive(Debug, Default)]
 struct Bucket {
     tokens: f64,
-    /// What the group's integrals were when the tokens were last counted.
+    /// Values of the group's integrals at the last refill.
     share_seconds: f64,
     share_lost: f64,
 }
 
-/// The votes that were lent here in one group, and its buckets.
+/// The votes that this node holds in one group, and the token buckets of the group.
 #[derive(Debug, Default)]
 struct Group {
-    /// Until when each vote is valid.
+    /// Expiry time of each vote.
     votes: IndexMap<Incarnation, Time>,
     buckets: IndexMap<OrganisationId, Bucket>,
-    /// Up to when the integrals were taken.
-    counted: Time,
-    /// The integral of the share of votes over time, in seconds.
+    /// Time up to which the integrals have been computed.
+    integrated_until: Time,
+    /// Integral over time of the share of votes, in seconds.
     share_seconds: f64,
-    /// The sum of all that the share has ever lost.
+    /// Sum of all decreases of the share.
     share_lost: f64,
-    /// The integral when the share last lost anything.
-    lost_at: f64,
+    /// Value of `share_seconds` at the last decrease of the share.
+    share_seconds_at_loss: f64,
     share: f64,
 }
 
 impl Group {
-    /// Takes the integrals up to `now`. Votes end in their order.
-    fn count(&mut self, now: Time, voters: usize) {
-        let mut ends: Vec<Time> = self
+    /// Computes the integrals up to `now`, expiring votes in order.
+    fn integrate_until(&mut self, now: Time, voters: usize) {
+        let mut expiries: Vec<Time> = self
             .votes
             .values()
             .copied()
             .filter(|at| *at <= now)
             .collect();
-        ends.sort_unstable();
-        for end in ends {
-            self.advance(end.max(self.counted));
-            self.votes.retain(|_, until| *until > end);
-            self.set_share(voters);
+        expiries.sort_unstable();
+        for expiry in expiries {
+            self.advance(expiry.max(self.integrated_until));
+            self.votes.retain(|_, until| *until > expiry);
+            self.update_share(voters);
         }
-        self.advance(now.max(self.counted));
-        self.set_share(voters);
+        self.advance(now.max(self.integrated_until));
+        self.update_share(voters);
     }
 
     fn advance(&mut self, to: Time) {
-        self.share_seconds += self.share * to.since(self.counted).as_secs_f64();
-        self.counted = to;
+        self.share_seconds += self.share * to.since(self.integrated_until).as_secs_f64();
+        self.integrated_until = to;
     }
 
-    fn set_share(&mut self, voters: usize) {
+    fn update_share(&mut self, voters: usize) {
         let share = self.votes.len() as f64 / voters.max(self.votes.len()).max(1) as f64;
         if share < self.share {
             self.share_lost += self.share - share;
-            self.lost_at = self.share_seconds;
+            self.share_seconds_at_loss = self.share_seconds;
         }
         self.share = share;
     }
 
-    /// The bucket of an organisation, filled up to now. A vote that has gone takes its part of the
-    /// burst away; one that has come brings none, because its last lender may have lent that out.
-    fn fill(&mut self, organisation: OrganisationId, terms: Terms) -> &mut Bucket {
+    /// Returns the bucket of an organisation, refilled up to now. A lost vote removes its share of
+    /// the burst. A new vote adds none, because the lender that held it before may have lent that
+    /// share.
+    fn refill(&mut self, organisation: OrganisationId, terms: LendingTerms) -> &mut Bucket {
         let (share_seconds, share_lost) = (self.share_seconds, self.share_lost);
         let bucket = self.buckets.entry(organisation).or_default();
-        // All that was lost is taken off at the last loss, which never leaves more than there was.
+        // All decreases are deducted at the time of the last one, which never leaves more tokens
+        // than deducting each at its own time.
         let lost = (share_lost - bucket.share_lost) * terms.depth;
-        let before = (self.lost_at - bucket.share_seconds).max(0.0) * terms.rate;
-        let before = (bucket.tokens + before).min(terms.depth);
-        let after = share_seconds - bucket.share_seconds.max(self.lost_at);
-        let tokens = (before - lost).max(0.0) + after * terms.rate;
+        let tokens_at_loss =
+            (self.share_seconds_at_loss - bucket.share_seconds).max(0.0) * terms.rate;
+        let tokens_at_loss = (bucket.tokens + tokens_at_loss).min(terms.depth);
+        let share_since_loss = share_seconds - bucket.share_seconds.max(self.share_seconds_at_loss);
+        let tokens = (tokens_at_loss - lost).max(0.0) + share_since_loss * terms.rate;
         bucket.tokens = tokens.min(terms.depth * self.share);
         bucket.share_seconds = share_seconds;
         bucket.share_lost = share_lost;
@@ -100,49 +106,51 @@
     }
 }
 
-/// What this node lends.
+/// The lending side of a node.
 #[derive(Debug)]
 pub struct Lender {
-    bounds: QuotaTolerance,
+    tolerance: QuotaTolerance,
     groups: IndexMap<u8, Group>,
 }
 
 impl Lender {
-    /// A lender without votes.
-    pub fn new(bounds: QuotaTolerance) -> Self {
+    /// Creates a lender without votes.
+    pub fn new(tolerance: QuotaTolerance) -> Self {
         Self {
-            bounds,
+            tolerance,
             groups: IndexMap::new(),
         }
     }
 
-    /// A stamp for an answer that is given now. Never 0, and rises with the time.
+    /// Returns the stamp for an answer sent now. It increases with time and is never 0.
     pub fn stamp(now: Time) -> u64 {
         now.since(Time::ZERO).as_micros() as u64 + 1
     }
 
-    /// A node lends its vote, and has this stamp from here. `voters` is how many nodes have a vote.
+    /// Accepts the vote of a node, which returns a stamp issued by this lender. `voters` is the
+    /// number of nodes that have a vote.
     pub fn on_vote(&mut self, now: Time, group: u8, from: Incarnation, stamp: u64, voters: usize) {
         let group = self.groups.entry(group).or_default();
-        group.count(now, voters);
-        let given = Time::from_micros(stamp.saturating_sub(1));
-        if stamp == 0 || given > now {
+        group.integrate_until(now, voters);
+        let issued_at = Time::from_micros(stamp.saturating_sub(1));
+        if stamp == 0 || issued_at > now {
             return;
         }
-        let until = given + VOTE_LEASE;
+        let until = issued_at + VOTE_LEASE;
         if until > now {
-            let held = group.votes.entry(from).or_insert(until);
-            *held = until.max(*held);
-            group.set_share(voters);
+            let valid_until = group.votes.entry(from).or_insert(until);
+            *valid_until = until.max(*valid_until);
+            group.update_share(voters);
         }
     }
 
-    /// Gives back all votes: this node is about to stop. Their owners may lend them to others at once.
+    /// Gives up all votes before the node shuts down, so that their owners can give them to other
+    /// lenders at once.
     pub fn release_votes(&mut self, now: Time, voters: usize) {
         for group in self.groups.values_mut() {
-            group.count(now, voters);
+            group.integrate_until(now, voters);
             group.votes.clear();
-            group.set_share(voters);
+            group.update_share(voters);
         }
     }
 
@@ -155,29 +163,30 @@
         wanted: u16,
         voters: usize,
     ) -> Loan {
-        let terms = self.bounds.terms(quota);
+        let terms = self.tolerance.lending_terms(quota);
         let group = self
             .groups
             .entry(crate::group_of(organisation))
             .or_default();
-        group.count(now, voters);
+        group.integrate_until(now, voters);
         let share = group.share;
-        let bucket = group.fill(organisation, terms);
+        let bucket = group.refill(organisation, terms);
         let tokens = bucket.tokens.floor().min(f64::from(wanted)) as u16;
         bucket.tokens -= f64::from(tokens);
         let wait = match tokens < wanted {
-            true => wait_for_token(1.0 - bucket.tokens, share * terms.rate),
+            true => estimate_wait(1.0 - bucket.tokens, share * terms.rate),
             false => Duration::ZERO,
         };
         Loan {
             organisation,
             tokens,
             wait_ms: wait.as_millis() as u16,
-            has_surplus: bucket.tokens >= terms.depth * share * PLENTY && tokens == wanted,
+            has_surplus: bucket.tokens >= terms.depth * share * SURPLUS_FRACTION
+                && tokens == wanted,
         }
     }
 
-    /// Forgets the buckets of organisations that `keep` does not want any more.
+    /// Drops the buckets of organisations for which `keep` returns false.
     pub fn retain(&mut self, keep: impl Fn(OrganisationId) -> bool) {
         for group in self.groups.values_mut() {
             group.buckets.retain(|organisation, _| keep(*organisation));
@@ -185,7 +194,7 @@
     }
 }
 
-fn wait_for_token(missing: f64, rate: f64) -> Duration {
+fn estimate_wait(missing: f64, rate: f64) -> Duration {
     let seconds = missing.max(0.0) / rate.max(f64::MIN_POSITIVE);
     let seconds = seconds.clamp(0.001, MAX_WAIT.as_secs_f64());
     Duration::from_secs_f64(seconds)
--- a/crates/organisation/src/lib.rs
+++ b/crates/organisation/src/lib.rs
@@ -1,8 +1,8 @@
-//! Decisions about organisations: whether the rules held here are fresh enough to trust a key, and how
-//! one quota is kept by all nodes together.
+//! Decision logic for organisations: whether a node's rules are recent enough to trust an API key,
+//! and how all nodes together enforce one quota.
 //!
-//! This package takes the time as an argument and does no I/O. It knows nothing about requests, routes or
-//! how messages travel.
+//! This package takes the current time as an argument and does no I/O. It does not depend on
+//! requests, routes or the transport of messages.
 
 mod borrower;
 mod freshness;
@@ -21,31 +21,32 @@
 use std::time::Duration;
 use stdx::plain;
 
-/// Into how many groups organisations are divided. Each group has a lender of its own, so that neither the
-/// load nor the loss of one lender concerns all organisations.
+/// Number of groups that organisations are divided into. Each group has its own lender, so that the
+/// load or the loss of one lender does not affect all organisations.
 pub const GROUP_COUNT: u8 = 4;
 
-/// The group that an organisation belongs to.
+/// Returns the group of an organisation.
 ///
 /// # Examples
 ///
 /// ```
+/// use bilberry_organisation::{group_of, GROUP_COUNT};
 /// use proto::OrganisationId;
 ///
-/// assert!(bilberry_organisation::group_of(OrganisationId(7)) < bilberry_organisation::GROUP_COUNT);
+/// assert!(group_of(OrganisationId(7)) < GROUP_COUNT);
 /// ```
 pub fn group_of(organisation: OrganisationId) -> u8 {
     (organisation.0 % u64::from(GROUP_COUNT)) as u8
 }
 
 plain! {
-    /// How strictly quotas hold.
+    /// How far usage may exceed a quota.
     pub struct QuotaTolerance {
-        /// The span in which requests are counted.
+        /// The length of the window over which requests are counted.
         pub window: Duration,
-        /// What may come in a window beyond rate and burst, in thousandths of them.
+        /// Requests allowed in a window in excess of rate and burst, in thousandths of them.
         pub over_permille: u32,
-        /// What may come in a window beyond that, in requests.
+        /// Requests allowed in a window in addition to that.
         pub slack: u32,
     }
 }
@@ -60,37 +61,39 @@
     }
 }
 
-/// Of what a window may have beyond its rate and burst, the part that is planned with.
-const PLANNED: f64 = 0.9;
+/// Fraction of the tolerated excess that lending is planned to use; the rest is a safety margin.
+const PLANNED_FRACTION: f64 = 0.9;
 
-/// The longest that a token is valid. Tokens that lie idle are missing elsewhere.
+/// Maximum validity of a token. Tokens that sit unused at one node are not available to others.
 const MAX_VALIDITY: Duration = Duration::from_millis(450);
 
-/// How a quota is lent. Tokens that are used in a window were lent in it or up to their validity before it,
-/// so there are at most `rate * (window + validity) + depth` of them, which is to be within the bounds.
+/// Parameters for lending a quota. Tokens used in a window were lent during the window or up to
+/// `validity` before it, so there are at most `rate * (window + validity) + depth` of them. The
+/// parameters are chosen so that this stays within [`QuotaTolerance`].
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub(crate) struct Terms {
-    /// How many tokens come in, in tokens per second.
+pub(crate) struct LendingTerms {
+    /// Rate at which tokens are added, per second.
     pub(crate) rate: f64,
-    /// How many the lender may have in hand.
+    /// Capacity of the lender's token bucket.
     pub(crate) depth: f64,
-    /// For how long a token is valid after it was asked for.
+    /// How long a token is valid, counted from the time of the request for it.
     pub(crate) validity: Duration,
 }
 
 impl QuotaTolerance {
-    /// How a quota is lent.
-    pub(crate) fn terms(self, quota: Quota) -> Terms {
+    /// Computes the parameters for lending a quota.
+    pub(crate) fn lending_terms(self, quota: Quota) -> LendingTerms {
         let (rate, burst) = (quota.rate(), f64::from(quota.burst));
         let nominal = rate * self.window.as_secs_f64() + burst;
-        let over = nominal * f64::from(self.over_permille) / 1000.0 + f64::from(self.slack);
-        let over = over * PLANNED;
-        // Half of what is planned with is left for bursts at least.
-        let seconds = (over / 2.0 / rate.max(f64::MIN_POSITIVE)).min(MAX_VALIDITY.as_secs_f64());
-        Terms {
+        let excess = nominal * f64::from(self.over_permille) / 1000.0 + f64::from(self.slack);
+        let excess = excess * PLANNED_FRACTION;
+        // At least half of the planned excess remains for bursts.
+        let validity_s =
+            (excess / 2.0 / rate.max(f64::MIN_POSITIVE)).min(MAX_VALIDITY.as_secs_f64());
+        LendingTerms {
             rate,
-            depth: burst + over - rate * seconds,
-            validity: Duration::from_secs_f64(seconds),
+            depth: burst + excess - rate * validity_s,
+            validity: Duration::from_secs_f64(validity_s),
         }
     }
 }
--- a/crates/organisation/src/pool.rs
+++ b/crates/organisation/src/pool.rs
@@ -1,131 +1,132 @@
-//! What a node holds of one organisation's quota, and how much more it needs.
+//! The tokens that a node holds for one organisation, and how many more it needs.
 
 use rules::Quota;
 use std::collections::VecDeque;
 use std::time::Duration;
 use stdx::Time;
 
-/// The time over which demand is averaged.
-const DEMAND_TIME: Duration = Duration::from_secs(1);
+/// Time constant of the exponentially decaying average of demand.
+const DEMAND_TIME_CONSTANT: Duration = Duration::from_secs(1);
 
-/// The demand that is kept in reserve while the lender has plenty, and otherwise.
+/// The demand to hold in reserve, as a duration, while the lender has a surplus and otherwise.
 const RESERVE: Duration = Duration::from_millis(400);
-const SMALL_RESERVE: Duration = Duration::from_millis(200);
+const REDUCED_RESERVE: Duration = Duration::from_millis(200);
 
-/// Below this part of the reserve, more is asked for at once.
-const LOW: f64 = 0.3;
+/// If the tokens held fall below this fraction of the reserve, more are requested at once.
+const LOW_RESERVE_FRACTION: f64 = 0.3;
 
-/// How many requests a second come, averaged.
+/// Moving average of the request rate.
 #[derive(Debug, Default)]
 pub(crate) struct Demand {
-    count: f64,
-    at: Time,
+    weighted_count: f64,
+    updated_at: Time,
 }
 
 impl Demand {
-    pub(crate) fn add(&mut self, now: Time) {
-        self.count = self.rate(now) * DEMAND_TIME.as_secs_f64() + 1.0;
-        self.at = now;
+    pub(crate) fn record(&mut self, now: Time) {
+        self.weighted_count = self.rate(now) * DEMAND_TIME_CONSTANT.as_secs_f64() + 1.0;
+        self.updated_at = now;
     }
 
     pub(crate) fn rate(&self, now: Time) -> f64 {
-        let decay = -now.since(self.at).as_secs_f64() / DEMAND_TIME.as_secs_f64();
-        self.count * decay.exp() / DEMAND_TIME.as_secs_f64()
+        let decay = -now.since(self.updated_at).as_secs_f64() / DEMAND_TIME_CONSTANT.as_secs_f64();
+        self.weighted_count * decay.exp() / DEMAND_TIME_CONSTANT.as_secs_f64()
     }
 }
 
-/// What this node has of one organisation's quota.
+/// The tokens that this node holds for one organisation.
 #[derive(Debug)]
 pub(crate) struct Pool {
     pub(crate) quota: Quota,
-    /// Unused tokens by the time at which they expire, the first to expire first.
-    pub(crate) lots: VecDeque<(Time, u32)>,
+    /// Unused tokens with their expiry time, in order of expiry.
+    pub(crate) batches: VecDeque<(Time, u32)>,
     pub(crate) demand: Demand,
-    /// Requests that wait for a token.
+    /// Number of requests that wait for a token.
     pub(crate) waiting: u32,
-    /// Tokens that were asked for and are not answered yet.
-    pub(crate) asked: u32,
+    /// Tokens requested from the lender but not answered yet.
+    pub(crate) requested: u32,
     pub(crate) has_surplus: bool,
-    /// Until then no more is asked for, because there was not enough.
-    pub(crate) short_until: Option<Time>,
+    /// No tokens are requested until this time, because the lender had too few.
+    pub(crate) backoff_until: Option<Time>,
 }
 
 impl Pool {
     pub(crate) fn new(quota: Quota) -> Self {
         Self {
             quota,
-            lots: VecDeque::new(),
+            batches: VecDeque::new(),
             demand: Demand::default(),
             waiting: 0,
-            asked: 0,
+            requested: 0,
             has_surplus: false,
-            short_until: None,
+            backoff_until: None,
         }
     }
 
     pub(crate) fn drop_expired(&mut self, now: Time) {
         while self
-            .lots
+            .batches
             .front()
             .is_some_and(|(expires, _)| *expires <= now)
         {
-            self.lots.pop_front();
+            self.batches.pop_front();
         }
     }
 
-    pub(crate) fn held(&self) -> u32 {
-        self.lots.iter().map(|(_, tokens)| tokens).sum()
+    pub(crate) fn available(&self) -> u32 {
+        self.batches.iter().map(|(_, tokens)| tokens).sum()
     }
 
-    pub(crate) fn take(&mut self, now: Time) -> Option<Time> {
+    pub(crate) fn spend(&mut self, now: Time) -> Option<Time> {
         self.drop_expired(now);
-        let (expires, tokens) = self.lots.front_mut()?;
+        let (expires, tokens) = self.batches.front_mut()?;
         let expires = *expires;
         *tokens -= 1;
         if *tokens == 0 {
-            self.lots.pop_front();
+            self.batches.pop_front();
         }
         Some(expires)
     }
 
-    pub(crate) fn put(&mut self, expires: Time, tokens: u32) {
+    pub(crate) fn add_tokens(&mut self, expires: Time, tokens: u32) {
         if tokens == 0 {
             return;
         }
-        let at = self.lots.partition_point(|(other, _)| *other <= expires);
-        self.lots.insert(at, (expires, tokens));
+        let at = self.batches.partition_point(|(other, _)| *other <= expires);
+        self.batches.insert(at, (expires, tokens));
     }
 
-    pub(crate) fn is_short(&self, now: Time) -> bool {
-        self.short_until.is_some_and(|until| now < until)
+    pub(crate) fn is_backing_off(&self, now: Time) -> bool {
+        self.backoff_until.is_some_and(|until| now < until)
     }
 
     pub(crate) fn reserve(&self, now: Time) -> u32 {
         let rate = self.demand.rate(now);
         let time = match self.has_surplus {
             true => RESERVE,
-            false => SMALL_RESERVE,
+            false => REDUCED_RESERVE,
         };
         (rate * time.as_secs_f64()) as u32
     }
 
-    /// How many tokens to ask for.
-    pub(crate) fn wanted(&mut self, now: Time) -> u32 {
-        if self.is_short(now) {
+    /// Returns the number of tokens to request.
+    pub(crate) fn tokens_to_request(&mut self, now: Time) -> u32 {
+        if self.is_backing_off(now) {
             return 0;
         }
         self.drop_expired(now);
         let needed = self.waiting + self.reserve(now);
-        needed.saturating_sub(self.held() + self.asked)
+        needed.saturating_sub(self.available() + self.requested)
     }
 
-    /// Whether the question cannot wait for the next vote.
+    /// Whether tokens must be requested at once rather than with the next vote.
     pub(crate) fn is_urgent(&self, now: Time) -> bool {
-        if self.is_short(now) {
+        if self.is_backing_off(now) {
             return false;
         }
-        let held = self.held() + self.asked;
+        let available = self.available() + self.requested;
         let reserve = self.reserve(now);
-        held < self.waiting || (reserve > 1 && f64::from(held) < f64::from(reserve) * LOW)
+        available < self.waiting
+            || (reserve > 1 && f64::from(available) < f64::from(reserve) * LOW_RESERVE_FRACTION)
     }
 }
--- a/crates/organisation/tests/freshness.rs
+++ b/crates/organisation/tests/freshness.rs
@@ -1,4 +1,4 @@
-//! How old the evidence of a node may be, over links that hold packets up, freezes and a store that fails.
+//! Freshness of rules on simulated nodes, with delayed packets, frozen nodes and store failures.
 
 use bilberry_organisation::Freshness;
 use bilberry_organisation::FreshnessAction;
@@ -10,7 +10,7 @@
 use stdx::Time;
 
 const BOUND: Duration = Duration::from_secs(5);
-const STEP: Duration = Duration::from_millis(10);
+const TICK: Duration = Duration::from_millis(10);
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
@@ -20,19 +20,19 @@
     Time::from_micros(ms * 1000)
 }
 
-/// Nodes of one failure domain; the first asks the store. Each holds the version that it last saw.
+/// The nodes of a failure domain, each with the version that it last saw. The first is the leader.
 struct Domain {
     now: Time,
     rng: StdRng,
-    /// A node's evidence, the version that it holds, and until when it stands still.
+    /// The node's evidence, the version that it holds, and the time until which it is frozen.
     nodes: Vec<(Freshness, u64, Time)>,
-    /// The store's newest version, and since when each version was replaced.
-    newest: u64,
-    replaced: Vec<Time>,
+    /// The newest version in the store, and when each version was replaced.
+    newest_version: u64,
+    replaced_at: Vec<Time>,
     store_down: Vec<bool>,
     events: BTreeMap<(Time, u64), Event>,
-    sent: u64,
-    store_calls: u64,
+    sent_count: u64,
+    store_queries: u64,
 }
 
 enum Event {
@@ -49,11 +49,11 @@
     },
     QueryStore {
         from: usize,
-        asked: Time,
+        sent_at: Time,
     },
-    Store {
+    StoreAnswer {
         to: usize,
-        asked: Time,
+        sent_at: Time,
         version: Option<u64>,
     },
 }
@@ -61,7 +61,7 @@
 impl Event {
     fn node(&self) -> Option<usize> {
         match self {
-            Event::Query { to, .. } | Event::Report { to, .. } | Event::Store { to, .. } => {
+            Event::Query { to, .. } | Event::Report { to, .. } | Event::StoreAnswer { to, .. } => {
                 Some(*to)
             }
             Event::QueryStore { .. } => None,
@@ -76,18 +76,18 @@
             now: at(1000),
             rng: StdRng::seed_from_u64(seed),
             nodes: (0..nodes).map(|_| node()).collect(),
-            newest: 0,
-            replaced: Vec::new(),
+            newest_version: 0,
+            replaced_at: Vec::new(),
             store_down: vec![false; nodes],
             events: BTreeMap::new(),
-            sent: 0,
-            store_calls: 0,
+            sent_count: 0,
+            store_queries: 0,
         }
     }
 
     fn publish(&mut self) {
-        self.newest += 1;
-        self.replaced.push(self.now);
+        self.newest_version += 1;
+        self.replaced_at.push(self.now);
     }
 
     fn send(&mut self, event: Event) {
@@ -95,14 +95,15 @@
             true => self.rng.random_range(1..8000),
             false => self.rng.random_range(1..30),
         };
-        self.sent += 1;
-        self.events.insert((self.now + ms(delay), self.sent), event);
+        self.sent_count += 1;
+        self.events
+            .insert((self.now + ms(delay), self.sent_count), event);
     }
 
     fn run_for(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
-            self.now = self.now + STEP;
+            self.now = self.now + TICK;
             while let Some(entry) = self.events.first_entry() {
                 if entry.key().0 > self.now {
                     break;
@@ -121,13 +122,13 @@
 
     fn tick(&mut self, node: usize) {
         let now = self.now;
-        for step in self.nodes[node].0.tick(now, node == 0, &mut self.rng) {
-            match step {
+        for action in self.nodes[node].0.tick(now, node == 0, &mut self.rng) {
+            match action {
                 FreshnessAction::QueryStore => {
-                    self.store_calls += 1;
+                    self.store_queries += 1;
                     self.send(Event::QueryStore {
                         from: node,
-                        asked: now,
+                        sent_at: now,
                     });
                 }
                 FreshnessAction::QueryPeer {
@@ -149,11 +150,11 @@
     }
 
     fn handle(&mut self, event: Event) {
-        // What comes to a node that stands still lies in its socket.
-        if let Some(still) = event.node().map(|node| self.nodes[node].2) {
-            if self.now < still {
-                self.sent += 1;
-                self.events.insert((still, self.sent), event);
+        // Messages to a frozen node stay in its socket buffer.
+        if let Some(frozen_until) = event.node().map(|node| self.nodes[node].2) {
+            if self.now < frozen_until {
+                self.sent_count += 1;
+                self.events.insert((frozen_until, self.sent_count), event);
                 return;
             }
         }
@@ -186,20 +187,24 @@
                     false => node.0.on_report(self.now, request_id, age),
                 }
             }
-            Event::QueryStore { from, asked } => {
-                let version = (!self.store_down[from]).then_some(self.newest);
-                self.send(Event::Store {
+            Event::QueryStore { from, sent_at } => {
+                let version = (!self.store_down[from]).then_some(self.newest_version);
+                self.send(Event::StoreAnswer {
                     to: from,
-                    asked,
+                    sent_at,
                     version,
                 });
             }
-            Event::Store { to, asked, version } => {
+            Event::StoreAnswer {
+                to,
+                sent_at,
+                version,
+            } => {
                 let node = &mut self.nodes[to];
                 match version {
                     Some(version) => {
                         node.1 = node.1.max(version);
-                        node.0.on_store_confirmed(asked);
+                        node.0.on_store_confirmed(sent_at);
                     }
                     None => node.0.on_store_failed(self.now),
                 }
@@ -207,29 +212,29 @@
         }
     }
 
-    /// No node trusts the keys of rules that were replaced longer ago than the bound.
+    /// Asserts that no node trusts keys of rules that were replaced longer ago than the bound.
     fn check(&self) {
-        for (freshness, version, still) in &self.nodes {
-            let Some(replaced) = self.replaced.get(*version as usize) else {
+        for (freshness, version, frozen_until) in &self.nodes {
+            let Some(replaced_at) = self.replaced_at.get(*version as usize) else {
                 continue;
             };
-            let decides = self.now >= *still && freshness.may_trust(self.now);
-            let age = self.now.since(*replaced);
+            let trusts = self.now >= *frozen_until && freshness.may_trust(self.now);
+            let age = self.now.since(*replaced_at);
             assert!(
-                !decides || age < BOUND,
+                !trusts || age < BOUND,
                 "version {version} trusted {age:?} after it was replaced"
             );
         }
     }
 
-    fn trusting(&self) -> usize {
+    fn trusting_count(&self) -> usize {
         let trusting = self.nodes.iter().filter(|node| node.0.may_trust(self.now));
         trusting.count()
     }
 }
 
 #[test]
-fn no_series_of_faults_lets_a_revoked_key_be_trusted_beyond_the_bound() {
+fn revoked_key_is_never_trusted_beyond_the_bound_under_random_faults() {
     for seed in 0..100 {
         let mut domain = Domain::new(seed, 8);
         for _ in 0..20 {
@@ -237,8 +242,8 @@
                 0 | 1 => domain.publish(),
                 2 => {
                     let node = domain.rng.random_range(0..8);
-                    let still = domain.rng.random_range(500..9000);
-                    domain.nodes[node].2 = domain.now + ms(still);
+                    let frozen_ms = domain.rng.random_range(500..9000);
+                    domain.nodes[node].2 = domain.now + ms(frozen_ms);
                 }
                 3 => {
                     for node in 0..8 {
@@ -254,54 +259,58 @@
 }
 
 #[test]
-fn all_nodes_trust_keys_while_the_store_serves_one_of_them() {
+fn all_nodes_trust_keys_while_any_one_of_them_reaches_the_store() {
     let mut domain = Domain::new(1, 8);
     domain.run_for(ms(4000));
-    for served in [0, 5] {
+    for connected in [0, 5] {
         domain.store_down = vec![true; 8];
-        domain.store_down[served] = false;
+        domain.store_down[connected] = false;
         for _ in 0..15 {
             domain.run_for(ms(1000));
-            assert_eq!(domain.trusting(), 8, "served {served}");
+            assert_eq!(domain.trusting_count(), 8, "connected {connected}");
         }
     }
 }
 
 #[test]
-fn trust_ends_in_an_outage_and_is_back_within_a_second_of_it() {
+fn trust_ends_in_a_store_outage_and_returns_within_a_second() {
     let mut domain = Domain::new(2, 8);
     domain.run_for(ms(4000));
     domain.store_down = vec![true; 8];
     domain.run_for(ms(2900));
-    assert_eq!(domain.trusting(), 8, "for what the evidence lasts");
+    assert_eq!(domain.trusting_count(), 8, "while the evidence is recent");
     domain.run_for(ms(2200));
-    assert_eq!(domain.trusting(), 0, "beyond it");
+    assert_eq!(domain.trusting_count(), 0, "after the evidence has expired");
     domain.store_down = vec![false; 8];
     domain.run_for(ms(1000));
-    assert!(domain.trusting() >= 7, "{} of 8", domain.trusting());
+    assert!(
+        domain.trusting_count() >= 7,
+        "{} of 8",
+        domain.trusting_count()
+    );
 }
 
 #[test]
-fn calls_of_the_store_do_not_grow_with_the_nodes() {
+fn store_queries_do_not_grow_with_the_number_of_nodes() {
     for nodes in [3, 60] {
         let mut domain = Domain::new(3, nodes);
         domain.run_for(ms(4000));
-        domain.store_calls = 0;
+        domain.store_queries = 0;
         domain.run_for(ms(30_000));
-        let calls = domain.store_calls;
-        assert!(calls <= 30, "{nodes} nodes: {calls} calls in 30 s");
+        let queries = domain.store_queries;
+        assert!(queries <= 30, "{nodes} nodes: {queries} queries in 30 s");
     }
 }
 
 #[test]
-fn a_report_counts_from_the_time_of_the_question() {
+fn report_age_counts_from_when_the_query_was_sent() {
     let mut freshness = Freshness::new(Some(BOUND));
     let mut rng = StdRng::seed_from_u64(4);
-    let steps = freshness.tick(at(1000), false, &mut rng);
-    let Some(FreshnessAction::QueryPeer { request_id, .. }) = steps.first().copied() else {
-        panic!("{steps:?}");
+    let actions = freshness.tick(at(1000), false, &mut rng);
+    let Some(FreshnessAction::QueryPeer { request_id, .. }) = actions.first().copied() else {
+        panic!("{actions:?}");
     };
-    // The answer lay in a socket for four seconds.
+    // The report was delayed in a socket buffer for four seconds.
     freshness.on_report(at(5000), request_id, ms(100));
     assert_eq!(freshness.age(at(5000)), Some(ms(4100)));
 }
--- a/crates/organisation/tests/quotas.rs
+++ b/crates/organisation/tests/quotas.rs
@@ -1,5 +1,5 @@
-//! One quota kept by many nodes: over a network that delays, loses and cuts, with nodes that stop, stand
-//! still and start again.
+//! Enforcement of one quota by many simulated nodes, over a network with delays, losses and
+//! partitions, with nodes that stop, freeze and restart.
 
 use bilberry_organisation::group_of;
 use bilberry_organisation::Borrower;
@@ -20,11 +20,11 @@
 use stdx::Time;
 
 const ORGANISATION: OrganisationId = OrganisationId(4);
-const STEP: Duration = Duration::from_millis(5);
-const PATIENCE: Duration = Duration::from_millis(300);
+const TICK: Duration = Duration::from_millis(5);
+const MAX_WAIT: Duration = Duration::from_millis(300);
 
-/// How long it takes until nodes know of a change of the others.
-const NOTICED: Duration = Duration::from_millis(1500);
+/// Delay until nodes notice changes of other nodes.
+const MEMBERSHIP_DELAY: Duration = Duration::from_millis(1500);
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
@@ -42,14 +42,14 @@
         from: Incarnation,
         addr: usize,
         to: Incarnation,
-        number: u64,
-        vote: u64,
+        request_id: u64,
+        vote_stamp: u64,
         wanted: u16,
     },
     Lend {
         from: Incarnation,
         to: Incarnation,
-        number: u64,
+        request_id: u64,
         stamp: u64,
         loan: Option<Loan>,
     },
@@ -60,31 +60,32 @@
     borrower: Borrower,
     lender: Lender,
     up: bool,
-    /// It stands still until then, and what comes meanwhile waits.
-    still_until: Time,
-    held: VecDeque<Message>,
-    /// Requests that wait, by the time at which they came.
+    /// The node is frozen until this time; messages to it wait.
+    frozen_until: Time,
+    backlog: VecDeque<Message>,
+    /// Arrival times of the requests that wait for a token.
     waiting: VecDeque<Time>,
-    /// Which side of a cut it is on, and which sides the node takes the others to be on.
-    side: u8,
-    /// Requests a second that come to it.
+    /// The side of the network partition that the node is on.
+    partition_side: u8,
+    /// Requests per second that arrive at the node.
     demand: f64,
 }
 
-/// A node as others see it: which process it is, whether it is up, and on which side of a cut.
-type Seen = (Incarnation, bool, u8);
+/// A node as seen by others: its process, whether it is up, and its side of the partition.
+type NodeView = (Incarnation, bool, u8);
 
 struct Fleet {
     now: Time,
     rng: StdRng,
     nodes: Vec<Node>,
-    /// The order in which nodes are chosen as lenders, the first choice first.
-    order: Vec<usize>,
-    /// Whom nodes take for alive and reachable, as it was a while ago.
-    views: VecDeque<(Time, Vec<Seen>)>,
+    /// Nodes in the order in which they are chosen as lender.
+    lender_order: Vec<usize>,
+    /// Snapshots of the nodes' state. Nodes see the first, which lags behind by
+    /// [`MEMBERSHIP_DELAY`].
+    views: VecDeque<(Time, Vec<NodeView>)>,
     messages: BTreeMap<(Time, u64), (usize, Message)>,
-    sent: u64,
-    started: u64,
+    sent_count: u64,
+    started_count: u64,
     loss: f64,
     quota: Quota,
     admitted: Vec<Time>,
@@ -98,11 +99,11 @@
             now: Time::ZERO,
             rng: StdRng::seed_from_u64(seed),
             nodes: Vec::new(),
-            order: Vec::new(),
+            lender_order: Vec::new(),
             views: VecDeque::new(),
             messages: BTreeMap::new(),
-            sent: 0,
-            started: 0,
+            sent_count: 0,
+            started_count: 0,
             loss: 0.0,
             quota,
             admitted: Vec::new(),
@@ -110,26 +111,26 @@
             refused: 0,
         };
         for at in 0..nodes {
-            let node = fleet.process(demand(at));
+            let node = fleet.start_process(demand(at));
             fleet.nodes.push(node);
         }
-        fleet.order = (0..nodes).collect();
+        fleet.lender_order = (0..nodes).collect();
         fleet
     }
 
-    fn process(&mut self, demand: f64) -> Node {
-        self.started += 1;
+    fn start_process(&mut self, demand: f64) -> Node {
+        self.started_count += 1;
         let mut borrower = Borrower::new(QuotaTolerance::default());
         borrower.set_quotas(true, |_| Some(self.quota));
         Node {
-            incarnation: Incarnation(self.started),
+            incarnation: Incarnation(self.started_count),
             borrower,
             lender: Lender::new(QuotaTolerance::default()),
             up: true,
-            still_until: Time::ZERO,
-            held: VecDeque::new(),
+            frozen_until: Time::ZERO,
+            backlog: VecDeque::new(),
             waiting: VecDeque::new(),
-            side: 0,
+            partition_side: 0,
             demand,
         }
     }
@@ -137,13 +138,16 @@
     fn kill(&mut self, at: usize) {
         self.nodes[at].up = false;
         self.nodes[at].waiting.clear();
-        self.nodes[at].held.clear();
+        self.nodes[at].backlog.clear();
     }
 
     fn restart(&mut self, at: usize) {
-        let (demand, side) = (self.nodes[at].demand, self.nodes[at].side);
-        let node = self.process(demand);
-        self.nodes[at] = Node { side, ..node };
+        let (demand, partition_side) = (self.nodes[at].demand, self.nodes[at].partition_side);
+        let node = self.start_process(demand);
+        self.nodes[at] = Node {
+            partition_side,
+            ..node
+        };
     }
 
     fn set_quota(&mut self, quota: Quota) {
@@ -161,20 +165,20 @@
     }
 
     fn step(&mut self) {
-        self.now = self.now + STEP;
+        self.now = self.now + TICK;
         let view = self
             .nodes
             .iter()
-            .map(|node| (node.incarnation, node.up, node.side));
+            .map(|node| (node.incarnation, node.up, node.partition_side));
         self.views.push_back((self.now, view.collect()));
-        let mut turned = false;
-        while self.views.len() > 1 && self.views[1].0 + NOTICED <= self.now {
+        let mut view_changed = false;
+        while self.views.len() > 1 && self.views[1].0 + MEMBERSHIP_DELAY <= self.now {
             self.views.pop_front();
-            turned = true;
+            view_changed = true;
         }
-        if turned || self.views.len() == 1 {
+        if view_changed || self.views.len() == 1 {
             let view = &self.views[0].1;
-            self.order
+            self.lender_order
                 .sort_by_cached_key(|at| std::cmp::Reverse(hash64(&view[*at].0)));
         }
         while let Some(entry) = self.messages.first_entry() {
@@ -185,8 +189,8 @@
             self.deliver(to, message);
         }
         for at in 0..self.nodes.len() {
-            if self.nodes[at].up && self.now >= self.nodes[at].still_until {
-                for message in std::mem::take(&mut self.nodes[at].held) {
+            if self.nodes[at].up && self.now >= self.nodes[at].frozen_until {
+                for message in std::mem::take(&mut self.nodes[at].backlog) {
                     self.handle(at, message);
                 }
                 self.serve(at);
@@ -196,7 +200,7 @@
 
     fn serve(&mut self, at: usize) {
         let now = self.now;
-        let expected = self.nodes[at].demand * STEP.as_secs_f64();
+        let expected = self.nodes[at].demand * TICK.as_secs_f64();
         let arrivals = expected as u64 + u64::from(self.rng.random_bool(expected.fract()));
         let node = &mut self.nodes[at];
         for _ in 0..arrivals {
@@ -212,7 +216,7 @@
         while node
             .waiting
             .front()
-            .is_some_and(|came| *came + PATIENCE <= now)
+            .is_some_and(|arrived| *arrived + MAX_WAIT <= now)
         {
             node.waiting.pop_front();
             node.borrower.stop_waiting(ORGANISATION);
@@ -227,49 +231,49 @@
             Some((to, lender)) => (to, Some(lender)),
             None => (at, None),
         };
-        if let Some(loans) = node.borrower.poll(now, group_of(ORGANISATION), lender) {
-            self.borrow(at, to, loans);
+        if let Some(request) = node.borrower.poll(now, group_of(ORGANISATION), lender) {
+            self.borrow(at, to, request);
         }
     }
 
-    /// The first by hash of those that the node takes for reachable.
+    /// Returns the first node in hash order that node `at` considers reachable.
     fn elected(&self, at: usize) -> Option<(usize, Incarnation)> {
         let (_, view) = self.views.front()?;
-        let side = view.get(at)?.2;
+        let partition_side = view.get(at)?.2;
         let borrower = &self.nodes[at].borrower;
-        let mut live = self.order.iter().map(|to| (*to, view[*to]));
-        live.find_map(|(to, (node, up, node_side))| {
+        let mut live = self.lender_order.iter().map(|to| (*to, view[*to]));
+        live.find_map(|(to, (node, up, other_side))| {
             let avoided = borrower.avoids(self.now, group_of(ORGANISATION), node);
-            (up && node_side == side && !avoided).then_some((to, node))
+            (up && other_side == partition_side && !avoided).then_some((to, node))
         })
     }
 
-    fn borrow(&mut self, at: usize, to: usize, loans: LoanRequest) {
-        let wanted = loans.wanted.first().map_or(0, |(_, tokens)| *tokens);
+    fn borrow(&mut self, at: usize, to: usize, request: LoanRequest) {
+        let wanted = request.wanted.first().map_or(0, |(_, tokens)| *tokens);
         let message = Message::Borrow {
             from: self.nodes[at].incarnation,
             addr: at,
-            to: loans.lender,
-            number: loans.request_id,
-            vote: loans.vote_stamp,
+            to: request.lender,
+            request_id: request.request_id,
+            vote_stamp: request.vote_stamp,
             wanted,
         };
         self.send(at, to, message);
     }
 
     fn send(&mut self, from: usize, to: usize, message: Message) {
-        let is_cut = self.nodes[from].side != self.nodes[to].side;
-        if from != to && (is_cut || self.rng.random_bool(self.loss)) {
+        let is_partitioned = self.nodes[from].partition_side != self.nodes[to].partition_side;
+        if from != to && (is_partitioned || self.rng.random_bool(self.loss)) {
             return;
         }
-        // A packet in a hundred is held up for long.
+        // One packet in a hundred is delayed for long.
         let delay = match self.rng.random_bool(0.01) {
             true => self.rng.random_range(1..3000),
             false => self.rng.random_range(1..25),
         };
-        self.sent += 1;
+        self.sent_count += 1;
         self.messages
-            .insert((self.now + ms(delay), self.sent), (to, message));
+            .insert((self.now + ms(delay), self.sent_count), (to, message));
     }
 
     fn deliver(&mut self, to: usize, message: Message) {
@@ -277,8 +281,8 @@
         if !node.up {
             return;
         }
-        if self.now < node.still_until {
-            return node.held.push_back(message);
+        if self.now < node.frozen_until {
+            return node.backlog.push_back(message);
         }
         self.handle(to, message);
     }
@@ -291,11 +295,11 @@
                 from,
                 addr,
                 to,
-                number,
-                vote,
+                request_id,
+                vote_stamp,
                 wanted,
             } if to == node.incarnation => {
-                node.lender.on_vote(now, group, from, vote, voters);
+                node.lender.on_vote(now, group, from, vote_stamp, voters);
                 let loan = (wanted > 0).then(|| {
                     node.lender
                         .lend(now, ORGANISATION, self.quota, wanted, voters)
@@ -303,7 +307,7 @@
                 let answer = Message::Lend {
                     from: node.incarnation,
                     to: from,
-                    number,
+                    request_id,
                     stamp: Lender::stamp(now),
                     loan,
                 };
@@ -312,13 +316,13 @@
             Message::Lend {
                 from,
                 to,
-                number,
+                request_id,
                 stamp,
                 loan,
             } if to == node.incarnation => {
                 let loans: Vec<Loan> = loan.into_iter().collect();
                 node.borrower
-                    .on_lend(now, from, group, number, stamp, &loans);
+                    .on_lend(now, from, group, request_id, stamp, &loans);
                 while !node.waiting.is_empty() {
                     if node.borrower.try_spend_waiting(now, ORGANISATION).is_none() {
                         break;
@@ -331,13 +335,13 @@
                 from,
                 addr,
                 to,
-                number,
+                request_id,
                 ..
             } => {
                 let answer = Message::Lend {
                     from: to,
                     to: from,
-                    number,
+                    request_id,
                     stamp: 0,
                     loan: None,
                 };
@@ -347,44 +351,47 @@
         }
     }
 
-    /// The most requests that were admitted in a window of the bounds.
-    fn most_in_window(&self) -> usize {
+    /// Returns the highest number of requests admitted in any window.
+    fn max_in_window(&self) -> usize {
         let window = QuotaTolerance::default().window;
         let mut first = 0;
-        let mut most = 0;
+        let mut highest = 0;
         for (at, time) in self.admitted.iter().enumerate() {
             while self.admitted[first] + window <= *time {
                 first += 1;
             }
-            most = most.max(at + 1 - first);
+            highest = highest.max(at + 1 - first);
         }
-        most
+        highest
     }
 
-    fn check_bound(&self, quota: Quota, what: &str) {
+    fn check_bound(&self, quota: Quota, context: &str) {
         let nominal = quota.rate() * 5.0 + f64::from(quota.burst);
         let allowed = (nominal * 1.1 + 20.0) as usize;
-        let most = self.most_in_window();
+        let highest = self.max_in_window();
         assert!(
-            most <= allowed,
-            "{what}: {most} admitted in a window, {allowed} allowed"
+            highest <= allowed,
+            "{context}: {highest} admitted in a window, {allowed} allowed"
         );
     }
 }
 
-/// A random series of cuts, kills, restarts, freezes and losses.
+/// Applies a random sequence of partitions, crashes, restarts, freezes and message losses.
 fn random_faults(fleet: &mut Fleet, steps: usize) {
     for _ in 0..steps {
         let nodes = fleet.nodes.len();
         let at = fleet.rng.random_range(0..nodes);
         match fleet.rng.random_range(0..9) {
             0 => {
-                let cut = fleet.rng.random_range(0.1..0.9);
+                let probability = fleet.rng.random_range(0.1..0.9);
                 for at in 0..nodes {
-                    fleet.nodes[at].side = u8::from(fleet.rng.random_bool(cut));
+                    fleet.nodes[at].partition_side = u8::from(fleet.rng.random_bool(probability));
                 }
             }
-            1 | 2 => fleet.nodes.iter_mut().for_each(|node| node.side = 0),
+            1 | 2 => fleet
+                .nodes
+                .iter_mut()
+                .for_each(|node| node.partition_side = 0),
             3 => fleet.kill(at),
             4 => {
                 let lender = fleet.elected(at).map_or(at, |(lender, _)| lender);
@@ -393,8 +400,8 @@
             5 => (0..nodes).for_each(|at| fleet.restart(at)),
             6 => {
                 let lender = fleet.elected(at).map_or(at, |(lender, _)| lender);
-                let still = fleet.rng.random_range(100..4000);
-                fleet.nodes[lender].still_until = fleet.now + ms(still);
+                let frozen_ms = fleet.rng.random_range(100..4000);
+                fleet.nodes[lender].frozen_until = fleet.now + ms(frozen_ms);
             }
             7 => fleet.loss = fleet.rng.random_range(0.0..0.3),
             _ => {
@@ -411,13 +418,13 @@
 }
 
 #[test]
-fn no_series_of_faults_lets_more_through_than_the_quota() {
+fn quota_holds_under_random_faults() {
     for seed in 0..60 {
         let mut rng = StdRng::seed_from_u64(seed);
         let nodes = [3, 7, 24, 60][rng.random_range(0..4)];
         let rate = [2, 16, 90, 300][rng.random_range(0..4)];
         let quota = quota(rate, rng.random_range(0..=rate as u32));
-        // Everything is asked for, by all alike or most of it by one.
+        // Demand exceeds the quota, spread evenly or mostly at one node.
         let all = rate as f64 * rng.random_range(1.0..8.0);
         let skewed = rng.random_bool(0.5);
         let mut fleet = Fleet::new(seed, nodes, quota, |at| match skewed {
@@ -432,59 +439,63 @@
 }
 
 #[test]
-fn seven_hundred_nodes_keep_one_quota_through_a_cut_and_the_loss_of_the_lender() {
+fn quota_holds_on_700_nodes_through_a_partition_and_loss_of_the_lender() {
     let quota = quota(200, 200);
     let mut fleet = Fleet::new(1, 700, quota, |_| 1.0);
     fleet.run_for(ms(4000));
     for at in 0..350 {
-        fleet.nodes[at].side = 1;
+        fleet.nodes[at].partition_side = 1;
     }
     fleet.run_for(ms(3000));
     let lender = fleet.elected(699).map(|(lender, _)| lender).unwrap();
     fleet.kill(lender);
     fleet.run_for(ms(2500));
-    fleet.nodes.iter_mut().for_each(|node| node.side = 0);
+    fleet
+        .nodes
+        .iter_mut()
+        .for_each(|node| node.partition_side = 0);
     fleet.run_for(ms(3000));
     fleet.check_bound(quota, "700 nodes");
 }
 
-/// The share of requests that were refused though all of them stay below the quota.
-fn check_refused(seed: u64, nodes: usize, quota: Quota, cut: bool, most: f64) {
+/// Asserts that less than a fraction `max_refused` of requests is refused while demand stays below
+/// the quota.
+fn check_refused(seed: u64, nodes: usize, quota: Quota, partitioned: bool, max_refused: f64) {
     let demand = quota.rate() * 0.62 / nodes as f64;
     let mut fleet = Fleet::new(seed, nodes, quota, |_| demand);
     fleet.nodes.iter_mut().for_each(|node| node.demand = 0.0);
     fleet.run_for(ms(4000));
     fleet.nodes.iter_mut().for_each(|node| node.demand = demand);
     fleet.run_for(ms(5000));
-    if cut {
+    if partitioned {
         for at in 0..nodes / 6 {
-            fleet.nodes[at].side = 1;
+            fleet.nodes[at].partition_side = 1;
         }
     }
     fleet.run_for(ms(15_000));
     let refused = fleet.refused as f64 / fleet.offered as f64;
     assert!(
-        refused < most,
-        "{nodes} nodes, {quota:?}, cut {cut}: {refused:.4} refused"
+        refused < max_refused,
+        "{nodes} nodes, {quota:?}, partitioned {partitioned}: {refused:.4} refused"
     );
 }
 
 #[test]
-fn requests_below_the_quota_are_admitted_in_calm() {
+fn requests_below_the_quota_are_admitted_without_faults() {
     for (rate, nodes) in [(4, 60), (16, 60), (90, 60), (288, 60), (288, 3), (288, 700)] {
         check_refused(1, nodes, quota(rate, rate as u32), false, 0.01);
     }
 }
 
 #[test]
-fn requests_below_the_quota_are_admitted_while_some_nodes_are_cut_off() {
+fn requests_below_the_quota_are_admitted_during_a_partition() {
     for rate in [16, 90, 288] {
         check_refused(2, 60, quota(rate, rate as u32), true, 0.05);
     }
 }
 
 #[test]
-fn a_lower_quota_binds_within_a_window() {
+fn lowered_quota_takes_effect_within_a_window() {
     let mut fleet = Fleet::new(3, 24, quota(200, 200), |_| 20.0);
     fleet.run_for(ms(6000));
     let lower = quota(40, 40);
@@ -496,7 +507,7 @@
 }
 
 #[test]
-fn a_higher_quota_is_there_at_once() {
+fn raised_quota_takes_effect_within_a_second() {
     let mut fleet = Fleet::new(4, 24, quota(40, 40), |_| 6.0);
     fleet.run_for(ms(6000));
     fleet.set_quota(quota(300, 300));
@@ -508,21 +519,22 @@
 }
 
 #[test]
-fn a_vote_that_came_late_does_not_count_twice() {
+fn delayed_vote_is_not_counted_twice() {
     let (group, voters) = (group_of(ORGANISATION), 1);
     let mut lender = Lender::new(QuotaTolerance::default());
-    let given = Time::ZERO + ms(1000);
-    let stamp = Lender::stamp(given);
-    // The vote was sent at once, and lay in a socket while its owner lent it to another node.
-    let late = given + ms(5000);
-    lender.on_vote(late, group, Incarnation(2), stamp, voters);
-    let later = late + ms(1000);
+    let issued_at = Time::ZERO + ms(1000);
+    let stamp = Lender::stamp(issued_at);
+    // The vote was sent at once but delayed in a socket buffer while its owner gave it to another
+    // node.
+    let arrived_at = issued_at + ms(5000);
+    lender.on_vote(arrived_at, group, Incarnation(2), stamp, voters);
+    let later = arrived_at + ms(1000);
     let loan = lender.lend(later, ORGANISATION, quota(100, 100), 10, voters);
     assert_eq!(loan.tokens, 0);
 }
 
 #[test]
-fn a_node_that_knows_no_lender_is_not_due_all_the_time() {
+fn poll_is_not_due_at_once_without_a_lender() {
     let mut borrower = Borrower::new(QuotaTolerance::default());
     let quota = quota(10, 10);
     borrower.set_quotas(true, |_| Some(quota));
@@ -533,31 +545,31 @@
         assert_eq!(borrower.poll(now, group, None), None);
     }
     assert!(!borrower.is_due(now));
-    let asked = borrower.poll(now + ms(100), group_of(ORGANISATION), Some(Incarnation(1)));
-    assert_eq!(asked.unwrap().wanted, [(ORGANISATION, 1)]);
+    let requested = borrower.poll(now + ms(100), group_of(ORGANISATION), Some(Incarnation(1)));
+    assert_eq!(requested.unwrap().wanted, [(ORGANISATION, 1)]);
 }
 
 #[test]
-fn questions_that_find_no_place_are_asked_later() {
+fn requests_beyond_the_in_flight_limit_are_sent_later() {
     let mut borrower = Borrower::new(QuotaTolerance::default());
     let quota = quota(1000, 1000);
     let group = group_of(ORGANISATION);
     borrower.set_quotas(true, |_| Some(quota));
     let mut now = Time::ZERO + ms(1000);
-    let mut asked = 0;
+    let mut requested = 0;
     for _ in 0..200 {
         assert_eq!(borrower.try_spend(now, ORGANISATION, quota), None);
         borrower.start_waiting(now, ORGANISATION);
-        if let Some(loans) = borrower.poll(now, group, Some(Incarnation(1))) {
-            asked += loans.wanted.first().map_or(0, |(_, tokens)| *tokens);
+        if let Some(request) = borrower.poll(now, group, Some(Incarnation(1))) {
+            requested += request.wanted.first().map_or(0, |(_, tokens)| *tokens);
         }
         now = now + Duration::from_micros(200);
     }
-    // None of the questions is answered, and all of them are given up.
+    // None of the requests is answered, so all of them time out.
     now = now + ms(200);
-    let again = borrower.poll(now, group, Some(Incarnation(1))).unwrap();
+    let retried = borrower.poll(now, group, Some(Incarnation(1))).unwrap();
     assert!(
-        asked > 0 && again.wanted[0].1 >= 200,
-        "{asked} asked, then {again:?}"
+        requested > 0 && retried.wanted[0].1 >= 200,
+        "{requested} requested, then {retried:?}"
     );
 }
--- a/crates/proto/src/datagram.rs
+++ b/crates/proto/src/datagram.rs
@@ -25,7 +25,8 @@
     /// ```
     /// use bilberry_proto::SyncProgress;
     ///
-    /// let (old, new) = (SyncProgress { rules_version: 3, next_offset: 9 }, SyncProgress { rules_version: 4, next_offset: 9 });
+    /// let old = SyncProgress { rules_version: 3, next_offset: 9 };
+    /// let new = SyncProgress { rules_version: 4, next_offset: 9 };
     /// assert!(new.is_ahead_of(old) && !old.is_ahead_of(new));
     /// ```
     pub fn is_ahead_of(self, other: Self) -> bool {
