--- a/crates/organisation/src/borrower.rs
+++ b/crates/organisation/src/borrower.rs
@@ -284,7 +284,7 @@
         if !self.has_quotas {
             return None;
         }
-        let groups = self.groups.iter().map(|state| {
+        let due_times = self.groups.iter().map(|state| {
             let requests = state.in_flight.values();
             let timeout = requests
                 .map(|request| request.sent_at + ANSWER_TIMEOUT)
@@ -298,7 +298,7 @@
                 .flatten()
                 .fold(due, Time::min)
         });
-        groups.min()
+        due_times.min()
     }
 
     /// Handles a lender's answer to the request `request_id` and returns the loans that were
@@ -420,11 +420,11 @@
 
     fn expire_requests(&mut self, now: Time, group: u8) {
         let state = &mut self.groups[usize::from(group)];
-        let is_late = |request: &PendingRequest| now.since(request.sent_at) >= ANSWER_TIMEOUT;
+        let has_timed_out = |request: &PendingRequest| now.since(request.sent_at) >= ANSWER_TIMEOUT;
         let mut expired = Vec::new();
         let mut lender_timed_out = false;
         state.in_flight.retain(|_, request| {
-            let is_late = is_late(request);
+            let is_late = has_timed_out(request);
             if is_late {
                 lender_timed_out |= request.is_to_current_lender;
                 expired.push(std::mem::take(&mut request.wanted));
--- a/crates/organisation/src/freshness.rs
+++ b/crates/organisation/src/freshness.rs
@@ -150,11 +150,11 @@
             return actions;
         }
         let is_stale = self.age(now).is_none_or(|age| age >= STALE_AGE);
-        let max_attempts = match self.confirmed_at {
+        let attempts_before_store = match self.confirmed_at {
             Some(_) => ATTEMPTS_BEFORE_STORE,
             None => INITIAL_ATTEMPTS_BEFORE_STORE,
         };
-        let may_query_store = is_leader || (is_stale && self.attempt >= max_attempts);
+        let may_query_store = is_leader || (is_stale && self.attempt >= attempts_before_store);
         let is_store_query_pending = self
             .store_query_sent_at
             .is_some_and(|at| now.since(at) < STORE_TIMEOUT);
--- a/crates/rules/src/explain.rs
+++ b/crates/rules/src/explain.rs
@@ -72,13 +72,13 @@
         };
         let RuleOrigin { line, requested_by } = &operation.origin;
         writeln!(f, "line {line}: {operation}, asked by {requested_by}")?;
-        for bound in LimitKind::ALL {
-            match self.limits.origin.get(&bound) {
+        for kind in LimitKind::ALL {
+            match self.limits.origins.get(&kind) {
                 Some(RuleOrigin { line, requested_by }) => write!(f, "line {line}: ")
-                    .and_then(|()| self.limits.write(f, bound))
+                    .and_then(|()| self.limits.write(f, kind))
                     .and_then(|()| writeln!(f, ", asked by {requested_by}"))?,
                 None => write!(f, "default: ")
-                    .and_then(|()| self.limits.write(f, bound))
+                    .and_then(|()| self.limits.write(f, kind))
                     .and_then(|()| writeln!(f))?,
             }
         }
@@ -87,8 +87,8 @@
 }
 
 impl ServiceLimits {
-    fn write(&self, f: &mut fmt::Formatter<'_>, bound: LimitKind) -> fmt::Result {
-        match bound {
+    fn write(&self, f: &mut fmt::Formatter<'_>, kind: LimitKind) -> fmt::Result {
+        match kind {
             LimitKind::Concurrency => {
                 let (min, max) = (self.min_concurrency, self.max_concurrency);
                 write!(f, "concurrency={min}..{max}")
--- a/crates/rules/src/model.rs
+++ b/crates/rules/src/model.rs
@@ -63,7 +63,7 @@
         /// entry node.
         pub resend_percent: u16,
         /// The origin of each limit that was set by a rule; the others are defaults.
-        pub origin: IndexMap<LimitKind, RuleOrigin>,
+        pub origins: IndexMap<LimitKind, RuleOrigin>,
     }
 }
 
@@ -78,7 +78,7 @@
             queue: Duration::from_millis(100),
             key_retention: Duration::from_secs(15 * 60),
             resend_percent: DEFAULT_RESEND_PERCENT,
-            origin: IndexMap::new(),
+            origins: IndexMap::new(),
         }
     }
 }
--- a/crates/rules/src/parse/limits.rs
+++ b/crates/rules/src/parse/limits.rs
@@ -76,11 +76,11 @@
     kind: LimitKind,
     origin: &RuleOrigin,
 ) -> LineResult<()> {
-    if let Some(earlier) = limit.origin.get(&kind) {
+    if let Some(earlier) = limit.origins.get(&kind) {
         let earlier = earlier.line;
         return Err((column, RuleErrorKind::Duplicate { earlier }));
     }
-    limit.origin.insert(kind, origin.clone());
+    limit.origins.insert(kind, origin.clone());
     Ok(())
 }
 
--- a/crates/rules/src/parse/operation.rs
+++ b/crates/rules/src/parse/operation.rs
@@ -115,11 +115,11 @@
 
 const BAD_METHOD: RuleErrorKind = RuleErrorKind::BadValue {
     option: "method",
-    allowed: "a method in capitals, or `*` for any",
+    allowed: "an upper-case method, or `*` for any",
 };
 const BAD_PATH: RuleErrorKind = RuleErrorKind::BadValue {
     option: "path",
-    allowed: "a path that starts with `/`, without a query, with `*` only at its end",
+    allowed: "a path that starts with `/`, without a query, and with `*` only at the end",
 };
 const BAD_CLASS: RuleErrorKind = RuleErrorKind::BadValue {
     option: "class",
--- a/crates/rules/src/parse/organisation.rs
+++ b/crates/rules/src/parse/organisation.rs
@@ -71,11 +71,11 @@
 
 const BAD_KEYS: RuleErrorKind = RuleErrorKind::BadValue {
     option: "keys",
-    allowed: "digests of keys as `bilberryctl key` prints them, with commas between them",
+    allowed: "comma-separated key digests as printed by `bilberryctl key`",
 };
 const BAD_RATE: RuleErrorKind = RuleErrorKind::BadValue {
     option: "rate",
-    allowed: "a whole number of requests a second from 1 to 65535",
+    allowed: "a whole number of requests per second from 1 to 65535",
 };
 const BAD_BURST: RuleErrorKind = RuleErrorKind::BadValue {
     option: "burst",
--- a/crates/rules/tests/parse.rs
+++ b/crates/rules/tests/parse.rs
@@ -97,7 +97,7 @@
 fn invalid_operations_are_rejected() {
     let rest = "class=order deadline=1s # asked by Ugo";
     let path =
-        "`path` takes a path that starts with `/`, without a query, with `*` only at its end";
+        "`path` takes a path that starts with `/`, without a query, and with `*` only at the end";
     check(
         "",
         &format!("operation a GET x {rest}"),
@@ -116,7 +116,7 @@
     check(
         "",
         &format!("operation a get /x {rest}"),
-        &["1:13: `method` takes a method in capitals, or `*` for any"],
+        &["1:13: `method` takes an upper-case method, or `*` for any"],
     );
     check(
         "",
@@ -263,7 +263,7 @@
     let check = |last: &str, expected: &str| check(&first, last, &[expected]);
     check(
         "organisation marco keys=secret # asked by Ugo",
-        "3:20: `keys` takes digests of keys as `bilberryctl key` prints them, with commas between them",
+        "3:20: `keys` takes comma-separated key digests as printed by `bilberryctl key`",
     );
     check(
         &format!("organisation marco keys={OTHER_DIGEST},{DIGEST} # asked by Ugo"),
@@ -283,7 +283,7 @@
     );
     check(
         &format!("organisation marco keys={OTHER_DIGEST} rate=0 # asked by Ugo"),
-        "3:97: `rate` takes a whole number of requests a second from 1 to 65535",
+        "3:97: `rate` takes a whole number of requests per second from 1 to 65535",
     );
 }
 
