--- a/crates/rules/src/model.rs
+++ b/crates/rules/src/model.rs
@@ -36,8 +36,8 @@
         pub idempotent: bool,
         /// Maximum duration of a call whose caller sets no shorter deadline.
         pub deadline: Duration,
-        /// Priority among operations of the same shedding class; 0 is the most urgent and is shed
-        /// last.
+        /// Priority among operations that are shed together (lookups, or all other classes); 0 is
+        /// the most urgent and is shed last.
         pub priority: u8,
         /// Number of retries that a root call of this operation may use in its whole call tree.
         pub retries: u16,
