--- a/crates/node/src/backend.rs
+++ b/crates/node/src/backend.rs
@@ -1,6 +1,6 @@
 //! Runs requests on the own backend server, by HTTP.
 
-use crate::dialect::Run;
+use crate::dialect::OutgoingRun;
 use crate::shell::Shell;
 use crate::Settings;
 use engine::Input;
@@ -25,31 +25,31 @@
 /// How long a connection to the server may take to open. When many open at once the server's queue
 /// of new connections overflows; the system sends the opening packet again after a second, and a
 /// shorter wait would take a server that is merely busy for one that is gone.
-const CONNECT_PATIENCE: Duration = Duration::from_millis(2500);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(2500);
 
 pub(crate) struct Backend {
     parser: Parser,
     addr: SocketAddr,
     max_body: usize,
-    idle: RefCell<Idle>,
+    idle: RefCell<IdleConnections>,
     running: RefCell<IndexMap<RunId, oneshot::Sender<()>>>,
 }
 
 /// How long the server may take to say that it is healthy. It is asked again after its next heartbeat.
-const CHECK_PATIENCE: Duration = Duration::from_secs(1);
+const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Idle connections, all to one incarnation of the server.
 #[derive(Default)]
-struct Idle {
+struct IdleConnections {
     server: Option<Arc<str>>,
     pool: Pool,
 }
 
 /// What is to be run.
-pub(crate) struct Work {
+pub(crate) struct BackendRun {
     pub(crate) run: RunId,
     pub(crate) request: Request,
-    pub(crate) expect: Option<Arc<str>>,
+    pub(crate) expected_server: Option<Arc<str>>,
     pub(crate) remaining: Duration,
     /// The run may not start later.
     pub(crate) start_by: Option<Time>,
@@ -66,8 +66,8 @@
         }
     }
 
-    pub(crate) fn run(&self, shell: &Rc<Shell>, work: Work) {
-        let run = work.run;
+    pub(crate) fn run(&self, shell: &Rc<Shell>, backend_run: BackendRun) {
+        let run = backend_run.run;
         let (cancel, cancelled) = oneshot::channel();
         self.running.borrow_mut().insert(run, cancel);
         let shell = shell.clone();
@@ -75,12 +75,12 @@
             let backend = shell.backend();
             // Whatever is dropped here takes its connection with it: the server then stops working.
             let end = tokio::select! {
-                end = backend.exchange(&shell, &work) => end,
-                () = tokio::time::sleep(work.remaining) => RunEnd::TimedOut,
+                end = backend.exchange(&shell, &backend_run) => end,
+                () = tokio::time::sleep(backend_run.remaining) => RunEnd::TimedOut,
                 _ = cancelled => RunEnd::TimedOut,
             };
             backend.running.borrow_mut().swap_remove(&run);
-            shell.feed(Input::RunEnded { run, end });
+            shell.handle_input(Input::RunEnded { run, end });
         });
     }
 
@@ -90,39 +90,43 @@
         }
     }
 
-    async fn exchange(&self, shell: &Shell, work: &Work) -> RunEnd {
-        let began = Instant::now();
-        let connection = match self.connection(work).await {
+    async fn exchange(&self, shell: &Shell, backend_run: &BackendRun) -> RunEnd {
+        let started = Instant::now();
+        let connection = match self.acquire(backend_run).await {
             Ok(connection) => connection,
             Err(_) => return RunEnd::NeverSent,
         };
         // The process may have been paused since the engine decided; the right to start may have
         // gone to another node meanwhile, and a run here would be the second one.
-        if work
+        if backend_run
             .start_by
             .is_some_and(|start_by| shell.now() >= start_by)
         {
             return RunEnd::NeverSent;
         }
-        let remaining = work.remaining.saturating_sub(began.elapsed());
-        let run = Run {
-            id: work.run,
-            request: &work.request,
+        let remaining = backend_run.remaining.saturating_sub(started.elapsed());
+        let run = OutgoingRun {
+            id: backend_run.run,
+            request: &backend_run.request,
             remaining,
-            expect: work.expect.as_deref(),
+            expected_server: backend_run.expected_server.as_deref(),
         };
-        let request = (shell.dialect.encode)(&run);
-        let is_ours = |headers: &_| (shell.dialect.is_ours)(headers, &work.request);
-        match connection.exchange(&request, self.max_body, is_ours).await {
-            Ok((whole, connection)) => {
-                if whole.reuse != Reuse::No {
-                    self.keep(work, connection);
+        let request = (shell.dialect.encode_run)(&run);
+        let matches_request =
+            |headers: &_| (shell.dialect.matches_request)(headers, &backend_run.request);
+        match connection
+            .exchange(&request, self.max_body, matches_request)
+            .await
+        {
+            Ok((response, connection)) => {
+                if response.reuse != Reuse::No {
+                    self.release(backend_run, connection);
                 }
-                (shell.dialect.judge)(whole)
+                (shell.dialect.classify_response)(response)
             }
-            Err(Failure::TooLarge) => RunEnd::Response((shell.dialect.too_large)()),
+            Err(Failure::TooLarge) => RunEnd::Response((shell.dialect.oversized_response)()),
             Err(e) => {
-                let (id, run) = (&work.request.id, work.run);
+                let (id, run) = (&backend_run.request.id, backend_run.run);
                 log::info!("event=run_lost request={id} run={run} error=\"{e}\"");
                 RunEnd::Lost
             }
@@ -130,44 +134,48 @@
     }
 
     /// Asks the server whether it is healthy and stays, over a connection of its own.
-    pub(crate) fn check(&self, shell: &Rc<Shell>, id: Arc<str>, path: Arc<str>) {
+    pub(crate) fn check_health(&self, shell: &Rc<Shell>, id: Arc<str>, path: Arc<str>) {
         let shell = shell.clone();
         actix_rt::spawn(async move {
             let backend = shell.backend();
-            let asked = tokio::time::timeout(CHECK_PATIENCE, backend.ask(&shell, &id, &path)).await;
-            let healthy = asked.is_ok_and(|asked| asked.unwrap_or(false));
-            shell.feed(Input::ServerChecked { id, healthy });
+            let result = tokio::time::timeout(
+                HEALTH_CHECK_TIMEOUT,
+                backend.query_health(&shell, &id, &path),
+            )
+            .await;
+            let healthy = result.is_ok_and(|healthy| healthy.unwrap_or(false));
+            shell.handle_input(Input::ServerChecked { id, healthy });
         });
     }
 
-    async fn ask(&self, shell: &Shell, id: &str, path: &str) -> Result<bool, Failure> {
-        let connection = Connection::open(&self.parser, self.addr, CHECK_PATIENCE).await?;
-        let request = (shell.dialect.encode_check)(path, &self.addr.to_string());
-        let (whole, _) = connection
+    async fn query_health(&self, shell: &Shell, id: &str, path: &str) -> Result<bool, Failure> {
+        let connection = Connection::open(&self.parser, self.addr, HEALTH_CHECK_TIMEOUT).await?;
+        let request = (shell.dialect.encode_health_check)(path, &self.addr.to_string());
+        let (response, _) = connection
             .exchange(&request, self.max_body, |_| true)
             .await?;
-        Ok((shell.dialect.is_healthy)(&whole, id))
+        Ok((shell.dialect.is_healthy)(&response, id))
     }
 
-    async fn connection(&self, work: &Work) -> Result<Connection, Failure> {
-        let kept = {
+    async fn acquire(&self, backend_run: &BackendRun) -> Result<Connection, Failure> {
+        let pooled = {
             let mut idle = self.idle.borrow_mut();
-            if idle.server != work.expect {
+            if idle.server != backend_run.expected_server {
                 // These lead to an incarnation that is gone.
                 idle.pool.clear();
-                idle.server = work.expect.clone();
+                idle.server = backend_run.expected_server.clone();
             }
             idle.pool.take()
         };
-        match kept {
+        match pooled {
             Some(connection) => Ok(connection),
-            None => Connection::open(&self.parser, self.addr, CONNECT_PATIENCE).await,
+            None => Connection::open(&self.parser, self.addr, CONNECT_TIMEOUT).await,
         }
     }
 
-    fn keep(&self, work: &Work, connection: Connection) {
+    fn release(&self, backend_run: &BackendRun, connection: Connection) {
         let mut idle = self.idle.borrow_mut();
-        if idle.server == work.expect {
+        if idle.server == backend_run.expected_server {
             idle.pool.put(connection);
         }
     }
--- a/crates/node/src/body.rs
+++ b/crates/node/src/body.rs
@@ -13,11 +13,11 @@
 
 /// Bounds of bodies.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Limits {
+pub(crate) struct BodyLimits {
     /// The largest body, in bytes.
-    pub(crate) max: usize,
+    pub(crate) max_bytes: usize,
     /// How long one may take.
-    pub(crate) time: Duration,
+    pub(crate) timeout: Duration,
 }
 
 /// The bytes that all bodies in flight may take up together.
@@ -25,21 +25,21 @@
 /// Each body alone keeps to its bound, but many at once would still take all the memory of a small
 /// instance, and the kernel would kill the process with every call in it.
 #[derive(Debug, Clone)]
-pub(crate) struct Budget {
-    left: Rc<Cell<usize>>,
+pub(crate) struct BodyBudget {
+    available: Rc<Cell<usize>>,
 }
 
 /// A part of the budget; given back when dropped.
 #[derive(Debug)]
 pub(crate) struct Reservation {
-    budget: Budget,
+    budget: BodyBudget,
     bytes: usize,
 }
 
-impl Budget {
+impl BodyBudget {
     pub(crate) fn new(bytes: usize) -> Self {
         Self {
-            left: Rc::new(Cell::new(bytes)),
+            available: Rc::new(Cell::new(bytes)),
         }
     }
 
@@ -53,9 +53,9 @@
 
 impl Reservation {
     fn grow(&mut self, bytes: usize) -> Result<(), Reason> {
-        let left = self.budget.left.get();
-        let left = left.checked_sub(bytes).ok_or(Reason::TableFull)?;
-        self.budget.left.set(left);
+        let available = self.budget.available.get();
+        let available = available.checked_sub(bytes).ok_or(Reason::TableFull)?;
+        self.budget.available.set(available);
         self.bytes += bytes;
         Ok(())
     }
@@ -63,36 +63,36 @@
 
 impl Drop for Reservation {
     fn drop(&mut self) {
-        let left = &self.budget.left;
-        left.set(left.get() + self.bytes);
+        let available = &self.budget.available;
+        available.set(available.get() + self.bytes);
     }
 }
 
 /// Reads the whole body. Keep the reservation for as long as the body is in use.
-pub(crate) async fn read(
+pub(crate) async fn read_body(
     req: &mut HttpRequest,
-    limits: Limits,
-    budget: &Budget,
+    limits: BodyLimits,
+    budget: &BodyBudget,
 ) -> Result<(Bytes, Reservation), Reason> {
-    if announced(req).is_some_and(|len| len > limits.max) {
+    if declared_len(req).is_some_and(|len| len > limits.max_bytes) {
         return Err(Reason::TooLarge);
     }
     // A caller that sends its body a byte at a time would hold its place in the budget for ever.
-    let read = timeout(limits.time, collect(req, limits.max, budget)).await;
-    read.unwrap_or(Err(Reason::Deadline))
+    let body = timeout(limits.timeout, collect(req, limits.max_bytes, budget)).await;
+    body.unwrap_or(Err(Reason::Deadline))
 }
 
 async fn collect(
     req: &mut HttpRequest,
-    max: usize,
-    budget: &Budget,
+    max_bytes: usize,
+    budget: &BodyBudget,
 ) -> Result<(Bytes, Reservation), Reason> {
     let mut payload = req.take_payload();
     let mut body = BytesMut::new();
     let mut reservation = budget.reserve();
     while let Some(chunk) = payload.next().await {
         let chunk = chunk.map_err(|_| Reason::BadRequest)?;
-        if body.len() + chunk.len() > max {
+        if body.len() + chunk.len() > max_bytes {
             return Err(Reason::TooLarge);
         }
         reservation.grow(chunk.len())?;
@@ -102,7 +102,7 @@
 }
 
 /// The length that the head announces.
-fn announced(req: &HttpRequest) -> Option<usize> {
+fn declared_len(req: &HttpRequest) -> Option<usize> {
     let len = req.headers().get(actix_http::header::CONTENT_LENGTH)?;
     len.to_str().ok()?.parse().ok()
 }
--- a/crates/node/src/caller.rs
+++ b/crates/node/src/caller.rs
@@ -1,10 +1,10 @@
 //! HTTP from callers and from the own backend server.
 
 use crate::body;
-use crate::body::Limits;
+use crate::body::BodyLimits;
 use crate::body::Reservation;
-use crate::dialect::Head;
 use crate::dialect::Reply;
+use crate::dialect::RequestHead;
 use crate::pipeline;
 use crate::pipeline::ConnectionError;
 use crate::shell::Shell;
@@ -29,8 +29,8 @@
 const STATUS_PATH: &str = "/-/status";
 
 /// Serves callers on the listener for ever.
-pub(crate) async fn accept(shell: Rc<Shell>, listener: TcpListener) {
-    let handler = |shell, req| handle(shell, req);
+pub(crate) async fn serve_callers(shell: Rc<Shell>, listener: TcpListener) {
+    let handler = |shell, req| handle_request(shell, req);
     serve(shell, listener, handler).await;
 }
 
@@ -53,9 +53,11 @@
         let (shell, cfg) = (shell.clone(), cfg.clone());
         actix_rt::spawn(async move {
             let handle = |req| handler(shell.clone(), req);
-            if let Err(e) = pipeline::run(stream, &cfg, handle, || shell.is_stopping()).await {
+            if let Err(e) =
+                pipeline::serve_connection(stream, &cfg, handle, || shell.is_stopping()).await
+            {
                 log::debug!("event=caller_connection_ended peer={peer} error=\"{e}\"");
-                if let Some(reason) = reason_of(&e) {
+                if let Some(reason) = rejection_reason(&e) {
                     shell.count(engine::Counter::NotRun(reason));
                 }
             }
@@ -65,49 +67,49 @@
 
 /// Why a head was refused before it reached the handler: with 400, 408 or 431, and without an
 /// outcome header.
-fn reason_of(e: &ConnectionError) -> Option<Reason> {
+fn rejection_reason(e: &ConnectionError) -> Option<Reason> {
     match e {
         ConnectionError::Parse(ParseError::TooLarge) => Some(Reason::TooLarge),
         ConnectionError::Parse(_) => Some(Reason::BadRequest),
-        ConnectionError::SlowHead => Some(Reason::Deadline),
-        ConnectionError::SlowReader | ConnectionError::Io(_) => None,
+        ConnectionError::HeadTimeout => Some(Reason::Deadline),
+        ConnectionError::WriteTimeout | ConnectionError::Io(_) => None,
     }
 }
 
 /// Tells the engine that nobody waits any more, unless the answer was delivered.
-struct Waiting {
+struct CancelGuard {
     shell: Rc<Shell>,
     token: Option<RequestToken>,
 }
 
-impl Drop for Waiting {
+impl Drop for CancelGuard {
     fn drop(&mut self) {
         if let Some(token) = self.token.take() {
-            self.shell.feed(Input::CallerGone(token));
+            self.shell.handle_input(Input::CallerGone(token));
         }
     }
 }
 
 /// Serves counters and times.
-pub(crate) async fn on_metrics(shell: Rc<Shell>, _req: HttpRequest) -> HttpResponse<BoxBody> {
+pub(crate) async fn handle_metrics(shell: Rc<Shell>, _req: HttpRequest) -> HttpResponse<BoxBody> {
     HttpResponse::build(StatusCode::OK)
-        .body(shell.metrics.page())
+        .body(shell.metrics.render())
         .map_into_boxed_body()
 }
 
-async fn handle(shell: Rc<Shell>, mut req: HttpRequest) -> HttpResponse<BoxBody> {
+async fn handle_request(shell: Rc<Shell>, mut req: HttpRequest) -> HttpResponse<BoxBody> {
     if req.path() == STATUS_PATH {
         return HttpResponse::build(StatusCode::OK)
             .body(shell.status())
             .map_into_boxed_body();
     }
-    let began = Instant::now();
-    let (head, _reservation) = match read_entry(&shell, &mut req).await {
-        Ok(entry) => entry,
+    let started = Instant::now();
+    let (head, _reservation) = match read_request(&shell, &mut req).await {
+        Ok(request) => request,
         Err(reason) => {
             log::debug!("event=refused reason={}", reason.name());
             shell.count(engine::Counter::NotRun(reason));
-            return (shell.dialect.refuse_head)(&req, reason);
+            return (shell.dialect.reject_head)(&req, reason);
         }
     };
     let id = head.request.id.clone();
@@ -116,37 +118,42 @@
         caller: head.caller,
         context: head.context,
         parent: head.parent,
-        key: head.key,
+        key: head.idempotency_key,
         credential: head.credential,
         caller_timeout: head
-            .patience
-            .map(|patience| patience.saturating_sub(began.elapsed())),
+            .caller_timeout
+            .map(|timeout| timeout.saturating_sub(started.elapsed())),
         request: head.request,
     };
-    let (token, rx) = shell.request(input);
-    let mut waiting = Waiting {
+    let (token, rx) = shell.submit_request(input);
+    let mut cancel_guard = CancelGuard {
         shell: shell.clone(),
         token: Some(token),
     };
     let reply = rx.await;
-    waiting.token = None;
-    let lost = || Reply::new(Outcome::Unknown(Reason::PeerLost));
-    let reply = reply.unwrap_or_else(|_| lost());
-    shell.metrics.time(reply.outcome.name(), began.elapsed());
+    cancel_guard.token = None;
+    let peer_lost = || Reply::new(Outcome::Unknown(Reason::PeerLost));
+    let reply = reply.unwrap_or_else(|_| peer_lost());
+    shell
+        .metrics
+        .record_latency(reply.outcome.name(), started.elapsed());
     (shell.dialect.respond)(&id, reply)
 }
 
 /// Reads a request whole. The reservation is for its body.
-async fn read_entry(shell: &Shell, req: &mut HttpRequest) -> Result<(Head, Reservation), Reason> {
+async fn read_request(
+    shell: &Shell,
+    req: &mut HttpRequest,
+) -> Result<(RequestHead, Reservation), Reason> {
     let head = (shell.dialect.read_head)(req)?;
-    let limits = Limits {
-        max: shell.settings.max_body,
-        time: shell.settings.body_timeout,
+    let limits = BodyLimits {
+        max_bytes: shell.settings.max_body,
+        timeout: shell.settings.body_timeout,
     };
-    let (body, reservation) = body::read(req, limits, &shell.bodies).await?;
+    let (body, reservation) = body::read_body(req, limits, &shell.body_budget).await?;
     let request = Request {
         body,
         ..head.request
     };
-    Ok((Head { request, ..head }, reservation))
+    Ok((RequestHead { request, ..head }, reservation))
 }
--- a/crates/node/src/clock.rs
+++ b/crates/node/src/clock.rs
@@ -16,79 +16,79 @@
 mod tests;
 
 /// The two clocks are read one after the other. A smaller gain is only the time in between.
-const LEAST_GAIN: Duration = Duration::from_millis(10);
+const MIN_SUSPENSION: Duration = Duration::from_millis(10);
 
 /// Tells by how much the boot-time clock is ahead of the steady one.
-type Lead = dyn Fn() -> Duration;
+type BootTimeOffset = dyn Fn() -> Duration;
 
 /// A clock that begins at zero and never goes back.
 pub(crate) struct Clock {
     origin: Instant,
-    lead: Box<Lead>,
-    first_lead: Duration,
+    boot_offset: Box<BootTimeOffset>,
+    initial_offset: Duration,
     suspended: Cell<Duration>,
     /// The part of it that was told.
-    told: Cell<Duration>,
+    reported: Cell<Duration>,
 }
 
 impl Clock {
     /// The clock of this machine.
     pub(crate) fn new() -> Self {
-        Self::with_lead(Box::new(machine_lead))
+        Self::with_boot_offset(Box::new(system_boot_offset))
     }
 
-    pub(crate) fn with_lead(lead: Box<Lead>) -> Self {
+    pub(crate) fn with_boot_offset(boot_offset: Box<BootTimeOffset>) -> Self {
         Self {
             origin: Instant::now(),
-            first_lead: lead(),
+            initial_offset: boot_offset(),
             suspended: Cell::new(Duration::ZERO),
-            told: Cell::new(Duration::ZERO),
-            lead,
+            reported: Cell::new(Duration::ZERO),
+            boot_offset,
         }
     }
 
     /// The present time.
     pub(crate) fn now(&self) -> Time {
-        self.compare();
-        self.compared()
+        self.update_suspended();
+        self.now_without_update()
     }
 
     /// The present time by the last comparison of the clocks, for those who have just made one.
-    pub(crate) fn compared(&self) -> Time {
+    pub(crate) fn now_without_update(&self) -> Time {
         Time::ZERO + self.origin.elapsed() + self.suspended.get()
     }
 
     /// When the runtime's clock will show this time, if the machine is not suspended meanwhile.
-    pub(crate) fn instant(&self, at: Time) -> Instant {
+    pub(crate) fn to_instant(&self, at: Time) -> Instant {
         let since = at.since(Time::ZERO).saturating_sub(self.suspended.get());
         self.origin + since
     }
 
     /// For how long the machine was suspended since this was last asked, if it was. Whoever asks for
     /// the time in between does not take the answer away.
-    pub(crate) fn notice_suspension(&self) -> Option<Duration> {
-        self.compare();
+    pub(crate) fn take_suspension(&self) -> Option<Duration> {
+        self.update_suspended();
         let suspended = self.suspended.get();
-        let gain = suspended - self.told.replace(suspended);
-        Some(gain).filter(|gain| !gain.is_zero())
+        let unreported = suspended - self.reported.replace(suspended);
+        Some(unreported).filter(|unreported| !unreported.is_zero())
     }
 
-    fn compare(&self) {
-        let lead = (self.lead)().saturating_sub(self.first_lead);
-        if lead >= self.suspended.get() + LEAST_GAIN {
-            self.suspended.set(lead);
+    fn update_suspended(&self) {
+        let boot_offset = (self.boot_offset)().saturating_sub(self.initial_offset);
+        if boot_offset >= self.suspended.get() + MIN_SUSPENSION {
+            self.suspended.set(boot_offset);
         }
     }
 }
 
 /// None where the system has no such clock: then nothing is known of suspensions.
-fn machine_lead() -> Duration {
+fn system_boot_offset() -> Duration {
     let read = |clock| clock_gettime(clock).map(Duration::from);
     match (
         read(ClockId::CLOCK_BOOTTIME),
         read(ClockId::CLOCK_MONOTONIC),
     ) {
-        (Ok(boot), Ok(steady)) => boot.saturating_sub(steady),
+        (Ok(boot), Ok(monotonic)) => boot.saturating_sub(monotonic),
         _ => Duration::ZERO,
     }
 }
--- a/crates/node/src/clock/tests.rs
+++ b/crates/node/src/clock/tests.rs
@@ -12,19 +12,22 @@
 
 /// A clock, and the lead of its boot-time clock.
 fn clock() -> (Clock, Rc<Cell<Duration>>) {
-    let lead = Rc::new(Cell::new(ms(70_000)));
-    let told = lead.clone();
-    (Clock::with_lead(Box::new(move || told.get())), lead)
+    let boot_offset = Rc::new(Cell::new(ms(70_000)));
+    let test_offset = boot_offset.clone();
+    (
+        Clock::with_boot_offset(Box::new(move || test_offset.get())),
+        boot_offset,
+    )
 }
 
 /// A machine is suspended for five seconds, and its steady clock does not count them. A lease of three
 /// seconds must be over when it wakes, or two nodes would start the same order.
 #[tokio::test(start_paused = true)]
-async fn time_goes_on_while_the_machine_is_suspended() {
-    let (clock, lead) = clock();
+async fn time_includes_suspension() {
+    let (clock, boot_offset) = clock();
     tokio::time::advance(ms(100)).await;
     assert_eq!(clock.now(), Time::ZERO + ms(100));
-    lead.set(ms(75_000));
+    boot_offset.set(ms(75_000));
     assert_eq!(clock.now(), Time::ZERO + ms(5_100));
     tokio::time::advance(ms(50)).await;
     assert_eq!(clock.now(), Time::ZERO + ms(5_150));
@@ -33,37 +36,40 @@
 /// The two clocks are not read at once, so their distance is never quite the same. Time must not
 /// go back for that.
 #[tokio::test(start_paused = true)]
-async fn small_differences_change_nothing() {
-    let (clock, lead) = clock();
-    for other in [70_003, 69_990, 70_009] {
-        lead.set(ms(other));
+async fn small_clock_differences_are_ignored() {
+    let (clock, boot_offset) = clock();
+    for offset in [70_003, 69_990, 70_009] {
+        boot_offset.set(ms(offset));
         assert_eq!(clock.now(), Time::ZERO);
-        assert_eq!(clock.notice_suspension(), None);
+        assert_eq!(clock.take_suspension(), None);
     }
-    lead.set(ms(71_000));
-    assert_eq!(clock.notice_suspension(), Some(ms(1_000)));
-    assert_eq!(clock.notice_suspension(), None);
-    lead.set(ms(70_500));
+    boot_offset.set(ms(71_000));
+    assert_eq!(clock.take_suspension(), Some(ms(1_000)));
+    assert_eq!(clock.take_suspension(), None);
+    boot_offset.set(ms(70_500));
     assert_eq!(clock.now(), Time::ZERO + ms(1_000));
 }
 
 /// A timer that is due after the suspension fires when the runtime's clock has come as far as is left.
 #[tokio::test(start_paused = true)]
-async fn timers_are_due_by_what_is_left() {
-    let (clock, lead) = clock();
+async fn timer_deadlines_account_for_suspension() {
+    let (clock, boot_offset) = clock();
     let due = Time::ZERO + ms(6_000);
-    lead.set(ms(75_000));
+    boot_offset.set(ms(75_000));
     assert_eq!(clock.now(), Time::ZERO + ms(5_000));
-    assert_eq!(clock.instant(due) - tokio::time::Instant::now(), ms(1_000));
+    assert_eq!(
+        clock.to_instant(due) - tokio::time::Instant::now(),
+        ms(1_000)
+    );
 }
 
 /// Something else asks for the time first after the machine has woken, a gauge for example. The
 /// suspension must be told all the same, or the store would not be read anew.
 #[tokio::test(start_paused = true)]
-async fn asking_for_the_time_hides_no_suspension() {
-    let (clock, lead) = clock();
-    lead.set(ms(75_000));
+async fn reading_the_time_does_not_consume_a_suspension() {
+    let (clock, boot_offset) = clock();
+    boot_offset.set(ms(75_000));
     assert_eq!(clock.now(), Time::ZERO + ms(5_000));
-    assert_eq!(clock.notice_suspension(), Some(ms(5_000)));
-    assert_eq!(clock.notice_suspension(), None);
+    assert_eq!(clock.take_suspension(), Some(ms(5_000)));
+    assert_eq!(clock.take_suspension(), None);
 }
--- a/crates/node/src/dialect.rs
+++ b/crates/node/src/dialect.rs
@@ -3,7 +3,7 @@
 //! The engine knows requests, outcomes and refusals. Which headers and statuses carry them differs
 //! from one deployment to another, and is said here by functions.
 
-mod own;
+mod native;
 mod platform;
 
 use crate::Settings;
@@ -26,13 +26,13 @@
 
 /// What the head of a request from a caller says.
 #[derive(Debug)]
-pub(crate) struct Head {
+pub(crate) struct RequestHead {
     pub(crate) caller: Arc<str>,
     pub(crate) context: Option<Arc<str>>,
     pub(crate) parent: Option<Arc<str>>,
-    pub(crate) key: Option<Arc<str>>,
+    pub(crate) idempotency_key: Option<Arc<str>>,
     pub(crate) credential: Option<KeyDigest>,
-    pub(crate) patience: Option<Duration>,
+    pub(crate) caller_timeout: Option<Duration>,
     /// The request without its body.
     pub(crate) request: Request,
 }
@@ -42,29 +42,29 @@
 pub(crate) struct Reply {
     pub(crate) outcome: Outcome,
     /// The key that was made for the request.
-    pub(crate) made_key: Option<Arc<str>>,
+    pub(crate) generated_key: Option<Arc<str>>,
 }
 
 impl Reply {
     pub(crate) fn new(outcome: Outcome) -> Self {
         Self {
             outcome,
-            made_key: None,
+            generated_key: None,
         }
     }
 }
 
 /// A run as the own backend server is to see it.
 #[derive(Debug)]
-pub(crate) struct Run<'a> {
+pub(crate) struct OutgoingRun<'a> {
     pub(crate) id: RunId,
     pub(crate) request: &'a Request,
     pub(crate) remaining: Duration,
-    pub(crate) expect: Option<&'a str>,
+    pub(crate) expected_server: Option<&'a str>,
 }
 
-type ReadHead = dyn Fn(&HttpRequest) -> Result<Head, Reason>;
-type RefuseHead = dyn Fn(&HttpRequest, Reason) -> HttpResponse<BoxBody>;
+type ReadHead = dyn Fn(&HttpRequest) -> Result<RequestHead, Reason>;
+type RejectHead = dyn Fn(&HttpRequest, Reason) -> HttpResponse<BoxBody>;
 type Respond = dyn Fn(&str, Reply) -> HttpResponse<BoxBody>;
 
 /// How requests and answers look.
@@ -72,36 +72,40 @@
     /// Reads a request's head.
     pub(crate) read_head: Box<ReadHead>,
     /// Answers a request that could not be read.
-    pub(crate) refuse_head: Box<RefuseHead>,
+    pub(crate) reject_head: Box<RejectHead>,
     /// Answers a request with this id.
     pub(crate) respond: Box<Respond>,
     /// Writes a request to the own backend server.
-    pub(crate) encode: Box<dyn Fn(&Run<'_>) -> BytesMut>,
+    pub(crate) encode_run: Box<dyn Fn(&OutgoingRun<'_>) -> BytesMut>,
     /// Asks the own backend server at a path whether it is healthy and stays.
-    pub(crate) encode_check: fn(&str, &str) -> BytesMut,
+    pub(crate) encode_health_check: fn(&str, &str) -> BytesMut,
     /// Whether it says that this incarnation is.
     pub(crate) is_healthy: fn(&Whole, &str) -> bool,
     /// Whether a response of the server belongs to the request.
-    pub(crate) is_ours: fn(&HeaderMap, &Request) -> bool,
+    pub(crate) matches_request: fn(&HeaderMap, &Request) -> bool,
     /// What a whole response says of its run.
-    pub(crate) judge: Box<dyn Fn(Whole) -> RunEnd>,
+    pub(crate) classify_response: Box<dyn Fn(Whole) -> RunEnd>,
     /// What the caller gets in place of a response that is too large. The work is done; taken for a
     /// broken connection, it would be run again, and its request be held for one that crashes
     /// servers.
-    pub(crate) too_large: fn() -> Response,
+    pub(crate) oversized_response: fn() -> Response,
 }
 
 impl Dialect {
     pub(crate) fn new(settings: &Settings) -> Self {
         match &settings.platform {
             Some(_) => platform::dialect(settings),
-            None => own::dialect(settings),
+            None => native::dialect(settings),
         }
     }
 }
 
 /// A request whose body is still to come.
-fn without_body(req: &HttpRequest, path: Arc<str>, headers: Vec<(Arc<str>, Bytes)>) -> Request {
+fn request_without_body(
+    req: &HttpRequest,
+    path: Arc<str>,
+    headers: Vec<(Arc<str>, Bytes)>,
+) -> Request {
     Request {
         id: "".into(),
         host: "".into(),
--- a/crates/node/src/dialect/own.rs
+++ b/crates/node/src/dialect/native.rs
@@ -1,10 +1,10 @@
 //! The product's own interface: `/SERVICE/REST`, and headers that begin with `bilberry`.
 
-use super::without_body;
+use super::request_without_body;
 use super::Dialect;
-use super::Head;
+use super::OutgoingRun;
 use super::Reply;
-use super::Run;
+use super::RequestHead;
 use crate::Settings;
 use actix_http::body::BoxBody;
 use actix_http::header::HeaderName;
@@ -54,10 +54,10 @@
 const DEADLINE_HEADER: &str = "bilberry-deadline-ms";
 
 /// Headers that this node sets itself.
-const SET_HERE: [&str; 3] = [CONTEXT_HEADER, DEADLINE_HEADER, ORGANISATION_HEADER];
+const NODE_SET_HEADERS: [&str; 3] = [CONTEXT_HEADER, DEADLINE_HEADER, ORGANISATION_HEADER];
 
 /// Headers of requests that are not passed on: those, and the organisation's key.
-const NOT_PASSED_ON: [&str; 4] = [
+const STRIPPED_REQUEST_HEADERS: [&str; 4] = [
     CONTEXT_HEADER,
     DEADLINE_HEADER,
     ORGANISATION_HEADER,
@@ -68,7 +68,7 @@
 const ORGANISATION_HEADER: &str = "bilberry-organisation";
 
 /// What comes before an organisation's key (RFC 6750, 2.1).
-const KEY_SCHEME: &str = "Bearer ";
+const BEARER_PREFIX: &str = "Bearer ";
 
 pub(super) fn dialect(settings: &Settings) -> Dialect {
     let caller_header = settings.caller_header.clone();
@@ -76,81 +76,87 @@
     let addr = settings.backend_server_addr;
     Dialect {
         read_head: Box::new(move |req| read_head(req, &caller_header)),
-        refuse_head: Box::new(refuse_head),
+        reject_head: Box::new(reject_head),
         respond: Box::new(|_id, reply| respond(reply)),
-        encode: Box::new(move |run: &Run<'_>| encode(run, addr)),
-        encode_check: |path, host| {
+        encode_run: Box::new(move |run: &OutgoingRun<'_>| encode_run(run, addr)),
+        encode_health_check: |path, host| {
             httpconn::encode_request("GET", path, &[], &[("host", host)], &[])
         },
-        is_healthy: |whole, _| whole.status.is_success(),
-        is_ours: |_, _| true,
-        judge: Box::new(move |whole| judge(whole, &refusal_header)),
-        too_large,
+        is_healthy: |response, _| response.status.is_success(),
+        matches_request: |_, _| true,
+        classify_response: Box::new(move |response| classify_response(response, &refusal_header)),
+        oversized_response,
     }
 }
 
-fn read_head(req: &HttpRequest, caller_header: &str) -> Result<Head, Reason> {
+fn read_head(req: &HttpRequest, caller_header: &str) -> Result<RequestHead, Reason> {
     let address = req.peer_addr().map(|addr| addr.ip().to_string().into());
-    let caller = header(req, caller_header, Reason::BadRequest)?;
-    let (service, path) = target(req)?;
-    let headers = end_to_end(req.headers(), &NOT_PASSED_ON);
-    Ok(Head {
+    let caller = optional_header(req, caller_header, Reason::BadRequest)?;
+    let (service, path) = split_target(req)?;
+    let headers = end_to_end(req.headers(), &STRIPPED_REQUEST_HEADERS);
+    Ok(RequestHead {
         caller: caller.or(address).unwrap_or_else(|| "".into()),
         credential: credential(req),
-        context: header(req, CONTEXT_HEADER, Reason::BadRequest)?,
+        context: optional_header(req, CONTEXT_HEADER, Reason::BadRequest)?,
         parent: None,
-        key: header(req, KEY_HEADER, Reason::BadKey)?,
-        patience: patience(req)?,
+        idempotency_key: optional_header(req, KEY_HEADER, Reason::BadKey)?,
+        caller_timeout: read_caller_timeout(req)?,
         request: Request {
             service,
-            ..without_body(req, path, headers)
+            ..request_without_body(req, path, headers)
         },
     })
 }
 
 fn credential(req: &HttpRequest) -> Option<KeyDigest> {
     let value = single_header(req.headers(), AUTHORIZATION.as_str()).ok()??;
-    let key = value.strip_prefix(KEY_SCHEME)?;
+    let key = value.strip_prefix(BEARER_PREFIX)?;
     Some(KeyDigest::of(key)).filter(|_| !key.is_empty())
 }
 
-fn refuse_head(req: &HttpRequest, reason: Reason) -> HttpResponse<BoxBody> {
+fn reject_head(req: &HttpRequest, reason: Reason) -> HttpResponse<BoxBody> {
     let keyed = req.headers().contains_key(KEY_HEADER);
-    respond(Reply::new(not_run(reason, keyed)))
+    respond(Reply::new(not_run_outcome(reason, keyed)))
 }
 
-fn encode(run: &Run<'_>, addr: SocketAddr) -> BytesMut {
+fn encode_run(run: &OutgoingRun<'_>, addr: SocketAddr) -> BytesMut {
     let req = run.request;
     let (host, id) = (addr.to_string(), run.id.to_string());
     let millis = run.remaining.as_millis().to_string();
-    let mut more = vec![
+    let mut extra_headers = vec![
         ("host", &*host),
         (CONTEXT_HEADER, &*id),
         (DEADLINE_HEADER, &*millis),
     ];
     if !req.organisation.is_empty() {
-        more.push((ORGANISATION_HEADER, &*req.organisation));
+        extra_headers.push((ORGANISATION_HEADER, &*req.organisation));
     }
-    encode_request(&req.method, &req.path, &req.headers, &more, &req.body)
+    encode_request(
+        &req.method,
+        &req.path,
+        &req.headers,
+        &extra_headers,
+        &req.body,
+    )
 }
 
-fn judge(whole: Whole, refusal_header: &str) -> RunEnd {
-    if whole.headers.contains_key(refusal_header) {
-        let retry_after = whole.headers.get(RETRY_AFTER);
+fn classify_response(response: Whole, refusal_header: &str) -> RunEnd {
+    if response.headers.contains_key(refusal_header) {
+        let retry_after = response.headers.get(RETRY_AFTER);
         let seconds = retry_after.and_then(|value| value.to_str().ok()?.parse().ok());
         return RunEnd::Refused {
             retry_after: seconds.map(Duration::from_secs),
         };
     }
     RunEnd::Response(Response {
-        status: whole.status.as_u16(),
-        headers: end_to_end(&whole.headers, &SET_HERE),
-        body: whole.body,
+        status: response.status.as_u16(),
+        headers: end_to_end(&response.headers, &NODE_SET_HEADERS),
+        body: response.body,
     })
 }
 
 /// What a caller gets whose answer is larger than allowed.
-fn too_large() -> Response {
+fn oversized_response() -> Response {
     Response {
         status: StatusCode::BAD_GATEWAY.as_u16(),
         headers: vec![(REASON_HEADER.into(), Reason::TooLarge.name().into())],
@@ -159,7 +165,7 @@
 }
 
 /// `/SERVICE/REST` asks `SERVICE` for `/REST`.
-fn target(req: &HttpRequest) -> Result<(Arc<str>, Arc<str>), Reason> {
+fn split_target(req: &HttpRequest) -> Result<(Arc<str>, Arc<str>), Reason> {
     let path = req.uri().path_and_query().map_or("/", |path| path.as_str());
     let path = path.strip_prefix('/').unwrap_or(path);
     let (service, rest) = path.split_once('/').ok_or(Reason::NoSuchOperation)?;
@@ -168,20 +174,24 @@
 
 /// The milliseconds that the caller has. A value that is no number is an error: taken for none, the
 /// work would go on long after the caller has gone.
-fn patience(req: &HttpRequest) -> Result<Option<Duration>, Reason> {
-    let Some(text) = header(req, DEADLINE_HEADER, Reason::BadRequest)? else {
+fn read_caller_timeout(req: &HttpRequest) -> Result<Option<Duration>, Reason> {
+    let Some(text) = optional_header(req, DEADLINE_HEADER, Reason::BadRequest)? else {
         return Ok(None);
     };
     let millis = text.parse().map_err(|_| Reason::BadRequest)?;
     Ok(Some(Duration::from_millis(millis)))
 }
 
-fn header(req: &HttpRequest, name: &str, bad: Reason) -> Result<Option<Arc<str>>, Reason> {
-    let text = single_header(req.headers(), name).map_err(|_| bad)?;
+fn optional_header(
+    req: &HttpRequest,
+    name: &str,
+    invalid: Reason,
+) -> Result<Option<Arc<str>>, Reason> {
+    let text = single_header(req.headers(), name).map_err(|_| invalid)?;
     Ok(text.map(Into::into))
 }
 
-fn not_run(reason: Reason, keyed: bool) -> Outcome {
+fn not_run_outcome(reason: Reason, keyed: bool) -> Outcome {
     let refusal = Refusal::new(reason, Duration::from_secs(1));
     if keyed && !reason.is_client_error() {
         return Outcome::NotRun(refusal.for_attempt_only());
@@ -190,16 +200,19 @@
 }
 
 fn respond(reply: Reply) -> HttpResponse<BoxBody> {
-    let Reply { outcome, made_key } = reply;
+    let Reply {
+        outcome,
+        generated_key,
+    } = reply;
     let mut response = match &outcome {
-        Outcome::Completed(whole) => {
-            let status = StatusCode::from_u16(whole.status).unwrap_or(StatusCode::BAD_GATEWAY);
+        Outcome::Completed(completed) => {
+            let status = StatusCode::from_u16(completed.status).unwrap_or(StatusCode::BAD_GATEWAY);
             let mut response = HttpResponse::build(status);
-            for (name, value) in &whole.headers {
+            for (name, value) in &completed.headers {
                 response.append_header((&**name, &value[..]));
             }
             response.insert_header((OUTCOME_HEADER, outcome.name()));
-            response.body(whole.body.clone())
+            response.body(completed.body.clone())
         }
         Outcome::NotRun(refusal) => {
             let mut response = HttpResponse::build(refusal_status(refusal.reason));
@@ -220,7 +233,7 @@
             response.body(Bytes::new())
         }
     };
-    if let Some(key) = made_key.and_then(|key| key.parse().ok()) {
+    if let Some(key) = generated_key.and_then(|key| key.parse().ok()) {
         response
             .headers_mut()
             .insert(HeaderName::from_static(KEY_HEADER), key);
--- a/crates/node/src/dialect/platform.rs
+++ b/crates/node/src/dialect/platform.rs
@@ -1,10 +1,10 @@
 //! The users' platform, by the package that knows its words.
 
-use super::without_body;
+use super::request_without_body;
 use super::Dialect;
-use super::Head;
+use super::OutgoingRun;
 use super::Reply;
-use super::Run;
+use super::RequestHead;
 use crate::Settings;
 use actix_http::body::BoxBody;
 use actix_http::Request as HttpRequest;
@@ -28,39 +28,39 @@
     let service = settings.service.clone();
     Dialect {
         read_head: Box::new(move |req| read_head(req, &service)),
-        refuse_head: Box::new(refuse_head),
+        reject_head: Box::new(reject_head),
         respond: Box::new(respond),
-        encode: Box::new(|run: &Run<'_>| {
-            platform::request_to_server(run.request, run.remaining, run.expect)
+        encode_run: Box::new(|run: &OutgoingRun<'_>| {
+            platform::request_to_server(run.request, run.remaining, run.expected_server)
         }),
-        encode_check: platform::health_check,
+        encode_health_check: platform::health_check,
         is_healthy: platform::is_healthy,
-        is_ours: |headers, request| platform::belongs_to(headers, &request.id),
-        judge: Box::new(judge),
-        too_large,
+        matches_request: |headers, request| platform::belongs_to(headers, &request.id),
+        classify_response: Box::new(classify_response),
+        oversized_response,
     }
 }
 
-fn read_head(req: &HttpRequest, service: &str) -> Result<Head, Reason> {
+fn read_head(req: &HttpRequest, service: &str) -> Result<RequestHead, Reason> {
     let head = platform::head(req.head(), service)?;
     let headers = platform::to_travel(head.headers);
     let request = Request {
         id: head.id,
         host: head.host,
-        ..without_body(req, head.path, headers)
+        ..request_without_body(req, head.path, headers)
     };
-    Ok(Head {
+    Ok(RequestHead {
         caller: service.into(),
         context: None,
         parent: head.parent,
-        key: None,
+        idempotency_key: None,
         credential: head.key,
-        patience: head.patience,
+        caller_timeout: head.patience,
         request,
     })
 }
 
-fn refuse_head(_req: &HttpRequest, reason: Reason) -> HttpResponse<BoxBody> {
+fn reject_head(_req: &HttpRequest, reason: Reason) -> HttpResponse<BoxBody> {
     let refusal = Refusal::new(reason, RETRY_AFTER);
     platform::respond("", &Outcome::NotRun(refusal))
 }
@@ -70,7 +70,7 @@
 }
 
 /// What a client gets whose answer is larger than allowed: nothing is promised by it.
-fn too_large() -> Response {
+fn oversized_response() -> Response {
     Response {
         status: StatusCode::BAD_GATEWAY.as_u16(),
         headers: Vec::new(),
@@ -78,8 +78,8 @@
     }
 }
 
-fn judge(whole: Whole) -> RunEnd {
-    match platform::judge(whole) {
+fn classify_response(response: Whole) -> RunEnd {
+    match platform::judge(response) {
         Verdict::Ran(response) => RunEnd::Response(Response {
             headers: platform::to_travel(response.headers),
             ..response
--- a/crates/node/src/events.rs
+++ b/crates/node/src/events.rs
@@ -16,33 +16,33 @@
 
 /// Bounds the lines about requests.
 #[derive(Debug)]
-pub(crate) struct Cap {
-    since: Cell<Instant>,
+pub(crate) struct LogRateLimiter {
+    window_start: Cell<Instant>,
     written: Cell<u32>,
-    left_out: Cell<u32>,
+    suppressed: Cell<u32>,
 }
 
-impl Cap {
+impl LogRateLimiter {
     pub(crate) fn new() -> Self {
         Self {
-            since: Cell::new(Instant::now()),
+            window_start: Cell::new(Instant::now()),
             written: Cell::new(0),
-            left_out: Cell::new(0),
+            suppressed: Cell::new(0),
         }
     }
 
     /// Whether one more line may be written. Tells how many were left out before.
     fn admit(&self) -> bool {
-        if self.since.get().elapsed() >= Duration::from_secs(1) {
-            self.since.set(Instant::now());
+        if self.window_start.get().elapsed() >= Duration::from_secs(1) {
+            self.window_start.set(Instant::now());
             self.written.set(0);
-            let left_out = self.left_out.take();
-            if left_out > 0 {
-                log::info!("event=lines_left_out count={left_out}");
+            let suppressed = self.suppressed.take();
+            if suppressed > 0 {
+                log::info!("event=lines_left_out count={suppressed}");
             }
         }
         if self.written.get() >= MAX_PER_SECOND {
-            self.left_out.set(self.left_out.get() + 1);
+            self.suppressed.set(self.suppressed.get() + 1);
             return false;
         }
         self.written.set(self.written.get() + 1);
@@ -51,17 +51,17 @@
 }
 
 /// Writes down what the engine asks for, where an operator would want to know.
-pub(crate) fn note(shell: &Shell, output: &Output) {
+pub(crate) fn log_output(shell: &Shell, output: &Output) {
     match output {
-        Output::Diagnostic(note) => write_note(shell, note),
-        Output::Count(counter) => note_change(shell, *counter),
+        Output::Diagnostic(diagnostic) => log_diagnostic(shell, diagnostic),
+        Output::Count(counter) => log_counter_event(shell, *counter),
         Output::Stopped => log::info!("event=stopped"),
         _ => {}
     }
 }
 
-fn write_note(shell: &Shell, note: &Diagnostic) {
-    let whole = match note {
+fn log_diagnostic(shell: &Shell, diagnostic: &Diagnostic) {
+    let is_success = match diagnostic {
         Diagnostic::Answered { outcome, .. } | Diagnostic::Ran { outcome, .. } => {
             matches!(outcome, OutcomeSummary::Whole(status) if *status < 500)
         }
@@ -70,16 +70,16 @@
         Diagnostic::Peer { .. }
         | Diagnostic::Peers { .. }
         | Diagnostic::OwnServer { .. }
-        | Diagnostic::Keys { .. } => return log::info!("{note}"),
+        | Diagnostic::Keys { .. } => return log::info!("{diagnostic}"),
     };
-    if whole {
-        log::debug!("{note}");
-    } else if log::log_enabled!(log::Level::Info) && shell.lines.admit() {
-        log::info!("{note}");
+    if is_success {
+        log::debug!("{diagnostic}");
+    } else if log::log_enabled!(log::Level::Info) && shell.log_limiter.admit() {
+        log::info!("{diagnostic}");
     }
 }
 
-fn note_change(shell: &Shell, counter: Counter) {
+fn log_counter_event(shell: &Shell, counter: Counter) {
     let engine = shell.engine.borrow();
     let journal = engine.journal();
     match counter {
@@ -90,7 +90,7 @@
             journal.next_offset
         ),
         Counter::ViewApplied => {
-            let view = journal.view(&shell.me.service);
+            let view = journal.view(&shell.own_instance.service);
             log::info!(
                 "event=view_taken number={} members={} listed={}",
                 view.map_or(0, |view| view.number),
--- a/crates/node/src/wire.rs
+++ b/crates/node/src/framing.rs
@@ -24,23 +24,23 @@
 /// The largest frame, in bytes.
 pub(crate) const MAX_FRAME: usize = 4 << 20;
 
-pub(crate) type Wire = Framed<Metered, LengthDelimitedCodec>;
+pub(crate) type FramedStream = Framed<MeteredStream, LengthDelimitedCodec>;
 
 /// When bytes last passed each way. A large frame on a slow path takes long and is still a sign of
 /// life, which whole frames alone would not show.
 #[derive(Clone)]
 pub(crate) struct Progress {
-    pub(crate) heard: Rc<Cell<Instant>>,
-    pub(crate) wrote: Rc<Cell<Instant>>,
+    pub(crate) last_read: Rc<Cell<Instant>>,
+    pub(crate) last_write: Rc<Cell<Instant>>,
 }
 
 /// A TCP stream that notes its progress.
-pub(crate) struct Metered {
+pub(crate) struct MeteredStream {
     stream: TcpStream,
     progress: Progress,
 }
 
-impl Metered {
+impl MeteredStream {
     pub(crate) fn progress(&self) -> Progress {
         self.progress.clone()
     }
@@ -57,20 +57,20 @@
     Malformed,
 }
 
-pub(crate) fn frame_wire(stream: TcpStream) -> Wire {
+pub(crate) fn framed(stream: TcpStream) -> FramedStream {
     let _ = stream.set_nodelay(true);
     let now = Instant::now();
     let progress = Progress {
-        heard: Rc::new(Cell::new(now)),
-        wrote: Rc::new(Cell::new(now)),
+        last_read: Rc::new(Cell::new(now)),
+        last_write: Rc::new(Cell::new(now)),
     };
     LengthDelimitedCodec::builder()
         .max_frame_length(MAX_FRAME)
-        .new_framed(Metered { stream, progress })
+        .new_framed(MeteredStream { stream, progress })
 }
 
 /// Reads one frame. A frame that was cut off is an error, never a shorter frame.
-pub(crate) async fn read<S>(stream: &mut S) -> Result<Frame, ReadError>
+pub(crate) async fn read_frame<S>(stream: &mut S) -> Result<Frame, ReadError>
 where
     S: Stream<Item = io::Result<BytesMut>> + Unpin,
 {
@@ -83,11 +83,11 @@
     }
 }
 
-pub(crate) async fn write(wire: &mut Wire, frame: &Frame) -> io::Result<()> {
-    wire.send(Bytes::from(proto::encode(frame))).await
+pub(crate) async fn write_frame(stream: &mut FramedStream, frame: &Frame) -> io::Result<()> {
+    stream.send(Bytes::from(proto::encode(frame))).await
 }
 
-impl AsyncRead for Metered {
+impl AsyncRead for MeteredStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -96,21 +96,21 @@
         let before = buf.filled().len();
         let read = ready!(Pin::new(&mut self.stream).poll_read(cx, buf));
         if buf.filled().len() > before {
-            self.progress.heard.set(Instant::now());
+            self.progress.last_read.set(Instant::now());
         }
         Poll::Ready(read)
     }
 }
 
-impl AsyncWrite for Metered {
+impl AsyncWrite for MeteredStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buf: &[u8],
     ) -> Poll<io::Result<usize>> {
-        let wrote = ready!(Pin::new(&mut self.stream).poll_write(cx, buf));
-        self.progress.wrote.set(Instant::now());
-        Poll::Ready(wrote)
+        let written = ready!(Pin::new(&mut self.stream).poll_write(cx, buf));
+        self.progress.last_write.set(Instant::now());
+        Poll::Ready(written)
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -3,7 +3,6 @@
 //! It takes no decisions: whatever happens becomes an `engine::Input`, and whatever the engine asks
 //! for is done. One thread, one `actix-rt` system.
 
-mod attached;
 mod backend;
 mod body;
 mod caller;
@@ -11,20 +10,21 @@
 mod dialect;
 mod events;
 mod fetch;
+mod framing;
 mod link;
 mod log_queue;
 mod metrics;
 mod peers;
 mod pipeline;
+mod platform_mode;
 mod settings;
 mod shell;
 mod status;
 mod store_reader;
 mod udp;
-mod wire;
 
-pub use attached::PlatformAddrs;
 pub use log_queue::LogQueue;
+pub use platform_mode::PlatformAddrs;
 pub use settings::Settings;
 pub use settings::SettingsError;
 pub use shell::start;
--- a/crates/node/src/link.rs
+++ b/crates/node/src/link.rs
@@ -4,11 +4,11 @@
 //! asked something is taken for silent. Reading and writing do not wait for each other, so a peer
 //! that does not read cannot keep this end from hearing it, or from giving up on it.
 
+use crate::framing::read_frame;
+use crate::framing::FramedStream;
+use crate::framing::ReadError;
 use crate::peers::Peers;
 use crate::shell::Shell;
-use crate::wire::read;
-use crate::wire::ReadError;
-use crate::wire::Wire;
 use bytes::Bytes;
 use engine::Counter;
 use engine::Input;
@@ -33,34 +33,34 @@
 mod tests;
 
 /// The most frames that wait for a link.
-const MAX_FRAMES: usize = 1024;
+const MAX_QUEUED_FRAMES: usize = 1024;
 
 /// The most bytes that wait for a link.
-const MAX_BYTES: usize = 16 << 20;
+const MAX_QUEUED_BYTES: usize = 16 << 20;
 
 /// How long the other end may take to say anything before it is pinged.
-const PING_AFTER: Duration = Duration::from_millis(150);
+const PING_DELAY: Duration = Duration::from_millis(150);
 
 /// After how long without any sign, a ping included, no new calls are to go there. A process that lives
 /// answers a ping within the way there and back, 40 ms between regions. With only [`SILENT_AFTER`],
 /// a machine that stands still keeps all that is sent to it in two seconds.
-const QUIET_AFTER: Duration = Duration::from_millis(350);
+const QUIET_TIMEOUT: Duration = Duration::from_millis(350);
 
 /// How often a link is looked at while something is awaited, and else.
-const WATCH: Duration = Duration::from_millis(100);
-const WATCH_IDLE: Duration = Duration::from_millis(250);
+const MONITOR_INTERVAL: Duration = Duration::from_millis(100);
+const IDLE_MONITOR_INTERVAL: Duration = Duration::from_millis(250);
 
 /// How long it may be silent, pings included, before the link is given up.
-const SILENT_AFTER: Duration = Duration::from_secs(2);
+const SILENT_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// How long a write may make no progress. The other end may be alive but not reading.
-const STALLED_AFTER: Duration = Duration::from_secs(5);
+const WRITE_STALL_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// A link on which nothing happens is closed after this time.
-const IDLE_AFTER: Duration = Duration::from_secs(60);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// A link that another one has taken the place of is closed when it was quiet for this long.
-const RETIRED_AFTER: Duration = Duration::from_secs(5);
+const RETIRED_IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Why a link has ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -80,45 +80,45 @@
 }
 
 /// A frame did not fit.
-pub(crate) struct Full(pub(crate) Frame);
+pub(crate) struct SendQueueFull(pub(crate) Frame);
 
 /// What waits to be written on one link, and what this end waits to hear on it.
 #[derive(Default)]
-pub(crate) struct Queue {
+pub(crate) struct SendQueue {
     /// Frames, encoded; with the id if it is a call.
     frames: RefCell<VecDeque<(Option<CallId>, Bytes)>>,
     /// Calls among them.
-    waiting: RefCell<IndexSet<CallId>>,
+    queued_calls: RefCell<IndexSet<CallId>>,
     bytes: Cell<usize>,
     /// Calls whose answers are to come on this link.
-    awaited: RefCell<IndexSet<CallId>>,
+    awaited_calls: RefCell<IndexSet<CallId>>,
     wake: Notify,
-    pong: Cell<Option<u64>>,
-    ping: Cell<bool>,
+    pending_pong: Cell<Option<u64>>,
+    ping_requested: Cell<bool>,
     retired: Cell<bool>,
-    given_up: Notify,
+    aborted: Notify,
 }
 
-impl Queue {
-    pub(crate) fn push(&self, frame: Frame, encoded: Bytes) -> Result<(), Full> {
+impl SendQueue {
+    pub(crate) fn push(&self, frame: Frame, encoded: Bytes) -> Result<(), SendQueueFull> {
         // A call that still waits here is not needed twice; it comes again when another link to the
         // same peer is lost.
         if let Frame::Call(call) = &frame {
-            if self.waiting.borrow().contains(&call.id) {
+            if self.queued_calls.borrow().contains(&call.id) {
                 return Ok(());
             }
         }
         let len = self.frames.borrow().len();
-        if len >= MAX_FRAMES || self.bytes.get() + encoded.len() > MAX_BYTES {
-            return Err(Full(frame));
+        if len >= MAX_QUEUED_FRAMES || self.bytes.get() + encoded.len() > MAX_QUEUED_BYTES {
+            return Err(SendQueueFull(frame));
         }
         match &frame {
             Frame::Call(call) => {
-                self.awaited.borrow_mut().insert(call.id);
-                self.waiting.borrow_mut().insert(call.id);
+                self.awaited_calls.borrow_mut().insert(call.id);
+                self.queued_calls.borrow_mut().insert(call.id);
             }
             Frame::Cancel(id) => {
-                self.awaited.borrow_mut().swap_remove(id);
+                self.awaited_calls.borrow_mut().swap_remove(id);
             }
             _ => {}
         }
@@ -135,7 +135,7 @@
     fn pop(&self) -> Option<Bytes> {
         let (call, bytes) = self.frames.borrow_mut().pop_front()?;
         if let Some(call) = call {
-            self.waiting.borrow_mut().swap_remove(&call);
+            self.queued_calls.borrow_mut().swap_remove(&call);
         }
         self.bytes.set(self.bytes.get() - bytes.len());
         Some(bytes)
@@ -160,26 +160,26 @@
     }
 
     /// Ends the link.
-    pub(crate) fn give_up(&self) {
-        self.given_up.notify_one();
+    pub(crate) fn abort(&self) {
+        self.aborted.notify_one();
     }
 
     fn answer_ping(&self, n: u64) {
-        self.pong.set(Some(n));
+        self.pending_pong.set(Some(n));
         self.wake.notify_one();
     }
 
     fn send_ping(&self) {
-        self.ping.set(true);
+        self.ping_requested.set(true);
         self.wake.notify_one();
     }
 
     /// The next frame to write; what keeps the link alive goes first.
-    fn next(&self) -> Option<Bytes> {
-        if let Some(n) = self.pong.take() {
+    fn next_frame(&self) -> Option<Bytes> {
+        if let Some(n) = self.pending_pong.take() {
             return Some(encode(&Frame::Pong(n)));
         }
-        if self.ping.take() {
+        if self.ping_requested.take() {
             return Some(encode(&Frame::Ping(0)));
         }
         self.pop()
@@ -187,49 +187,49 @@
 }
 
 /// When things last happened on a link.
-struct Times {
+struct LinkActivity {
     /// The first write since the other end was last heard.
-    asked: Cell<Option<Instant>>,
+    unanswered_since: Cell<Option<Instant>>,
     /// When a frame other than a ping or pong last passed.
-    used: Cell<Instant>,
+    last_used: Cell<Instant>,
     /// When the write that is under way began.
-    writing: Cell<Option<Instant>>,
+    write_started: Cell<Option<Instant>>,
     /// When the last whole frame was read.
-    framed: Cell<Instant>,
+    last_frame: Cell<Instant>,
 }
 
 /// Carries frames both ways until the link ends.
-pub(crate) async fn carry(
+pub(crate) async fn transfer_frames(
     shell: &Rc<Shell>,
     peer: Incarnation,
-    wire: Wire,
-    queue: &Queue,
+    stream: FramedStream,
+    queue: &SendQueue,
 ) -> LinkEnd {
-    let progress = wire.get_ref().progress();
-    let times = Times {
-        asked: Cell::new(None),
-        used: Cell::new(Instant::now()),
-        writing: Cell::new(None),
-        framed: Cell::new(Instant::now()),
+    let progress = stream.get_ref().progress();
+    let activity = LinkActivity {
+        unanswered_since: Cell::new(None),
+        last_used: Cell::new(Instant::now()),
+        write_started: Cell::new(None),
+        last_frame: Cell::new(Instant::now()),
     };
-    let (sink, stream) = wire.split();
+    let (sink, source) = stream.split();
     tokio::select! {
-        end = read_frames(shell, peer, stream, queue, &times) => end,
-        end = write_frames(sink, queue, &times) => end,
-        end = watch(shell, peer, queue, &times, &progress) => end,
-        () = queue.given_up.notified() => LinkEnd::GivenUp,
+        end = read_frames(shell, peer, source, queue, &activity) => end,
+        end = write_frames(sink, queue, &activity) => end,
+        end = monitor(shell, peer, queue, &activity, &progress) => end,
+        () = queue.aborted.notified() => LinkEnd::GivenUp,
     }
 }
 
 async fn read_frames(
     shell: &Rc<Shell>,
     peer: Incarnation,
-    mut stream: SplitStream<Wire>,
-    queue: &Queue,
-    times: &Times,
+    mut source: SplitStream<FramedStream>,
+    queue: &SendQueue,
+    activity: &LinkActivity,
 ) -> LinkEnd {
     loop {
-        let frame = match read(&mut stream).await {
+        let frame = match read_frame(&mut source).await {
             Ok(frame) => frame,
             Err(ReadError::Closed) => return LinkEnd::Closed,
             Err(ReadError::TooLarge) => {
@@ -241,117 +241,134 @@
                 return LinkEnd::Broken;
             }
         };
-        times.framed.set(Instant::now());
+        activity.last_frame.set(Instant::now());
         match frame {
             Frame::Ping(n) => queue.answer_ping(n),
             Frame::Pong(_) => {}
             frame => {
                 if let Frame::Answer(id, _) = &frame {
-                    queue.awaited.borrow_mut().swap_remove(id);
+                    queue.awaited_calls.borrow_mut().swap_remove(id);
                 }
-                times.used.set(Instant::now());
-                shell.feed(Input::Frame { from: peer, frame });
+                activity.last_used.set(Instant::now());
+                shell.handle_input(Input::Frame { from: peer, frame });
             }
         }
     }
 }
 
-async fn write_frames(mut sink: SplitSink<Wire, Bytes>, queue: &Queue, times: &Times) -> LinkEnd {
+async fn write_frames(
+    mut sink: SplitSink<FramedStream, Bytes>,
+    queue: &SendQueue,
+    activity: &LinkActivity,
+) -> LinkEnd {
     loop {
-        let Some(frame) = queue.next() else {
+        let Some(frame) = queue.next_frame() else {
             queue.wake.notified().await;
             continue;
         };
-        times.writing.set(Some(Instant::now()));
-        if write_all(&mut sink, frame, queue, times).await.is_err() {
+        activity.write_started.set(Some(Instant::now()));
+        if write_batch(&mut sink, frame, queue, activity)
+            .await
+            .is_err()
+        {
             return LinkEnd::Closed;
         }
-        times.writing.set(None);
+        activity.write_started.set(None);
     }
 }
 
 /// Writes a frame and all that wait behind it, then flushes once.
-async fn write_all(
-    sink: &mut SplitSink<Wire, Bytes>,
+async fn write_batch(
+    sink: &mut SplitSink<FramedStream, Bytes>,
     first: Bytes,
-    queue: &Queue,
-    times: &Times,
+    queue: &SendQueue,
+    activity: &LinkActivity,
 ) -> std::io::Result<()> {
     let mut next = Some(first);
     while let Some(frame) = next {
         let now = Instant::now();
-        if times.asked.get().is_none() {
-            times.asked.set(Some(now));
+        if activity.unanswered_since.get().is_none() {
+            activity.unanswered_since.set(Some(now));
         }
-        if frame.len() > MAX_PING {
-            times.used.set(now);
+        if frame.len() > MAX_PING_LEN {
+            activity.last_used.set(now);
         }
         sink.feed(frame).await?;
-        next = queue.next();
+        next = queue.next_frame();
     }
     sink.flush().await
 }
 
 /// Pings and pongs are no longer than this; they do not count as use.
-const MAX_PING: usize = 11;
+const MAX_PING_LEN: usize = 11;
 
 /// Pings the other end when something is awaited, and ends the link when it must.
-async fn watch(
+async fn monitor(
     shell: &Rc<Shell>,
     peer: Incarnation,
-    queue: &Queue,
-    times: &Times,
-    progress: &crate::wire::Progress,
+    queue: &SendQueue,
+    activity: &LinkActivity,
+    progress: &crate::framing::Progress,
 ) -> LinkEnd {
-    let mut quiet = false;
+    let mut is_quiet = false;
     loop {
-        let is_idle = queue.awaited.borrow().is_empty() && times.asked.get().is_none();
-        tokio::time::sleep(if is_idle { WATCH_IDLE } else { WATCH }).await;
+        let is_idle =
+            queue.awaited_calls.borrow().is_empty() && activity.unanswered_since.get().is_none();
+        tokio::time::sleep(if is_idle {
+            IDLE_MONITOR_INTERVAL
+        } else {
+            MONITOR_INTERVAL
+        })
+        .await;
         let now = Instant::now();
-        let heard = progress.heard.get();
-        if times.asked.get().is_some_and(|asked| heard >= asked) {
-            times.asked.set(None);
+        let last_read = progress.last_read.get();
+        if activity
+            .unanswered_since
+            .get()
+            .is_some_and(|since| last_read >= since)
+        {
+            activity.unanswered_since.set(None);
         }
         // A large frame that still gets on is as good as an answer.
-        let got_on = |began: Instant| began.max(progress.wrote.get());
-        let writing = times.writing.get().map(got_on);
-        if writing.is_some_and(|at| now - at >= STALLED_AFTER) {
+        let last_progress = |began: Instant| began.max(progress.last_write.get());
+        let write_progress = activity.write_started.get().map(last_progress);
+        if write_progress.is_some_and(|at| now - at >= WRITE_STALL_TIMEOUT) {
             return LinkEnd::Stalled;
         }
-        let awaits = !queue.awaited.borrow().is_empty();
+        let awaits_answer = !queue.awaited_calls.borrow().is_empty();
         // A write that hangs has asked something too, though the end was heard after it began.
-        let asked = match (times.asked.get(), writing) {
-            (Some(asked), Some(got_on)) => Some(asked.max(got_on)),
-            (asked, writing) => asked.or(writing),
+        let unanswered_since = match (activity.unanswered_since.get(), write_progress) {
+            (Some(since), Some(write_progress)) => Some(since.max(write_progress)),
+            (since, write_progress) => since.or(write_progress),
         };
-        if let Some(asked) = asked.filter(|asked| now - *asked >= QUIET_AFTER) {
-            if !std::mem::replace(&mut quiet, true) {
-                let ms = (now - asked).as_millis();
+        if let Some(since) = unanswered_since.filter(|since| now - *since >= QUIET_TIMEOUT) {
+            if !std::mem::replace(&mut is_quiet, true) {
+                let ms = (now - since).as_millis();
                 log::info!("event=peer_quiet peer={peer} asked_ms={ms}");
             }
-            shell.feed(Input::PeerQuiet(peer));
-        } else if std::mem::take(&mut quiet) {
+            shell.handle_input(Input::PeerQuiet(peer));
+        } else if std::mem::take(&mut is_quiet) {
             log::info!("event=peer_back peer={peer}");
-            shell.feed(Input::PeerBack(peer));
+            shell.handle_input(Input::PeerBack(peer));
         }
-        match asked {
-            Some(asked) if now - asked >= SILENT_AFTER => return LinkEnd::Silent,
-            Some(asked) if now - asked >= PING_AFTER => queue.send_ping(),
-            None if awaits && now - heard >= PING_AFTER => queue.send_ping(),
+        match unanswered_since {
+            Some(since) if now - since >= SILENT_TIMEOUT => return LinkEnd::Silent,
+            Some(since) if now - since >= PING_DELAY => queue.send_ping(),
+            None if awaits_answer && now - last_read >= PING_DELAY => queue.send_ping(),
             _ => {}
         }
         // Part of a large frame has come. The other end hears nothing before it is whole, and would
         // take this end for silent.
-        if heard > times.framed.get() {
+        if last_read > activity.last_frame.get() {
             queue.answer_ping(0);
         }
-        let patience = if queue.retired.get() {
-            RETIRED_AFTER
+        let idle_limit = if queue.retired.get() {
+            RETIRED_IDLE_TIMEOUT
         } else {
-            IDLE_AFTER
+            IDLE_TIMEOUT
         };
-        let unused = now - times.used.get() >= patience && now - heard >= PING_AFTER;
-        if unused && !awaits {
+        let unused = now - activity.last_used.get() >= idle_limit && now - last_read >= PING_DELAY;
+        if unused && !awaits_answer {
             return LinkEnd::Idle;
         }
     }
@@ -365,20 +382,20 @@
 pub(crate) async fn run(
     shell: Rc<Shell>,
     peer: Incarnation,
-    number: u64,
-    wire: Wire,
-    queue: Rc<Queue>,
+    link_id: u64,
+    stream: FramedStream,
+    queue: Rc<SendQueue>,
 ) {
-    let end = carry(&shell, peer, wire, &queue).await;
+    let end = transfer_frames(&shell, peer, stream, &queue).await;
     log::debug!("event=link_end peer={peer} why={end:?}");
     match end {
         LinkEnd::Silent => shell.count(Counter::Link(LinkEvent::Silent)),
         LinkEnd::Stalled => shell.count(Counter::Link(LinkEvent::Stalled)),
         LinkEnd::Closed | LinkEnd::Idle | LinkEnd::Broken | LinkEnd::GivenUp => {}
     }
-    shell.peers().close(peer, number, end);
+    shell.peers().close(peer, link_id, end);
     // What was never written certainly did not arrive. It has to be said before the loss, which
     // would send it again as if it might have.
-    Peers::fail_unsent(&shell, peer, queue.drain());
-    shell.feed(Input::PeerLost(peer));
+    Peers::requeue_or_report(&shell, peer, queue.drain());
+    shell.handle_input(Input::PeerLost(peer));
 }
--- a/crates/node/src/link/tests.rs
+++ b/crates/node/src/link/tests.rs
@@ -1,8 +1,8 @@
 //! What waits for a link.
 
-use super::Full;
-use super::Queue;
-use super::MAX_FRAMES;
+use super::SendQueue;
+use super::SendQueueFull;
+use super::MAX_QUEUED_FRAMES;
 use bytes::Bytes;
 use proto::ActionId;
 use proto::Call;
@@ -38,17 +38,17 @@
 
 /// Pushes calls of this size, and checks how many fit and that these come out again in order.
 fn check(size: usize, calls: u64, expected: usize) {
-    let queue = Queue::default();
-    let mut fitted = Vec::new();
+    let queue = SendQueue::default();
+    let mut accepted = Vec::new();
     for number in 0..calls {
         let frame = call(number, size);
         match queue.push(frame.clone(), Bytes::from(proto::encode(&frame))) {
-            Ok(()) => fitted.push(frame),
-            Err(Full(refused)) => assert_eq!(refused, frame),
+            Ok(()) => accepted.push(frame),
+            Err(SendQueueFull(rejected)) => assert_eq!(rejected, frame),
         }
     }
-    assert_eq!(fitted.len(), expected);
-    assert_eq!(queue.drain(), fitted);
+    assert_eq!(accepted.len(), expected);
+    assert_eq!(queue.drain(), accepted);
     assert_eq!(queue.drain(), []);
 }
 
@@ -56,14 +56,14 @@
 #[test]
 fn a_queue_is_bounded_by_frames_and_by_bytes() {
     check(10, 3, 3);
-    check(10, 2000, MAX_FRAMES);
+    check(10, 2000, MAX_QUEUED_FRAMES);
     check(1 << 20, 40, 15);
 }
 
 /// A link is lost while a call waits for the one that took its place, and the call comes again.
 #[test]
-fn a_call_that_waits_is_not_entered_twice() {
-    let queue = Queue::default();
+fn a_queued_call_is_not_queued_again() {
+    let queue = SendQueue::default();
     for number in [1, 2, 1, 2, 3] {
         let frame = call(number, 10);
         let encoded = Bytes::from(proto::encode(&frame));
--- a/crates/node/src/log_queue.rs
+++ b/crates/node/src/log_queue.rs
@@ -32,7 +32,7 @@
         W: Write + Send + 'static,
     {
         let (tx, rx) = sync_channel(MAX_LINES);
-        std::thread::spawn(move || write_all(&rx, out));
+        std::thread::spawn(move || write_lines(&rx, out));
         Self {
             encoder,
             tx,
@@ -41,9 +41,9 @@
     }
 
     /// Sends a line that stands for so many dropped ones, itself included if it finds no room.
-    fn send(&self, line: Vec<u8>, stands_for: u64) {
+    fn send(&self, line: Vec<u8>, line_count: u64) {
         if let Err(TrySendError::Full(_)) = self.tx.try_send(line) {
-            self.dropped.fetch_add(stands_for, Ordering::Relaxed);
+            self.dropped.fetch_add(line_count, Ordering::Relaxed);
         }
     }
 }
@@ -72,7 +72,7 @@
 
 /// Writes lines until the last sender is gone or nobody reads any more. What waits goes out in one
 /// write.
-fn write_all(rx: &Receiver<Vec<u8>>, mut out: impl Write) {
+fn write_lines(rx: &Receiver<Vec<u8>>, mut out: impl Write) {
     while let Ok(mut lines) = rx.recv() {
         while let Ok(line) = rx.try_recv() {
             lines.extend_from_slice(&line);
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -17,11 +17,11 @@
 use tokio::signal::unix::SignalKind;
 
 /// The exit code for bad arguments or settings.
-const USAGE: u8 = 2;
+const EXIT_USAGE: u8 = 2;
 
 /// The exit code of a node that stopped because the others had evicted it. Whoever keeps the process
 /// running should start it again.
-const EVICTED: u8 = 3;
+const EXIT_EVICTED: u8 = 3;
 
 const LOG_PATTERN: &str = "{d(%Y-%m-%dT%H:%M:%S%.3fZ)(utc)} {l} {t} {m}{n}";
 
@@ -48,21 +48,21 @@
     }
     let Some(path) = args.settings else {
         eprintln!("usage: bilberry-node SETTINGS\n\n{}", Args::usage());
-        return ExitCode::from(USAGE);
+        return ExitCode::from(EXIT_USAGE);
     };
     let settings = match Settings::read(&path) {
         Ok(settings) => settings,
         Err(e) => {
             eprintln!("{}: {e}", path.display());
-            return ExitCode::from(USAGE);
+            return ExitCode::from(EXIT_USAGE);
         }
     };
-    let settings = match without(settings, &args.without) {
+    let settings = match disable_mechanisms(settings, &args.without) {
         Ok(settings) => settings,
         Err(name) => {
             let names = Switches::NAMES.join(", ");
             eprintln!("--without {name}: takes one of {names}");
-            return ExitCode::from(USAGE);
+            return ExitCode::from(EXIT_USAGE);
         }
     };
     start_logging(settings.log_level);
@@ -70,7 +70,7 @@
 }
 
 /// Switches mechanisms off; fails with the first name that is none.
-fn without(mut settings: Settings, names: &[String]) -> Result<Settings, String> {
+fn disable_mechanisms(mut settings: Settings, names: &[String]) -> Result<Settings, String> {
     for name in names {
         let switches = settings.switches.without(name);
         settings.switches = switches.ok_or_else(|| name.clone())?;
@@ -86,7 +86,7 @@
             return ExitCode::FAILURE;
         }
     };
-    println!("{}", listening(&node));
+    println!("{}", listening_line(&node));
     let Ok(mut terminate) = signal(SignalKind::terminate()) else {
         eprintln!("no handler for SIGTERM");
         return ExitCode::FAILURE;
@@ -100,7 +100,7 @@
         tokio::select! {
             _ = terminate.recv() => break,
             _ = hangup.recv() => settings = reload(&path, settings),
-            () = node.stopped() => return ExitCode::from(EVICTED),
+            () = node.stopped() => return ExitCode::from(EXIT_EVICTED),
         }
     }
     log::info!("event=stopping");
@@ -110,7 +110,7 @@
 }
 
 /// Where the node listens, because the system may have chosen the ports.
-fn listening(node: &Node) -> String {
+fn listening_line(node: &Node) -> String {
     let line = format!("listening http={} peer={}", node.http_addr, node.peer_addr);
     match node.platform_addrs {
         Some(addrs) => {
@@ -126,15 +126,15 @@
 /// next start.
 fn reload(path: &Path, settings: Settings) -> Settings {
     match Settings::read(path) {
-        Ok(new) => {
-            log::set_max_level(new.log_level);
-            let new = Settings {
+        Ok(new_settings) => {
+            log::set_max_level(new_settings.log_level);
+            let new_settings = Settings {
                 switches: settings.switches,
-                ..new
+                ..new_settings
             };
-            let changed = new != settings;
+            let changed = new_settings != settings;
             log::info!("event=reloaded changed={changed}");
-            new
+            new_settings
         }
         Err(e) => {
             log::warn!("event=reload_refused error=\"{e}\"");
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -21,13 +21,13 @@
 const QUANTILES: [f64; 5] = [0.5, 0.9, 0.99, 0.999, 1.0];
 
 /// The longest time that is told apart from longer ones, in microseconds.
-const MAX_TIME: u64 = 60_000_000;
+const MAX_LATENCY_US: u64 = 60_000_000;
 
 /// Two digits tell 10 ms from 10.1 ms, and take some 20 KB a histogram.
-const DIGITS: u8 = 2;
+const SIGNIFICANT_DIGITS: u8 = 2;
 
 fn new_histogram() -> Histogram<u64> {
-    let histogram = Histogram::new_with_bounds(1, MAX_TIME, DIGITS);
+    let histogram = Histogram::new_with_bounds(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS);
     histogram.expect("the bounds are constants that the library takes")
 }
 
@@ -48,10 +48,10 @@
     /// None if nobody takes metrics: to write each for nobody would cost several allocations a
     /// request.
     client: Option<StatsdClient>,
-    totals: RefCell<IndexMap<Counter, u64>>,
+    counters: RefCell<IndexMap<Counter, u64>>,
     /// Times of requests in microseconds, by outcome.
-    times: RefCell<IndexMap<&'static str, Histogram<u64>>>,
-    pub(crate) bytes: ControlBytes,
+    latencies: RefCell<IndexMap<&'static str, Histogram<u64>>>,
+    pub(crate) control_bytes: ControlBytes,
 }
 
 impl Metrics {
@@ -67,14 +67,14 @@
         };
         Ok(Self {
             client,
-            totals: RefCell::default(),
-            times: RefCell::default(),
-            bytes: ControlBytes::default(),
+            counters: RefCell::default(),
+            latencies: RefCell::default(),
+            control_bytes: ControlBytes::default(),
         })
     }
 
     pub(crate) fn count(&self, counter: Counter) {
-        *self.totals.borrow_mut().entry(counter).or_insert(0) += 1;
+        *self.counters.borrow_mut().entry(counter).or_insert(0) += 1;
         // A lost metric is no reason to fail; the totals still have it.
         if let Some(client) = &self.client {
             let _ = client.incr(&counter.name());
@@ -82,23 +82,23 @@
     }
 
     /// How long a request took, by its outcome.
-    pub(crate) fn time(&self, outcome: &'static str, took: Duration) {
+    pub(crate) fn record_latency(&self, outcome: &'static str, elapsed: Duration) {
         if let Some(client) = &self.client {
-            let _ = client.time(&format!("latency.{outcome}"), took);
+            let _ = client.time(&format!("latency.{outcome}"), elapsed);
         }
-        let mut times = self.times.borrow_mut();
-        let histogram = times.entry(outcome).or_insert_with(new_histogram);
-        histogram.saturating_record(took.as_micros() as u64);
+        let mut latencies = self.latencies.borrow_mut();
+        let histogram = latencies.entry(outcome).or_insert_with(new_histogram);
+        histogram.saturating_record(elapsed.as_micros() as u64);
     }
 
     /// Counters and quantiles of times, a name and a value a line.
-    pub(crate) fn page(&self) -> String {
+    pub(crate) fn render(&self) -> String {
         let mut lines: Vec<String> = self
-            .totals()
+            .counters()
             .into_iter()
             .map(|(name, count)| format!("{PREFIX}_{} {count}", name.replace(['.', '-'], "_")))
             .collect();
-        for (outcome, histogram) in &*self.times.borrow() {
+        for (outcome, histogram) in &*self.latencies.borrow() {
             let name = format!("{PREFIX}_latency_us_{}", outcome.replace('-', "_"));
             lines.push(format!("{name}_count {}", histogram.len()));
             for quantile in QUANTILES {
@@ -110,18 +110,18 @@
         lines.join("\n")
     }
 
-    pub(crate) fn gauge(&self, gauges: &[Gauge]) {
+    pub(crate) fn report_gauges(&self, gauges: &[Gauge]) {
         let Some(client) = &self.client else {
             return;
         };
-        for (name, value) in gauges.iter().chain(&self.bytes.gauges()) {
+        for (name, value) in gauges.iter().chain(&self.control_bytes.gauges()) {
             let _ = client.gauge(name, *value);
         }
     }
 
-    pub(crate) fn totals(&self) -> Vec<(String, u64)> {
-        let totals = self.totals.borrow();
-        let mut lines: Vec<_> = totals.iter().map(|(c, n)| (c.name(), *n)).collect();
+    pub(crate) fn counters(&self) -> Vec<(String, u64)> {
+        let counters = self.counters.borrow();
+        let mut lines: Vec<_> = counters.iter().map(|(c, n)| (c.name(), *n)).collect();
         lines.sort();
         lines
     }
@@ -139,6 +139,6 @@
 }
 
 /// Adds to a byte count.
-pub(crate) fn add(bytes: &Cell<u64>, more: usize) {
-    bytes.set(bytes.get() + more as u64);
+pub(crate) fn add_bytes(total: &Cell<u64>, added: usize) {
+    total.set(total.get() + added as u64);
 }
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -1,17 +1,17 @@
 //! TCP between nodes: one link to each node that there is something to say to.
 
 use crate::fetch;
+use crate::framing::framed;
+use crate::framing::read_frame;
+use crate::framing::write_frame;
+use crate::framing::FramedStream;
+use crate::framing::ReadError;
+use crate::framing::MAX_FRAME;
 use crate::link;
-use crate::link::Full;
 use crate::link::LinkEnd;
-use crate::link::Queue;
+use crate::link::SendQueue;
+use crate::link::SendQueueFull;
 use crate::shell::Shell;
-use crate::wire::frame_wire;
-use crate::wire::read;
-use crate::wire::write;
-use crate::wire::ReadError;
-use crate::wire::Wire;
-use crate::wire::MAX_FRAME;
 use bytes::Bytes;
 use engine::Counter;
 use engine::Input;
@@ -38,37 +38,37 @@
 const FIRST_BACKOFF: Duration = Duration::from_millis(100);
 
 /// How often that time doubles, at most.
-const MAX_DOUBLINGS: u32 = 6;
+const MAX_BACKOFF_DOUBLINGS: u32 = 6;
 
 /// A dial right after a link was lost waits for a random part of this. All that were linked to a
 /// peer lose it together, and would all dial it at once.
-const REDIAL_SPREAD: Duration = Duration::from_millis(50);
+const MAX_REDIAL_JITTER: Duration = Duration::from_millis(50);
 
 /// The most peers of which failures are remembered.
-const MAX_TROUBLED: usize = 4096;
+const MAX_FAILURE_ENTRIES: usize = 4096;
 
 /// Links by the node at their other end.
 #[derive(Default)]
 pub(crate) struct Peers {
     links: RefCell<IndexMap<Incarnation, Link>>,
-    troubled: RefCell<IndexMap<Incarnation, Trouble>>,
-    next: Cell<u64>,
+    recent_failures: RefCell<IndexMap<Incarnation, PeerFailures>>,
+    next_link_id: Cell<u64>,
 }
 
 struct Link {
-    number: u64,
-    queue: Rc<Queue>,
+    id: u64,
+    queue: Rc<SendQueue>,
     dialled: bool,
-    since: Instant,
+    opened_at: Instant,
 }
 
 /// What went wrong lately with a peer.
 #[derive(Default)]
-struct Trouble {
+struct PeerFailures {
     /// Dials that failed in a row.
-    failures: u32,
-    not_before: Option<Instant>,
-    lost_at: Option<Instant>,
+    consecutive_failed_dials: u32,
+    retry_at: Option<Instant>,
+    link_lost_at: Option<Instant>,
 }
 
 impl Peers {
@@ -85,7 +85,7 @@
         let encoded = Bytes::from(proto::encode(&frame));
         if encoded.len() > MAX_FRAME {
             shell.count(Counter::Link(LinkEvent::FrameTooLarge));
-            return Self::refuse(shell, peer, frame);
+            return Self::report_unsent(shell, peer, frame);
         }
         let queue = self
             .links
@@ -93,42 +93,42 @@
             .get(&peer)
             .map(|link| link.queue.clone());
         if let Some(queue) = queue {
-            if let Err(Full(frame)) = queue.push(frame, encoded) {
-                Self::on_full(shell, peer, &queue, frame);
+            if let Err(SendQueueFull(frame)) = queue.push(frame, encoded) {
+                Self::on_queue_full(shell, peer, &queue, frame);
             }
             return;
         }
-        if self.must_wait(peer) {
+        if self.is_backing_off(peer) {
             shell.count(Counter::Link(LinkEvent::DialDeferred));
-            return Self::refuse(shell, peer, frame);
+            return Self::report_unsent(shell, peer, frame);
         }
-        let (number, queue) = self.open(peer, true);
+        let (link_id, queue) = self.register_link(peer, true);
         // A new queue has room.
         let _ = queue.push(frame, encoded);
-        actix_rt::spawn(dial(shell.clone(), to, number, queue));
+        actix_rt::spawn(dial(shell.clone(), to, link_id, queue));
     }
 
     /// A call that does not fit was not sent, and may go elsewhere. An answer has nowhere else to
     /// go: the link is given up, so that the caller notices, attaches again and gets it then.
-    fn on_full(shell: &Rc<Shell>, peer: Incarnation, queue: &Queue, frame: Frame) {
+    fn on_queue_full(shell: &Rc<Shell>, peer: Incarnation, queue: &SendQueue, frame: Frame) {
         shell.count(Counter::Link(LinkEvent::QueueFull));
         match frame {
-            Frame::Answer(..) => queue.give_up(),
-            frame => Self::refuse(shell, peer, frame),
+            Frame::Answer(..) => queue.abort(),
+            frame => Self::report_unsent(shell, peer, frame),
         }
     }
 
     /// Reports a frame as not sent, after the engine is done with what it is doing now.
-    fn refuse(shell: &Rc<Shell>, peer: Incarnation, frame: Frame) {
+    fn report_unsent(shell: &Rc<Shell>, peer: Incarnation, frame: Frame) {
         let shell = shell.clone();
         actix_rt::spawn(async move {
             let unsent = vec![frame];
-            shell.feed(Input::PeerUnreachable { peer, unsent });
+            shell.handle_input(Input::PeerUnreachable { peer, unsent });
         });
     }
 
     /// Passes on frames that a link left behind: over the link that took its place, or as unsent.
-    pub(crate) fn fail_unsent(shell: &Rc<Shell>, peer: Incarnation, frames: Vec<Frame>) {
+    pub(crate) fn requeue_or_report(shell: &Rc<Shell>, peer: Incarnation, frames: Vec<Frame>) {
         let links = shell.peers().links.borrow();
         let queue = links.get(&peer).map(|link| link.queue.clone());
         drop(links);
@@ -136,93 +136,109 @@
         for frame in frames {
             let encoded = Bytes::from(proto::encode(&frame));
             match &queue {
-                Some(queue) => unsent.extend(queue.push(frame, encoded).err().map(|full| full.0)),
+                Some(queue) => unsent.extend(
+                    queue
+                        .push(frame, encoded)
+                        .err()
+                        .map(|queue_full| queue_full.0),
+                ),
                 None => unsent.push(frame),
             }
         }
         if !unsent.is_empty() {
-            shell.feed(Input::PeerUnreachable { peer, unsent });
+            shell.handle_input(Input::PeerUnreachable { peer, unsent });
         }
     }
 
     /// Enters a link; it takes the place of an earlier one, which ends when it is quiet.
-    fn open(&self, peer: Incarnation, dialled: bool) -> (u64, Rc<Queue>) {
-        let number = self.next.get();
-        self.next.set(number + 1);
-        let queue = Rc::new(Queue::default());
+    fn register_link(&self, peer: Incarnation, dialled: bool) -> (u64, Rc<SendQueue>) {
+        let link_id = self.next_link_id.get();
+        self.next_link_id.set(link_id + 1);
+        let queue = Rc::new(SendQueue::default());
         let link = Link {
-            number,
+            id: link_id,
             queue: queue.clone(),
             dialled,
-            since: Instant::now(),
+            opened_at: Instant::now(),
         };
-        if let Some(old) = self.links.borrow_mut().insert(peer, link) {
-            old.queue.retire();
+        if let Some(replaced) = self.links.borrow_mut().insert(peer, link) {
+            replaced.queue.retire();
         }
-        (number, queue)
+        (link_id, queue)
     }
 
     /// Enters a link that the peer dialled. If both dialled at the same time there are two; both
     /// ends then use the one that the lower incarnation dialled. Choosing the newer one instead
     /// could make each end retire the one that the other uses. An own link that is not new may
     /// have been lost by the other end, so it always gives way.
-    fn open_accepted(&self, me: Incarnation, peer: Incarnation) -> (u64, Rc<Queue>) {
-        let own_wins = self.links.borrow().get(&peer).is_some_and(|link| {
-            link.dialled && me < peer && link.since.elapsed() < CONNECT_TIMEOUT
+    fn register_accepted_link(
+        &self,
+        own_incarnation: Incarnation,
+        peer: Incarnation,
+    ) -> (u64, Rc<SendQueue>) {
+        let keeps_own_link = self.links.borrow().get(&peer).is_some_and(|link| {
+            link.dialled && own_incarnation < peer && link.opened_at.elapsed() < CONNECT_TIMEOUT
         });
-        if !own_wins {
-            return self.open(peer, false);
+        if !keeps_own_link {
+            return self.register_link(peer, false);
         }
-        let number = self.next.get();
-        self.next.set(number + 1);
-        let queue = Rc::new(Queue::default());
+        let link_id = self.next_link_id.get();
+        self.next_link_id.set(link_id + 1);
+        let queue = Rc::new(SendQueue::default());
         queue.retire();
-        (number, queue)
+        (link_id, queue)
     }
 
     /// Takes out a link, unless another has taken its place.
-    pub(crate) fn close(&self, peer: Incarnation, number: u64, end: LinkEnd) {
+    pub(crate) fn close(&self, peer: Incarnation, link_id: u64, end: LinkEnd) {
         let mut links = self.links.borrow_mut();
-        if links.get(&peer).is_some_and(|link| link.number == number) {
+        if links.get(&peer).is_some_and(|link| link.id == link_id) {
             links.swap_remove(&peer);
         }
         if end != LinkEnd::Idle {
-            self.trouble(peer, |trouble| trouble.lost_at = Some(Instant::now()));
+            self.record_failure(peer, |failures| {
+                failures.link_lost_at = Some(Instant::now())
+            });
         }
     }
 
-    fn trouble(&self, peer: Incarnation, change: impl FnOnce(&mut Trouble)) {
-        let mut troubled = self.troubled.borrow_mut();
-        if troubled.len() >= MAX_TROUBLED && !troubled.contains_key(&peer) {
+    fn record_failure(&self, peer: Incarnation, change: impl FnOnce(&mut PeerFailures)) {
+        let mut recent_failures = self.recent_failures.borrow_mut();
+        if recent_failures.len() >= MAX_FAILURE_ENTRIES && !recent_failures.contains_key(&peer) {
             // Incarnations do not come back, so the oldest entry is the least useful one.
-            troubled.shift_remove_index(0);
+            recent_failures.shift_remove_index(0);
         }
-        change(troubled.entry(peer).or_default());
+        change(recent_failures.entry(peer).or_default());
     }
 
-    fn must_wait(&self, peer: Incarnation) -> bool {
-        let troubled = self.troubled.borrow();
-        let not_before = troubled.get(&peer).and_then(|trouble| trouble.not_before);
-        not_before.is_some_and(|at| Instant::now() < at)
+    fn is_backing_off(&self, peer: Incarnation) -> bool {
+        let recent_failures = self.recent_failures.borrow();
+        let retry_at = recent_failures
+            .get(&peer)
+            .and_then(|failures| failures.retry_at);
+        retry_at.is_some_and(|at| Instant::now() < at)
     }
 
-    fn redial_wait(&self, peer: Incarnation) -> Duration {
-        let troubled = self.troubled.borrow();
-        let lost_at = troubled.get(&peer).and_then(|trouble| trouble.lost_at);
-        match lost_at {
+    fn redial_delay(&self, peer: Incarnation) -> Duration {
+        let recent_failures = self.recent_failures.borrow();
+        let link_lost_at = recent_failures
+            .get(&peer)
+            .and_then(|failures| failures.link_lost_at);
+        match link_lost_at {
             Some(at) if at.elapsed() < CONNECT_TIMEOUT => {
-                REDIAL_SPREAD.mul_f64(rand::rng().random_range(0.0..1.0))
+                MAX_REDIAL_JITTER.mul_f64(rand::rng().random_range(0.0..1.0))
             }
             _ => Duration::ZERO,
         }
     }
 
     fn on_dial_failed(&self, peer: Incarnation) {
-        self.trouble(peer, |trouble| {
-            let wait = FIRST_BACKOFF * (1 << trouble.failures.min(MAX_DOUBLINGS));
-            let wait = wait.mul_f64(rand::rng().random_range(0.5..1.5));
-            trouble.failures += 1;
-            trouble.not_before = Some(Instant::now() + wait);
+        self.record_failure(peer, |failures| {
+            let backoff =
+                FIRST_BACKOFF * (1 << failures.consecutive_failed_dials.min(MAX_BACKOFF_DOUBLINGS));
+            let backoff = backoff.mul_f64(rand::rng().random_range(0.5..1.5));
+            failures.consecutive_failed_dials += 1;
+            failures.retry_at = Some(Instant::now() + backoff);
         });
     }
 }
@@ -233,14 +249,14 @@
             tokio::time::sleep(Duration::from_millis(10)).await;
             continue;
         };
-        actix_rt::spawn(greet(shell.clone(), stream));
+        actix_rt::spawn(accept_link(shell.clone(), stream));
     }
 }
 
 /// The accepting end of a link.
-async fn greet(shell: Rc<Shell>, stream: TcpStream) {
-    let mut wire = frame_wire(stream);
-    let hello = timeout(CONNECT_TIMEOUT, read(&mut wire)).await;
+async fn accept_link(shell: Rc<Shell>, tcp: TcpStream) {
+    let mut stream = framed(tcp);
+    let hello = timeout(CONNECT_TIMEOUT, read_frame(&mut stream)).await;
     let (from, to) = match hello {
         Ok(Ok(Frame::Hello {
             version: PROTOCOL_VERSION,
@@ -263,52 +279,58 @@
     };
     let hello = hello_frame(&shell, Some(from));
     if !matches!(
-        timeout(CONNECT_TIMEOUT, write(&mut wire, &hello)).await,
+        timeout(CONNECT_TIMEOUT, write_frame(&mut stream, &hello)).await,
         Ok(Ok(()))
     ) {
         return;
     }
     let Some(to) = to else {
-        return fetch::answer(&shell, &mut wire).await;
+        return fetch::serve_request(&shell, &mut stream).await;
     };
     // Whoever expected an earlier incarnation at this address learns that it is gone.
-    if to != shell.me.incarnation {
+    if to != shell.own_instance.incarnation {
         return;
     }
-    let (number, queue) = shell.peers().open_accepted(shell.me.incarnation, from);
-    link::run(shell, from, number, wire, queue).await;
+    let (link_id, queue) = shell
+        .peers()
+        .register_accepted_link(shell.own_instance.incarnation, from);
+    link::run(shell, from, link_id, stream, queue).await;
 }
 
 /// The dialling end of a link.
-async fn dial(shell: Rc<Shell>, to: Instance, number: u64, queue: Rc<Queue>) {
+async fn dial(shell: Rc<Shell>, to: Instance, link_id: u64, queue: Rc<SendQueue>) {
     let peer = to.incarnation;
-    tokio::time::sleep(shell.peers().redial_wait(peer)).await;
+    tokio::time::sleep(shell.peers().redial_delay(peer)).await;
     match timeout(CONNECT_TIMEOUT, connect(&shell, &to)).await {
-        Ok(Some(wire)) => {
-            shell.peers().troubled.borrow_mut().swap_remove(&peer);
-            link::run(shell, peer, number, wire, queue).await;
+        Ok(Some(stream)) => {
+            shell
+                .peers()
+                .recent_failures
+                .borrow_mut()
+                .swap_remove(&peer);
+            link::run(shell, peer, link_id, stream, queue).await;
         }
         _ => {
             shell.count(Counter::Link(LinkEvent::DialFailed));
             shell.peers().on_dial_failed(peer);
-            shell.peers().close(peer, number, LinkEnd::Closed);
-            Peers::fail_unsent(&shell, peer, queue.drain());
+            shell.peers().close(peer, link_id, LinkEnd::Closed);
+            Peers::requeue_or_report(&shell, peer, queue.drain());
         }
     }
 }
 
-async fn connect(shell: &Shell, to: &Instance) -> Option<Wire> {
-    let stream = TcpStream::connect(to.addr).await.ok()?;
-    let mut wire = frame_wire(stream);
-    write(&mut wire, &hello_frame(shell, Some(to.incarnation)))
+async fn connect(shell: &Shell, to: &Instance) -> Option<FramedStream> {
+    let tcp = TcpStream::connect(to.addr).await.ok()?;
+    let mut stream = framed(tcp);
+    write_frame(&mut stream, &hello_frame(shell, Some(to.incarnation)))
         .await
         .ok()?;
-    match read(&mut wire).await {
+    match read_frame(&mut stream).await {
         Ok(Frame::Hello {
             version: PROTOCOL_VERSION,
             from,
             ..
-        }) if from == to.incarnation => Some(wire),
+        }) if from == to.incarnation => Some(stream),
         Ok(Frame::Hello { version, .. }) if version != PROTOCOL_VERSION => {
             shell.count(Counter::Link(LinkEvent::WrongVersion));
             None
@@ -320,7 +342,7 @@
 pub(crate) fn hello_frame(shell: &Shell, to: Option<Incarnation>) -> Frame {
     Frame::Hello {
         version: PROTOCOL_VERSION,
-        from: shell.me.incarnation,
+        from: shell.own_instance.incarnation,
         to,
     }
 }
--- a/crates/node/src/pipeline.rs
+++ b/crates/node/src/pipeline.rs
@@ -5,7 +5,7 @@
 //! at once would get the last answer after the sum of their times; here it gets it after the
 //! longest of them (2.6 s and 1.0 s for one request of 1 s and eight of 0.2 s).
 
-mod requests;
+mod request_reader;
 
 use actix_http::body::BoxBody;
 use actix_http::body::MessageBody;
@@ -22,8 +22,8 @@
 use futures_util::future::Either;
 use futures_util::stream::FuturesOrdered;
 use futures_util::StreamExt;
-use requests::Awaited;
-use requests::Requests;
+use request_reader::RequestReader;
+use request_reader::WaitState;
 use std::cell::RefCell;
 use std::fmt;
 use std::future::Future;
@@ -40,14 +40,14 @@
 
 /// Requests of one connection that are worked on at a time. With the largest answers of a day, 30 KB,
 /// they hold half a megabyte for a caller that does not read.
-const READ_AHEAD: usize = 16;
+const MAX_PIPELINED: usize = 16;
 
 /// While so many bytes are still to be written, no further answer is taken, and no request begins.
-const UNWRITTEN_BYTES: usize = 64 * 1024;
+const MAX_UNWRITTEN_BYTES: usize = 64 * 1024;
 
 /// How long a connection that was closed here is still read. Closed with bytes unread it would be
 /// reset, and the caller could lose the last answer.
-const LINGER: Duration = Duration::from_secs(1);
+const LINGERING_CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Leave to send a body (RFC 9110, 10.1.1).
 const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
@@ -58,9 +58,9 @@
     /// Bytes that are no request.
     Parse(ParseError),
     /// A head was not complete in time.
-    SlowHead,
+    HeadTimeout,
     /// No byte of an answer was read for a long time.
-    SlowReader,
+    WriteTimeout,
     /// Reading or writing failed.
     Io(io::Error),
 }
@@ -69,8 +69,8 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             ConnectionError::Parse(e) => write!(f, "no request: {e}"),
-            ConnectionError::SlowHead => f.write_str("a head took too long"),
-            ConnectionError::SlowReader => f.write_str("an answer was not read"),
+            ConnectionError::HeadTimeout => f.write_str("a head took too long"),
+            ConnectionError::WriteTimeout => f.write_str("an answer was not read"),
             ConnectionError::Io(e) => write!(f, "{e}"),
         }
     }
@@ -87,7 +87,7 @@
 
 /// Serves a connection until it ends. `is_stopping` says whether callers are to go elsewhere with
 /// their next requests.
-pub(crate) async fn run<F>(
+pub(crate) async fn serve_connection<F>(
     mut stream: TcpStream,
     cfg: &ServiceConfig,
     handle: impl Fn(HttpRequest) -> F,
@@ -97,46 +97,46 @@
     F: Future<Output = HttpResponse<BoxBody>>,
 {
     let (mut reader, mut writer) = stream.split();
-    let mut requests = Requests::new(cfg.clone());
+    let mut requests = RequestReader::new(cfg.clone());
     let mut unwritten = BytesMut::new();
-    let mut answers = FuturesOrdered::new();
+    let mut responses = FuturesOrdered::new();
     let mut failed = None;
     loop {
         requests.decode_body();
         // What is passed on has to be answered on this connection, so a stopping node takes nothing
         // behind a request that it still has to answer.
-        let may_begin = |pending| pending < READ_AHEAD && (pending == 0 || !is_stopping());
-        while may_begin(answers.len()) && unwritten.len() < UNWRITTEN_BYTES {
-            match requests.next() {
+        let may_start = |pending| pending < MAX_PIPELINED && (pending == 0 || !is_stopping());
+        while may_start(responses.len()) && unwritten.len() < MAX_UNWRITTEN_BYTES {
+            match requests.next_request() {
                 Ok(Some((codec, req))) => {
                     let response = handle(req);
-                    answers.push_back(Either::Left(async move { (codec, response.await) }));
+                    responses.push_back(Either::Left(async move { (codec, response.await) }));
                 }
                 Ok(None) => break,
                 Err(e) => {
-                    let response = refusal(status_of(&e));
-                    answers.push_back(Either::Right(ready((requests.new_codec(), response))));
+                    let response = empty_response(error_status(&e));
+                    responses.push_back(Either::Right(ready((requests.new_codec(), response))));
                     failed = Some(e);
                 }
             }
         }
-        if answers.len() == 1 && requests.take_expected() {
+        if responses.len() == 1 && requests.take_expect_continue() {
             unwritten.extend_from_slice(CONTINUE);
         }
-        if requests.ended && answers.is_empty() && unwritten.is_empty() {
+        if requests.no_more_requests && responses.is_empty() && unwritten.is_empty() {
             break;
         }
-        requests.watch(answers.is_empty(), unwritten.len());
-        let due = requests.due();
+        requests.update_wait_state(responses.is_empty(), unwritten.len());
+        let deadline = requests.deadline();
         tokio::select! {
             biased;
             written = writer.write_buf(&mut unwritten), if !unwritten.is_empty() => {
                 written?;
             }
-            Some((codec, response)) = answers.next(), if unwritten.len() < UNWRITTEN_BYTES => {
-                let is_last = answers.is_empty() && (requests.ended || is_stopping());
-                let keeps = write_answer(&codec, response, is_last, &mut unwritten)?;
-                requests.ended |= !keeps;
+            Some((codec, response)) = responses.next(), if unwritten.len() < MAX_UNWRITTEN_BYTES => {
+                let is_last = responses.is_empty() && (requests.no_more_requests || is_stopping());
+                let keep_alive = write_response(&codec, response, is_last, &mut unwritten)?;
+                requests.no_more_requests |= !keep_alive;
             }
             open = requests.read(&mut reader), if requests.has_room() => {
                 // A caller that closed its side has gone, and all that is done for it ends here.
@@ -144,34 +144,34 @@
                     return failed.map_or(Ok(()), Err);
                 }
             }
-            () = sleep_until(due), if due.is_some() => {
-                match requests.waits_for {
-                    Awaited::Reader { .. } => return Err(ConnectionError::SlowReader),
-                    Awaited::Head => {
-                        let response = refusal(StatusCode::REQUEST_TIMEOUT);
-                        answers.push_back(Either::Right(ready((requests.new_codec(), response))));
-                        failed = Some(ConnectionError::SlowHead);
+            () = sleep_until(deadline), if deadline.is_some() => {
+                match requests.wait_state {
+                    WaitState::ResponseRead { .. } => return Err(ConnectionError::WriteTimeout),
+                    WaitState::RestOfHead => {
+                        let response = empty_response(StatusCode::REQUEST_TIMEOUT);
+                        responses.push_back(Either::Right(ready((requests.new_codec(), response))));
+                        failed = Some(ConnectionError::HeadTimeout);
                     }
-                    Awaited::Request | Awaited::Nothing => {}
+                    WaitState::NextRequest | WaitState::Nothing => {}
                 }
-                requests.ended = true;
+                requests.no_more_requests = true;
             }
         }
     }
     writer.shutdown().await?;
-    let _ = timeout(LINGER, skip_rest(&mut reader)).await;
+    let _ = timeout(LINGERING_CLOSE_TIMEOUT, discard_input(&mut reader)).await;
     failed.map_or(Ok(()), Err)
 }
 
-async fn sleep_until(due: Option<Instant>) {
-    match due {
-        Some(due) => tokio::time::sleep_until(due).await,
+async fn sleep_until(deadline: Option<Instant>) {
+    match deadline {
+        Some(deadline) => tokio::time::sleep_until(deadline).await,
         None => std::future::pending().await,
     }
 }
 
 /// Writes an answer; whether the connection is kept after it.
-fn write_answer(
+fn write_response(
     codec: &RequestCodec,
     mut response: HttpResponse<BoxBody>,
     is_last: bool,
@@ -195,18 +195,18 @@
     Ok(codec.keep_alive())
 }
 
-fn refusal(status: StatusCode) -> HttpResponse<BoxBody> {
+fn empty_response(status: StatusCode) -> HttpResponse<BoxBody> {
     HttpResponse::with_body(status, ()).map_into_boxed_body()
 }
 
-fn status_of(e: &ConnectionError) -> StatusCode {
+fn error_status(e: &ConnectionError) -> StatusCode {
     match e {
         ConnectionError::Parse(ParseError::TooLarge) => StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE,
         _ => StatusCode::BAD_REQUEST,
     }
 }
 
-async fn skip_rest(reader: &mut ReadHalf<'_>) {
+async fn discard_input(reader: &mut ReadHalf<'_>) {
     let mut buf = [0; 1024];
     while reader.read(&mut buf).await.is_ok_and(|len| len > 0) {}
 }
--- a/crates/node/src/pipeline/requests.rs
+++ b/crates/node/src/pipeline/request_reader.rs
@@ -25,35 +25,35 @@
 
 /// Bytes that are read while no further request may begin. More stay with the system, which slows the
 /// caller down; some are read, because only reading tells that the caller has gone.
-const UNREAD_BYTES: usize = 16 * 1024;
+const READ_BUFFER_LIMIT: usize = 16 * 1024;
 
 /// What one read takes at most, in bytes: a head fits, and a body comes in few pieces.
-const READ_BYTES: usize = 16 * 1024;
+const READ_SIZE: usize = 16 * 1024;
 
 /// Pieces of a body that wait for its reader.
-const BODY_PIECES: usize = 4;
+const BODY_CHANNEL_CAPACITY: usize = 4;
 
 /// How long a connection may be idle, or an answer unread. Callers that say how long they keep one keep
 /// it for much less; one that was closed too early costs them a request.
-const KEEP_ALIVE: Duration = Duration::from_secs(75);
+const KEEP_ALIVE_TIMEOUT: Duration = Duration::from_secs(75);
 
 /// How long a caller may take for the head of a request; the library's default.
-const HEAD_TIME: Duration = Duration::from_secs(5);
+const HEAD_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// The requests of a connection, as they are read.
-pub(super) struct Requests {
+pub(super) struct RequestReader {
     cfg: ServiceConfig,
     /// Read and not decoded.
     buf: BytesMut,
     /// The body of the request that was read last, if it is not complete.
     body: Option<Body>,
     /// The caller waits for leave to send the body.
-    expected: bool,
+    expect_continue: bool,
     /// No further request is read; what still comes is skipped.
-    pub(super) ended: bool,
+    pub(super) no_more_requests: bool,
     /// What the caller is waited for, and since when.
-    pub(super) waits_for: Awaited,
-    waits_since: Instant,
+    pub(super) wait_state: WaitState,
+    wait_started: Instant,
 }
 
 /// A body that is being read.
@@ -71,8 +71,8 @@
     }
 
     /// Hands a piece to the reader, if there is one; it has room.
-    fn hand_on(&mut self, piece: Result<Bytes, PayloadError>) {
-        let sent = self.tx.as_ref().map(|tx| tx.try_send(piece));
+    fn forward(&mut self, chunk: Result<Bytes, PayloadError>) {
+        let sent = self.tx.as_ref().map(|tx| tx.try_send(chunk));
         if !matches!(sent, Some(Ok(()))) {
             self.tx = None;
         }
@@ -81,27 +81,27 @@
 
 /// What a caller is waited for.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub(super) enum Awaited {
+pub(super) enum WaitState {
     /// Its next request.
-    Request,
+    NextRequest,
     /// The rest of a head.
-    Head,
+    RestOfHead,
     /// That it reads its answers, of which so many bytes are unwritten.
-    Reader { unwritten: usize },
+    ResponseRead { unwritten: usize },
     /// It waits for answers, or its body for its reader, who knows how long it may take.
     Nothing,
 }
 
-impl Requests {
+impl RequestReader {
     pub(super) fn new(cfg: ServiceConfig) -> Self {
         Self {
             cfg,
             buf: BytesMut::new(),
             body: None,
-            expected: false,
-            ended: false,
-            waits_for: Awaited::Request,
-            waits_since: Instant::now(),
+            expect_continue: false,
+            no_more_requests: false,
+            wait_state: WaitState::NextRequest,
+            wait_started: Instant::now(),
         }
     }
 
@@ -110,8 +110,10 @@
     }
 
     /// The next request, if its head is there and the one before it is complete.
-    pub(super) fn next(&mut self) -> Result<Option<(RequestCodec, HttpRequest)>, ConnectionError> {
-        if !self.decode_body() || self.ended || self.buf.is_empty() {
+    pub(super) fn next_request(
+        &mut self,
+    ) -> Result<Option<(RequestCodec, HttpRequest)>, ConnectionError> {
+        if !self.decode_body() || self.no_more_requests || self.buf.is_empty() {
             return Ok(None);
         }
         let codec = self.new_codec();
@@ -120,19 +122,19 @@
             Ok(Some(Message::Item(req))) => req,
             Ok(_) => return Ok(None),
             Err(e) => {
-                self.ended = true;
+                self.no_more_requests = true;
                 return Err(ConnectionError::Parse(e));
             }
         };
         // Whatever is behind it counts as unread, and its caller sends it again elsewhere.
-        self.ended = !codec.borrow().keep_alive();
+        self.no_more_requests = !codec.borrow().keep_alive();
         if codec.borrow().message_type() != MessageType::None {
-            let (tx, mut rx) = mpsc::channel(BODY_PIECES);
-            let pieces = stream::poll_fn(move |cx| rx.poll_recv(cx));
+            let (tx, mut rx) = mpsc::channel(BODY_CHANNEL_CAPACITY);
+            let chunks = stream::poll_fn(move |cx| rx.poll_recv(cx));
             *req.payload() = Payload::Stream {
-                payload: Box::pin(pieces),
+                payload: Box::pin(chunks),
             };
-            self.expected = req.head().expect();
+            self.expect_continue = req.head().expect();
             self.body = Some(Body {
                 codec: codec.clone(),
                 tx: Some(tx),
@@ -148,19 +150,19 @@
             if body.is_blocked() {
                 return false;
             }
-            let piece = body.codec.borrow_mut().decode(&mut self.buf);
-            match piece {
-                Ok(Some(Message::Chunk(Some(piece)))) => body.hand_on(Ok(piece)),
+            let chunk = body.codec.borrow_mut().decode(&mut self.buf);
+            match chunk {
+                Ok(Some(Message::Chunk(Some(chunk)))) => body.forward(Ok(chunk)),
                 Ok(None) => return false,
                 Ok(Some(_)) => {
                     self.body = None;
-                    self.expected = false;
+                    self.expect_continue = false;
                 }
                 Err(_) => {
                     // Taken for the body's end, it would pass on a part for the whole.
-                    body.hand_on(Err(PayloadError::EncodingCorrupted));
+                    body.forward(Err(PayloadError::EncodingCorrupted));
                     self.body = None;
-                    self.ended = true;
+                    self.no_more_requests = true;
                 }
             }
         }
@@ -168,19 +170,21 @@
     }
 
     /// Whether the caller waits for leave to send its body; asked once.
-    pub(super) fn take_expected(&mut self) -> bool {
-        std::mem::take(&mut self.expected)
+    pub(super) fn take_expect_continue(&mut self) -> bool {
+        std::mem::take(&mut self.expect_continue)
     }
 
     /// Whether more may be read.
     pub(super) fn has_room(&self) -> bool {
         // An incomplete head may be longer; the library has a bound for it.
-        self.ended || self.waits_for == Awaited::Head || self.buf.len() < UNREAD_BYTES
+        self.no_more_requests
+            || self.wait_state == WaitState::RestOfHead
+            || self.buf.len() < READ_BUFFER_LIMIT
     }
 
     /// Reads on; `false` at the end. What is read is kept if the future is dropped.
     pub(super) async fn read(&mut self, reader: &mut ReadHalf<'_>) -> io::Result<bool> {
-        if self.ended && self.body.is_none() {
+        if self.no_more_requests && self.body.is_none() {
             self.buf.clear();
         }
         let body = self.body.as_ref().filter(|body| body.is_blocked());
@@ -189,31 +193,31 @@
             let _ = tx.reserve().await;
             return Ok(true);
         }
-        self.buf.reserve(READ_BYTES);
+        self.buf.reserve(READ_SIZE);
         Ok(reader.read_buf(&mut self.buf).await? > 0)
     }
 
     /// Notes what the caller is waited for.
-    pub(super) fn watch(&mut self, all_answered: bool, unwritten: usize) {
-        let waits_for = match all_answered && self.body.is_none() {
-            _ if unwritten > 0 => Awaited::Reader { unwritten },
-            true if self.buf.is_empty() => Awaited::Request,
-            true => Awaited::Head,
-            false => Awaited::Nothing,
+    pub(super) fn update_wait_state(&mut self, all_answered: bool, unwritten: usize) {
+        let wait_state = match all_answered && self.body.is_none() {
+            _ if unwritten > 0 => WaitState::ResponseRead { unwritten },
+            true if self.buf.is_empty() => WaitState::NextRequest,
+            true => WaitState::RestOfHead,
+            false => WaitState::Nothing,
         };
-        if waits_for != self.waits_for {
-            self.waits_for = waits_for;
-            self.waits_since = Instant::now();
+        if wait_state != self.wait_state {
+            self.wait_state = wait_state;
+            self.wait_started = Instant::now();
         }
     }
 
     /// When the caller has been waited for too long.
-    pub(super) fn due(&self) -> Option<Instant> {
-        let time = match self.waits_for {
-            Awaited::Request | Awaited::Reader { .. } => KEEP_ALIVE,
-            Awaited::Head => HEAD_TIME,
-            Awaited::Nothing => return None,
+    pub(super) fn deadline(&self) -> Option<Instant> {
+        let timeout = match self.wait_state {
+            WaitState::NextRequest | WaitState::ResponseRead { .. } => KEEP_ALIVE_TIMEOUT,
+            WaitState::RestOfHead => HEAD_TIMEOUT,
+            WaitState::Nothing => return None,
         };
-        Some(self.waits_since + time)
+        Some(self.wait_started + timeout)
     }
 }
--- a/crates/node/src/attached.rs
+++ b/crates/node/src/platform_mode.rs
@@ -2,14 +2,14 @@
 //! operators' configuration and other nodes' addresses from the store, and hears its own server.
 
 use crate::body;
-use crate::body::Limits;
+use crate::body::BodyLimits;
 use crate::caller::serve;
 use crate::settings::PlatformSettings;
 use crate::shell::Shell;
 use crate::shell::StartError;
-use crate::store_reader::follow;
-use crate::store_reader::Batch;
-use crate::store_reader::Pause;
+use crate::store_reader::follow_topic;
+use crate::store_reader::StoreBackoff;
+use crate::store_reader::StoreBatch;
 use actix_http::body::BoxBody;
 use actix_http::Request as HttpRequest;
 use actix_http::Response as HttpResponse;
@@ -34,37 +34,37 @@
 
 /// How long one read waits for a new configuration. Reads are paid for, and peers tell of a new one
 /// as well; but a read over a connection that has gone silent is noticed only at its end.
-const READ_WAIT: Duration = Duration::from_secs(10);
+const CONFIG_POLL_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// How long a node that has just started waits for its peers to tell it the configuration, and a random
 /// part of as much more. Of nodes that start together a few read it, and tell the others.
-const WAIT_FOR_PEERS: Duration = Duration::from_secs(1);
+const PEER_CONFIG_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// One in so many of the nodes that the directory has already reads at once.
-const FIRST_OF_DIRECTORY: usize = 8;
+const DIRECT_READER_STRIDE: usize = 8;
 
 /// So many of those that it has not, the first to announce themselves, do as well.
-const FIRST_TO_ANNOUNCE: u64 = 16;
+const DIRECT_READER_ANNOUNCEMENTS: u64 = 16;
 
 /// How often a node that waits looks whether it has a configuration.
-const WAIT_STEP: Duration = Duration::from_millis(20);
+const CONFIG_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// How long a node that knows no other waits before it looks again.
-const LOOK_AGAIN: Duration = Duration::from_secs(2);
+const REDISCOVERY_INTERVAL: Duration = Duration::from_secs(2);
 
 /// How long a stopping node goes on taking requests. The platform asks each second, and leaves out
 /// a node that said no twice.
-const LINGER: Duration = Duration::from_millis(2200);
+const STOP_GRACE_PERIOD: Duration = Duration::from_millis(2200);
 
 /// Calls of an action for which one of them may be tried again. All retries are bounded by the fleet's
 /// part as well.
-const CALLS_FOR_A_RETRY: u16 = 2;
+const CALLS_PER_RETRY: u16 = 2;
 
 /// The largest body of a heartbeat, in bytes.
-const MAX_HEARTBEAT: usize = 64 * 1024;
+const MAX_HEARTBEAT_BYTES: usize = 64 * 1024;
 
 /// How long a server may take for its heartbeat.
-const HEARTBEAT_TIME: Duration = Duration::from_secs(5);
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Sets what differs on the platform.
 pub(crate) fn configure(cfg: &mut Config) {
@@ -72,8 +72,8 @@
     cfg.keyless_calls = KeylessCalls::OwnedByIngress;
     cfg.server_announces = true;
     cfg.shared_store_reads = true;
-    cfg.tree_retries = TreeRetries::ScaledByCalls(CALLS_FOR_A_RETRY);
-    cfg.stop_grace_period = LINGER;
+    cfg.tree_retries = TreeRetries::ScaledByCalls(CALLS_PER_RETRY);
+    cfg.stop_grace_period = STOP_GRACE_PERIOD;
     // The servers tell their slots, and work beyond those waits inside them. A limit that is guessed
     // from times went down to 2 of 14 slots where one class had work of 55 and of 180 ms.
     cfg.policy.adaptive_limit = false;
@@ -97,9 +97,9 @@
 ) -> Result<PlatformAddrs, StartError> {
     let (ready, ready_addr) = bind(cfg.ready_addr).await?;
     let (control, control_addr) = bind(cfg.control_addr).await?;
-    actix_rt::spawn(serve(shell.clone(), ready, on_ready));
-    actix_rt::spawn(serve(shell.clone(), control, on_control));
-    actix_rt::spawn(join_others(shell.clone()));
+    actix_rt::spawn(serve(shell.clone(), ready, handle_readiness));
+    actix_rt::spawn(serve(shell.clone(), control, handle_control));
+    actix_rt::spawn(join_cluster(shell.clone()));
     Ok(PlatformAddrs {
         ready_addr,
         control_addr,
@@ -107,23 +107,25 @@
 }
 
 async fn bind(addr: SocketAddr) -> Result<(TcpListener, SocketAddr), StartError> {
-    let failed = |e| StartError::Bind(addr, e);
-    let listener = TcpListener::bind(addr).await.map_err(failed)?;
-    let bound = listener.local_addr().map_err(failed)?;
+    let bind_error = |e| StartError::Bind(addr, e);
+    let listener = TcpListener::bind(addr).await.map_err(bind_error)?;
+    let bound = listener.local_addr().map_err(bind_error)?;
     Ok((listener, bound))
 }
 
 /// Meets the others, and takes each new configuration as soon as the store has it or a peer tells of it.
-async fn join_others(shell: Rc<Shell>) {
+async fn join_cluster(shell: Rc<Shell>) {
     let directory = read_directory(&shell).await;
-    let place = directory.iter().position(|addr| *addr == shell.me.addr);
-    shell.feed(Input::Directory(directory));
-    actix_rt::spawn(look_for_others(shell.clone()));
-    let reads_first = match place {
-        Some(place) => place % FIRST_OF_DIRECTORY == 0,
-        None => announce(&shell).await < FIRST_TO_ANNOUNCE,
+    let position = directory
+        .iter()
+        .position(|addr| *addr == shell.own_instance.addr);
+    shell.handle_input(Input::Directory(directory));
+    actix_rt::spawn(rediscover_when_isolated(shell.clone()));
+    let reads_directly = match position {
+        Some(position) => position % DIRECT_READER_STRIDE == 0,
+        None => announce(&shell).await < DIRECT_READER_ANNOUNCEMENTS,
     };
-    if !reads_first {
+    if !reads_directly {
         wait_for_config(&shell).await;
     }
     follow_config(shell).await;
@@ -131,30 +133,30 @@
 
 /// Gives the peers a chance to tell the configuration.
 async fn wait_for_config(shell: &Shell) {
-    let wait = WAIT_FOR_PEERS.mul_f64(rand::rng().random_range(1.0..2.0));
-    let ends = Instant::now() + wait;
-    while shell.engine.borrow().rules_version() == 0 && Instant::now() < ends {
-        tokio::time::sleep(WAIT_STEP).await;
+    let wait = PEER_CONFIG_TIMEOUT.mul_f64(rand::rng().random_range(1.0..2.0));
+    let deadline = Instant::now() + wait;
+    while shell.engine.borrow().rules_version() == 0 && Instant::now() < deadline {
+        tokio::time::sleep(CONFIG_CHECK_INTERVAL).await;
     }
 }
 
 async fn follow_config(shell: Rc<Shell>) {
-    follow(
+    follow_topic(
         shell,
         platform::CONFIG_TOPIC,
-        READ_WAIT,
+        CONFIG_POLL_TIMEOUT,
         |shell| shell.engine.borrow().reads_store(shell.now()),
         |shell, asked, batch| match batch {
-            Batch::Newest(newest) => {
-                take_configs(shell, &newest.items);
-                note_offset(shell, newest.end);
-                let version = shell.newest_rules.get().1;
-                shell.feed(Input::RulesChecked { asked, version });
+            StoreBatch::Newest(newest) => {
+                apply_configs(shell, &newest.items);
+                advance_rules_offset(shell, newest.end);
+                let version = shell.latest_rules.get().1;
+                shell.handle_input(Input::RulesChecked { asked, version });
             }
-            Batch::Records { items, .. } => {
-                take_configs(shell, &items);
+            StoreBatch::Records { items, .. } => {
+                apply_configs(shell, &items);
                 if let Some(last) = items.last() {
-                    note_offset(shell, last.offset + 1);
+                    advance_rules_offset(shell, last.offset + 1);
                 }
             }
         },
@@ -175,48 +177,48 @@
                 Input::RulesCheckFailed
             }
         };
-        shell.feed(input);
+        shell.handle_input(input);
     });
 }
 
 /// Takes the configurations that the store has had since it was read last; gives the newest version that it
 /// has.
 async fn read_new_configs(shell: &Rc<Shell>) -> Result<u64, StoreError> {
-    if let Some(from) = shell.rules_offset.get() {
+    if let Some(from) = shell.next_rules_offset.get() {
         let read = shell
             .store
             .read(platform::CONFIG_TOPIC, from, Duration::ZERO);
         if let Records::Some { items, next, end } = read.await? {
-            take_configs(shell, &items);
+            apply_configs(shell, &items);
             if next >= end {
-                note_offset(shell, next);
-                return Ok(shell.newest_rules.get().1);
+                advance_rules_offset(shell, next);
+                return Ok(shell.latest_rules.get().1);
             }
         }
     }
     let newest = shell.store.newest(platform::CONFIG_TOPIC).await?;
-    take_configs(shell, &newest.items);
-    note_offset(shell, newest.end);
-    Ok(shell.newest_rules.get().1)
+    apply_configs(shell, &newest.items);
+    advance_rules_offset(shell, newest.end);
+    Ok(shell.latest_rules.get().1)
 }
 
-fn note_offset(shell: &Shell, next: u64) {
-    let read = shell.rules_offset.get();
-    shell.rules_offset.set(read.max(Some(next)));
+fn advance_rules_offset(shell: &Shell, next: u64) {
+    let read = shell.next_rules_offset.get();
+    shell.next_rules_offset.set(read.max(Some(next)));
 }
 
-fn take_configs(shell: &Rc<Shell>, items: &[Item]) {
+fn apply_configs(shell: &Rc<Shell>, items: &[Item]) {
     for Item { key, value, offset } in items {
         if &**key != platform::CONFIG_KEY || value.is_empty() {
             continue;
         }
-        let config = read_config(value);
+        let config = parse_config(value);
         // One that cannot be read may revoke any key.
         let version = config.as_ref().map_or(u64::MAX, |(version, _)| *version);
-        let newest = shell.newest_rules.get().max((*offset, version));
-        shell.newest_rules.set(newest);
+        let newest = shell.latest_rules.get().max((*offset, version));
+        shell.latest_rules.set(newest);
         match config {
-            Ok((version, file)) => shell.feed(Input::RulesPublished { version, file }),
+            Ok((version, file)) => shell.handle_input(Input::RulesPublished { version, file }),
             Err(e) => {
                 log::warn!("event=config_refused error=\"{e}\"");
                 shell.count(Counter::PublicationRejected);
@@ -226,7 +228,7 @@
 }
 
 /// The version of a configuration, and its text without keys.
-fn read_config(value: &[u8]) -> Result<(u64, Arc<str>), ConfigError> {
+fn parse_config(value: &[u8]) -> Result<(u64, Arc<str>), ConfigError> {
     let text = std::str::from_utf8(value).map_err(|_| ConfigError::Malformed)?;
     let version = platform::version_of(text)?;
     Ok((version, platform::without_keys(text)?.into()))
@@ -234,26 +236,26 @@
 
 /// Reads where other nodes announced themselves.
 async fn read_directory(shell: &Shell) -> Vec<SocketAddr> {
-    let mut pause = Pause::new();
+    let mut backoff = StoreBackoff::new();
     loop {
         match shell.store.newest(platform::NODES_TOPIC).await {
             Ok(newest) => {
-                pause.done("directory");
+                backoff.record_success("directory");
                 let addrs = newest.items.iter();
                 let addrs = addrs.filter_map(|item| item.key.parse().ok());
                 let addrs: Vec<SocketAddr> = addrs.collect();
                 log::info!("event=directory nodes={}", addrs.len());
                 return addrs;
             }
-            Err(e) => pause.after("directory", e).await,
+            Err(e) => backoff.wait_after_failure("directory", e).await,
         }
     }
 }
 
 /// Announces this node; gives how many announcements came before.
 async fn announce(shell: &Shell) -> u64 {
-    let mut pause = Pause::new();
-    let addr = shell.me.addr.to_string();
+    let mut backoff = StoreBackoff::new();
+    let addr = shell.own_instance.addr.to_string();
     let entry = [(addr.as_str().into(), addr.clone().into())];
     loop {
         match shell
@@ -262,7 +264,7 @@
             .await
         {
             Ok(before) => return before,
-            Err(e) => pause.after("announce", e).await,
+            Err(e) => backoff.wait_after_failure("announce", e).await,
         }
     }
 }
@@ -270,17 +272,17 @@
 /// Who comes later finds this node, so having read the directory once is enough; only a node that is
 /// alone looks again. Of nodes that start together, those that read before any other had announced
 /// itself are found by those that read after it.
-async fn look_for_others(shell: Rc<Shell>) {
+async fn rediscover_when_isolated(shell: Rc<Shell>) {
     loop {
-        tokio::time::sleep(LOOK_AGAIN).await;
+        tokio::time::sleep(REDISCOVERY_INTERVAL).await;
         if !shell.engine.borrow().has_peers() {
             let directory = read_directory(&shell).await;
-            shell.feed(Input::Directory(directory));
+            shell.handle_input(Input::Directory(directory));
         }
     }
 }
 
-async fn on_ready(shell: Rc<Shell>, req: HttpRequest) -> HttpResponse<BoxBody> {
+async fn handle_readiness(shell: Rc<Shell>, req: HttpRequest) -> HttpResponse<BoxBody> {
     let ready = shell.engine.borrow().is_ready();
     let status = match platform::is_readiness_probe(req.method(), req.path()) {
         true if ready => StatusCode::OK,
@@ -292,8 +294,8 @@
 
 /// Hears the own server. It is answered once the engine has taken what it said: from then on no
 /// new work goes to a server that leaves.
-async fn on_control(shell: Rc<Shell>, mut req: HttpRequest) -> HttpResponse<BoxBody> {
-    let status = match hear_server(&shell, &mut req).await {
+async fn handle_control(shell: Rc<Shell>, mut req: HttpRequest) -> HttpResponse<BoxBody> {
+    let status = match receive_announcement(&shell, &mut req).await {
         Ok(()) => StatusCode::OK,
         Err(Reason::NoSuchOperation) => StatusCode::NOT_FOUND,
         Err(_) => StatusCode::BAD_REQUEST,
@@ -304,16 +306,16 @@
     response.body(body).map_into_boxed_body()
 }
 
-async fn hear_server(shell: &Rc<Shell>, req: &mut HttpRequest) -> Result<(), Reason> {
-    let limits = Limits {
-        max: MAX_HEARTBEAT,
-        time: HEARTBEAT_TIME,
+async fn receive_announcement(shell: &Rc<Shell>, req: &mut HttpRequest) -> Result<(), Reason> {
+    let limits = BodyLimits {
+        max_bytes: MAX_HEARTBEAT_BYTES,
+        timeout: HEARTBEAT_TIMEOUT,
     };
-    let (body, _reservation) = body::read(req, limits, &shell.bodies).await?;
+    let (body, _reservation) = body::read_body(req, limits, &shell.body_budget).await?;
     let server = shell.settings.backend_server_addr;
     match platform::announcement(req.method(), req.path(), &body, server) {
         Ok(announcement) => {
-            shell.feed(Input::Server(announcement));
+            shell.handle_input(Input::Server(announcement));
             Ok(())
         }
         Err(platform::HeartbeatError::NoSuchCall) => Err(Reason::NoSuchOperation),
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -12,17 +12,17 @@
 use std::net::SocketAddr;
 use std::path::Path;
 use std::time::Duration;
-use value::advertised;
-use value::bound;
-use value::bytes;
-use value::contacts;
-use value::duration;
-use value::header;
-use value::level;
-use value::number;
-use value::reachable;
-use value::service;
-use value::word;
+use value::parse_advertised_addr;
+use value::parse_byte_count;
+use value::parse_contacts;
+use value::parse_duration;
+use value::parse_header_name;
+use value::parse_listen_addr;
+use value::parse_log_level;
+use value::parse_name;
+use value::parse_number;
+use value::parse_remote_addr;
+use value::parse_service_name;
 use value::Key;
 
 /// A node's settings. What the operators decide is in the rules, not here.
@@ -69,11 +69,11 @@
     /// How long a caller may take for its body.
     pub body_timeout: Duration,
     /// What the whole fleet may try again at each service.
-    pub retries: FleetRetryLimits,
+    pub retry_limits: FleetRetryLimits,
     /// A revoked key is refused by every node within this time; unbounded without it.
-    pub revocation: Option<Duration>,
+    pub revocation_bound: Option<Duration>,
     /// How strictly the quotas of organisations hold.
-    pub quotas: QuotaTolerance,
+    pub quota_tolerance: QuotaTolerance,
     /// The mechanisms in force. No key sets this: all are on, but for experiments that ask otherwise
     /// on the command line.
     pub switches: Switches,
@@ -89,7 +89,7 @@
 }
 
 /// The largest `max_body`: a body travels in one frame, with its head.
-const MAX_BODY: usize = 3 << 20;
+const MAX_BODY_LIMIT: usize = 3 << 20;
 
 const SERVICE: Key = Key::new("node", "service");
 const FAILURE_DOMAIN: Key = Key::new("node", "failure_domain");
@@ -120,7 +120,7 @@
 const METRICS_ADDR: Key = Key::new("metrics", "addr");
 
 /// Every key there is.
-const KNOWN: [Key; 27] = [
+const KNOWN_KEYS: [Key; 27] = [
     SERVICE,
     FAILURE_DOMAIN,
     REGION,
@@ -175,71 +175,91 @@
     /// ```
     pub fn parse(text: &str) -> Result<Self, SettingsError> {
         let ini = Ini::load_from_str(text).map_err(|e| SettingsError::Syntax(e.to_string()))?;
-        refuse_unknown(&ini)?;
-        let told = ADVERTISED_ADDR.is_set(&ini);
-        let max_body = MAX_BODY_KEY.or(&ini, 1 << 20, bytes(1, MAX_BODY))?;
+        reject_unknown_keys(&ini)?;
+        let has_advertised_addr = ADVERTISED_ADDR.is_set(&ini);
+        let max_body =
+            MAX_BODY_KEY.or_default(&ini, 1 << 20, parse_byte_count(1, MAX_BODY_LIMIT))?;
         Ok(Self {
-            service: SERVICE.required(&ini, service)?,
-            failure_domain: FAILURE_DOMAIN.required(&ini, word)?,
-            region: REGION.required(&ini, word)?,
-            http_addr: HTTP_ADDR.required(&ini, bound)?,
-            peer_addr: PEER_ADDR.required(&ini, if told { bound } else { advertised })?,
-            advertised_addr: ADVERTISED_ADDR.optional(&ini, reachable)?,
-            contacts: CONTACTS.or(&ini, Vec::new(), contacts)?,
-            backend_server_addr: BACKEND_ADDR.required(&ini, reachable)?,
-            refusal_header: REFUSAL_HEADER.or(&ini, "x-not-run".to_owned(), header)?,
-            caller_header: CALLER_HEADER.or(&ini, "x-caller".to_owned(), header)?,
-            store_addr: STORE_ADDR.required(&ini, reachable)?,
-            store_stream: STORE_STREAM.or(&ini, "bilberrycove".to_owned(), word)?,
-            platform: platform_settings(&ini)?,
-            log_level: LOG_LEVEL.or(&ini, log::LevelFilter::Info, level)?,
-            metrics_addr: METRICS_ADDR.optional(&ini, reachable)?,
-            metrics_http_addr: METRICS_HTTP_ADDR.optional(&ini, bound)?,
+            service: SERVICE.required(&ini, parse_service_name)?,
+            failure_domain: FAILURE_DOMAIN.required(&ini, parse_name)?,
+            region: REGION.required(&ini, parse_name)?,
+            http_addr: HTTP_ADDR.required(&ini, parse_listen_addr)?,
+            peer_addr: PEER_ADDR.required(
+                &ini,
+                if has_advertised_addr {
+                    parse_listen_addr
+                } else {
+                    parse_advertised_addr
+                },
+            )?,
+            advertised_addr: ADVERTISED_ADDR.optional(&ini, parse_remote_addr)?,
+            contacts: CONTACTS.or_default(&ini, Vec::new(), parse_contacts)?,
+            backend_server_addr: BACKEND_ADDR.required(&ini, parse_remote_addr)?,
+            refusal_header: REFUSAL_HEADER.or_default(
+                &ini,
+                "x-not-run".to_owned(),
+                parse_header_name,
+            )?,
+            caller_header: CALLER_HEADER.or_default(
+                &ini,
+                "x-caller".to_owned(),
+                parse_header_name,
+            )?,
+            store_addr: STORE_ADDR.required(&ini, parse_remote_addr)?,
+            store_stream: STORE_STREAM.or_default(&ini, "bilberrycove".to_owned(), parse_name)?,
+            platform: parse_platform_settings(&ini)?,
+            log_level: LOG_LEVEL.or_default(&ini, log::LevelFilter::Info, parse_log_level)?,
+            metrics_addr: METRICS_ADDR.optional(&ini, parse_remote_addr)?,
+            metrics_http_addr: METRICS_HTTP_ADDR.optional(&ini, parse_listen_addr)?,
             max_body,
-            max_bodies: MAX_BODIES.or(
+            max_bodies: MAX_BODIES.or_default(
+                &ini,
+                DEFAULT_MAX_BODIES.max(max_body),
+                parse_byte_count(max_body, MAX_BODIES_LIMIT),
+            )?,
+            body_timeout: BODY_TIMEOUT.or_default(
                 &ini,
-                DEFAULT_BODIES.max(max_body),
-                bytes(max_body, MAX_BUDGET),
+                Duration::from_secs(10),
+                parse_duration(BODY_TIMEOUT_RANGE),
             )?,
-            body_timeout: BODY_TIMEOUT.or(&ini, Duration::from_secs(10), duration(BODY_TIMES))?,
-            retries: fleet_retries(&ini)?,
-            revocation: REVOCATION
-                .optional(&ini, number(1.0, 3600.0))?
+            retry_limits: parse_retry_limits(&ini)?,
+            revocation_bound: REVOCATION
+                .optional(&ini, parse_number(1.0, 3600.0))?
                 .map(Duration::from_secs_f64),
-            quotas: quota_bounds(&ini)?,
+            quota_tolerance: parse_quota_tolerance(&ini)?,
             switches: Switches::ALL,
         })
     }
 }
 
-fn platform_settings(ini: &Ini) -> Result<Option<PlatformSettings>, SettingsError> {
+fn parse_platform_settings(ini: &Ini) -> Result<Option<PlatformSettings>, SettingsError> {
     if !READY_ADDR.is_set(ini) && !CONTROL_ADDR.is_set(ini) {
         return Ok(None);
     }
     Ok(Some(PlatformSettings {
-        ready_addr: READY_ADDR.required(ini, bound)?,
-        control_addr: CONTROL_ADDR.required(ini, bound)?,
+        ready_addr: READY_ADDR.required(ini, parse_listen_addr)?,
+        control_addr: CONTROL_ADDR.required(ini, parse_listen_addr)?,
     }))
 }
 
-fn fleet_retries(ini: &Ini) -> Result<FleetRetryLimits, SettingsError> {
+fn parse_retry_limits(ini: &Ini) -> Result<FleetRetryLimits, SettingsError> {
     let default = FleetRetryLimits::default();
     let window = default.window.as_secs_f64();
-    let window = RETRY_WINDOW.or(ini, window, number(1.0, 300.0))?;
+    let window = RETRY_WINDOW.or_default(ini, window, parse_number(1.0, 300.0))?;
     Ok(FleetRetryLimits {
-        ratio: RETRY_RATIO.or(ini, default.ratio, number(0.0, 1.0))?,
-        spare: RETRY_SPARE.or(ini, default.spare, number(0.0, 1e6))?,
+        ratio: RETRY_RATIO.or_default(ini, default.ratio, parse_number(0.0, 1.0))?,
+        spare: RETRY_SPARE.or_default(ini, default.spare, parse_number(0.0, 1e6))?,
         window: Duration::from_secs_f64(window),
     })
 }
 
-fn quota_bounds(ini: &Ini) -> Result<QuotaTolerance, SettingsError> {
+fn parse_quota_tolerance(ini: &Ini) -> Result<QuotaTolerance, SettingsError> {
     let default = QuotaTolerance::default();
     let window = default.window.as_secs_f64();
-    let window = QUOTA_WINDOW.or(ini, window, number(1.0, 300.0))?;
+    let window = QUOTA_WINDOW.or_default(ini, window, parse_number(1.0, 300.0))?;
     let over = f64::from(default.over_permille) / 1000.0;
-    let over = QUOTA_OVER.or(ini, over, number(0.0, 1.0))?;
-    let slack = QUOTA_SLACK.or(ini, default.slack.into(), number(0.0, 1e6))?;
+    let over = QUOTA_OVER.or_default(ini, over, parse_number(0.0, 1.0))?;
+    let slack = QUOTA_SLACK.or_default(ini, default.slack.into(), parse_number(0.0, 1e6))?;
     Ok(QuotaTolerance {
         window: Duration::from_secs_f64(window),
         over_permille: (over * 1000.0) as u32,
@@ -248,27 +268,28 @@
 }
 
 /// What `node.body_timeout` may be.
-const BODY_TIMES: (Duration, Duration) = (Duration::from_millis(1), Duration::from_secs(300));
+const BODY_TIMEOUT_RANGE: (Duration, Duration) =
+    (Duration::from_millis(1), Duration::from_secs(300));
 
 /// `node.max_bodies`, unless one body may be larger.
-const DEFAULT_BODIES: usize = 8 << 20;
+const DEFAULT_MAX_BODIES: usize = 8 << 20;
 
 /// The largest `node.max_bodies`.
-const MAX_BUDGET: usize = 1 << 30;
+const MAX_BODIES_LIMIT: usize = 1 << 30;
 
-fn refuse_unknown(ini: &Ini) -> Result<(), SettingsError> {
+fn reject_unknown_keys(ini: &Ini) -> Result<(), SettingsError> {
     for (section, properties) in ini.iter() {
         let section = section.unwrap_or("");
         let mut seen = Vec::new();
         for (key, _) in properties.iter() {
             let names = || (section.to_owned(), key.to_owned());
-            if !KNOWN.contains(&Key::new(section, key)) {
+            if !KNOWN_KEYS.contains(&Key::new(section, key)) {
                 let (section, key) = names();
                 return Err(SettingsError::Unknown { section, key });
             }
             if seen.contains(&key) {
                 let (section, key) = names();
-                return Err(SettingsError::Repeated { section, key });
+                return Err(SettingsError::Duplicate { section, key });
             }
             seen.push(key);
         }
--- a/crates/node/src/settings/error.rs
+++ b/crates/node/src/settings/error.rs
@@ -17,7 +17,7 @@
         key: &'static str,
     },
     /// A value is not what the key takes.
-    BadValue {
+    InvalidValue {
         /// The section.
         section: &'static str,
         /// The key.
@@ -28,7 +28,7 @@
         allowed: &'static str,
     },
     /// A key stands twice in its section.
-    Repeated {
+    Duplicate {
         /// The section.
         section: String,
         /// The key.
@@ -47,9 +47,9 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             SettingsError::Unreadable(path) => write!(f, "{path} cannot be read"),
-            SettingsError::Syntax(what) => write!(f, "not INI: {what}"),
+            SettingsError::Syntax(message) => write!(f, "not INI: {message}"),
             SettingsError::Missing { section, key } => write!(f, "[{section}] {key} is missing"),
-            SettingsError::BadValue {
+            SettingsError::InvalidValue {
                 section,
                 key,
                 value,
@@ -57,7 +57,7 @@
             } => {
                 write!(f, "[{section}] {key} = {value}: takes {allowed}")
             }
-            SettingsError::Repeated { section, key } => {
+            SettingsError::Duplicate { section, key } => {
                 write!(f, "[{section}] {key}: stands twice")
             }
             SettingsError::Unknown { section, key } => write!(f, "[{section}] {key}: unknown"),
--- a/crates/node/src/settings/value.rs
+++ b/crates/node/src/settings/value.rs
@@ -14,7 +14,7 @@
 }
 
 /// A value, or what would have been allowed.
-type Value<T> = Result<T, &'static str>;
+type ParseResult<T> = Result<T, &'static str>;
 
 impl<'a> Key<'a> {
     pub(super) const fn new(section: &'a str, key: &'a str) -> Self {
@@ -30,35 +30,35 @@
     pub(super) fn optional<T>(
         self,
         ini: &Ini,
-        read: impl Fn(&str) -> Value<T>,
+        parse: impl Fn(&str) -> ParseResult<T>,
     ) -> Result<Option<T>, SettingsError> {
         let Some(value) = ini.get_from(Some(self.section), self.key) else {
             return Ok(None);
         };
-        let bad = |allowed| SettingsError::BadValue {
+        let invalid = |allowed| SettingsError::InvalidValue {
             section: self.section,
             key: self.key,
             value: value.to_owned(),
             allowed,
         };
-        read(value).map(Some).map_err(bad)
+        parse(value).map(Some).map_err(invalid)
     }
 
-    pub(super) fn or<T>(
+    pub(super) fn or_default<T>(
         self,
         ini: &Ini,
         default: T,
-        read: impl Fn(&str) -> Value<T>,
+        parse: impl Fn(&str) -> ParseResult<T>,
     ) -> Result<T, SettingsError> {
-        Ok(self.optional(ini, read)?.unwrap_or(default))
+        Ok(self.optional(ini, parse)?.unwrap_or(default))
     }
 
     pub(super) fn required<T>(
         self,
         ini: &Ini,
-        read: impl Fn(&str) -> Value<T>,
+        parse: impl Fn(&str) -> ParseResult<T>,
     ) -> Result<T, SettingsError> {
-        self.optional(ini, read)?.ok_or(SettingsError::Missing {
+        self.optional(ini, parse)?.ok_or(SettingsError::Missing {
             section: self.section,
             key: self.key,
         })
@@ -66,71 +66,71 @@
 }
 
 /// The name of a failure domain, region or stream.
-pub(super) fn word(value: &str) -> Value<String> {
-    let fits = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
-    if value.is_empty() || value.len() > journal::MAX_NAME_LEN || !value.chars().all(fits) {
+pub(super) fn parse_name(value: &str) -> ParseResult<String> {
+    let is_allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
+    if value.is_empty() || value.len() > journal::MAX_NAME_LEN || !value.chars().all(is_allowed) {
         return Err("1 to 64 letters, digits, `-`, `_` or `.`");
     }
     Ok(value.to_owned())
 }
 
 /// The name of a service. It is the first part of a path, where `-` is the node itself.
-pub(super) fn service(value: &str) -> Value<String> {
+pub(super) fn parse_service_name(value: &str) -> ParseResult<String> {
     let allowed = "1 to 64 letters, digits, `-`, `_` or `.`, but not `-`, `.` or `..` alone";
     match value {
         "-" | "." | ".." => Err(allowed),
-        _ => word(value).map_err(|_| allowed),
+        _ => parse_name(value).map_err(|_| allowed),
     }
 }
 
 /// An address to listen at.
-pub(super) fn bound(value: &str) -> Value<SocketAddr> {
+pub(super) fn parse_listen_addr(value: &str) -> ParseResult<SocketAddr> {
     value.parse().map_err(|_| "IP:PORT")
 }
 
 /// An address to listen at and to tell others. Told an unspecified one, they would connect to
 /// themselves, and the node would be in the views but never reached.
-pub(super) fn advertised(value: &str) -> Value<SocketAddr> {
+pub(super) fn parse_advertised_addr(value: &str) -> ParseResult<SocketAddr> {
     let allowed = "IP:PORT that other nodes can reach: not 0.0.0.0, [::], multicast or broadcast";
-    value.parse().ok().filter(is_one_host).ok_or(allowed)
+    value.parse().ok().filter(is_unicast).ok_or(allowed)
 }
 
 /// An address to connect to.
-pub(super) fn reachable(value: &str) -> Value<SocketAddr> {
+pub(super) fn parse_remote_addr(value: &str) -> ParseResult<SocketAddr> {
     let addr: Option<SocketAddr> = value.parse().ok();
-    addr.filter(|addr| is_one_host(addr) && addr.port() != 0)
+    addr.filter(|addr| is_unicast(addr) && addr.port() != 0)
         .ok_or("IP:PORT of one host, with a port above 0")
 }
 
-fn is_one_host(addr: &SocketAddr) -> bool {
+fn is_unicast(addr: &SocketAddr) -> bool {
     let ip = addr.ip();
     !ip.is_unspecified() && !ip.is_multicast() && ip != std::net::Ipv4Addr::BROADCAST
 }
 
-pub(super) fn contacts(value: &str) -> Value<Vec<SocketAddr>> {
+pub(super) fn parse_contacts(value: &str) -> ParseResult<Vec<SocketAddr>> {
     const MAX_CONTACTS: usize = 32;
     let words = value.split(',').map(str::trim);
-    let addrs = words.filter(|word| !word.is_empty()).map(reachable);
+    let addrs = words.filter(|word| !word.is_empty()).map(parse_remote_addr);
     match addrs.collect::<Result<Vec<_>, _>>() {
         Ok(addrs) if addrs.len() <= MAX_CONTACTS => Ok(addrs),
         _ => Err("up to 32 times IP:PORT, with commas between"),
     }
 }
 
-pub(super) fn header(value: &str) -> Value<String> {
+pub(super) fn parse_header_name(value: &str) -> ParseResult<String> {
     let name = HeaderName::from_bytes(value.as_bytes());
     name.map(|name| name.as_str().to_owned())
         .map_err(|_| "the name of an HTTP header")
 }
 
-pub(super) fn level(value: &str) -> Value<log::LevelFilter> {
+pub(super) fn parse_log_level(value: &str) -> ParseResult<log::LevelFilter> {
     value
         .parse()
         .map_err(|_| "off, error, warn, info, debug or trace")
 }
 
 /// A number of bytes in a range. The bounds are in docs/CONFIGURATION.md.
-pub(super) fn bytes(min: usize, max: usize) -> impl Fn(&str) -> Value<usize> {
+pub(super) fn parse_byte_count(min: usize, max: usize) -> impl Fn(&str) -> ParseResult<usize> {
     move |value| {
         let number = value.parse().ok();
         number.filter(|number| (min..=max).contains(number)).ok_or(
@@ -140,7 +140,7 @@
 }
 
 /// A number in a range; the bounds are in docs/CONFIGURATION.md.
-pub(super) fn number(min: f64, max: f64) -> impl Fn(&str) -> Value<f64> {
+pub(super) fn parse_number(min: f64, max: f64) -> impl Fn(&str) -> ParseResult<f64> {
     move |value| {
         let number: Option<f64> = value.parse().ok();
         number
@@ -150,7 +150,9 @@
 }
 
 /// A duration in a range.
-pub(super) fn duration((min, max): (Duration, Duration)) -> impl Fn(&str) -> Value<Duration> {
+pub(super) fn parse_duration(
+    (min, max): (Duration, Duration),
+) -> impl Fn(&str) -> ParseResult<Duration> {
     move |value| {
         rules::parse_duration(value)
             .filter(|time| (min..=max).contains(time))
--- a/crates/node/src/shell.rs
+++ b/crates/node/src/shell.rs
@@ -1,21 +1,21 @@
 //! The node as one `actix-rt` system: starts everything, and carries inputs and outputs.
 
-use crate::attached;
-use crate::attached::PlatformAddrs;
 use crate::backend::Backend;
-use crate::backend::Work;
-use crate::body::Budget;
+use crate::backend::BackendRun;
+use crate::body::BodyBudget;
 use crate::caller;
 use crate::clock::Clock;
 use crate::dialect::Dialect;
 use crate::dialect::Reply;
 use crate::events;
-use crate::events::Cap;
+use crate::events::LogRateLimiter;
 use crate::fetch;
-use crate::metrics::add;
+use crate::metrics::add_bytes;
 use crate::metrics::Metrics;
 use crate::peers;
 use crate::peers::Peers;
+use crate::platform_mode;
+use crate::platform_mode::PlatformAddrs;
 use crate::store_reader;
 use crate::udp;
 use crate::Settings;
@@ -51,14 +51,14 @@
 const FLUSH_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The time that the tasks which write get, and between two looks at what they have left.
-const FLUSH_PAUSE: Duration = Duration::from_millis(50);
+const FLUSH_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Of the retries for each first send that the settings allow, what is used; the rest makes up for what
 /// is in hand at the beginning of a window.
-const RATIO_USED: f64 = 0.8;
+const PLANNED_RATIO_SHARE: f64 = 0.8;
 
 /// Of the retries beyond those, what is used.
-const SPARE_USED: f64 = 0.9;
+const PLANNED_SPARE_SHARE: f64 = 0.9;
 
 /// How often gauges go to the metrics service.
 const GAUGE_INTERVAL: Duration = Duration::from_secs(10);
@@ -97,7 +97,7 @@
 impl Node {
     /// Asks for a graceful shutdown.
     pub fn stop(&self) {
-        self.shell.feed(Input::Stop);
+        self.shell.handle_input(Input::Stop);
     }
 
     /// Waits until a graceful shutdown is complete.
@@ -109,41 +109,41 @@
     /// The last answers were given to tasks that write them. If the process ended before they did,
     /// callers would see connections that break off, for work that was done.
     async fn flush(&self) {
-        let ends = Instant::now() + FLUSH_TIMEOUT;
-        while self.shell.peers.has_unsent() && Instant::now() < ends {
-            tokio::time::sleep(FLUSH_PAUSE).await;
+        let deadline = Instant::now() + FLUSH_TIMEOUT;
+        while self.shell.peers.has_unsent() && Instant::now() < deadline {
+            tokio::time::sleep(FLUSH_POLL_INTERVAL).await;
         }
         // What has left the queues is on its way into the sockets.
-        tokio::time::sleep(FLUSH_PAUSE).await;
+        tokio::time::sleep(FLUSH_POLL_INTERVAL).await;
     }
 
     /// Counters by name, in order.
-    pub fn totals(&self) -> Vec<(String, u64)> {
-        self.shell.metrics.totals()
+    pub fn counters(&self) -> Vec<(String, u64)> {
+        self.shell.metrics.counters()
     }
 }
 
 pub(crate) struct Shell {
     pub(crate) settings: Settings,
-    pub(crate) me: Instance,
+    pub(crate) own_instance: Instance,
     pub(crate) engine: RefCell<Engine>,
     pub(crate) dialect: Dialect,
     pub(crate) store: Store,
-    pub(crate) read_store: Notify,
+    pub(crate) store_read_requested: Notify,
     /// From where the store is read for newer rules; nothing before it was read once.
-    pub(crate) rules_offset: Cell<Option<u64>>,
+    pub(crate) next_rules_offset: Cell<Option<u64>>,
     /// The offset and version of the newest rules that were read from there.
-    pub(crate) newest_rules: Cell<(u64, u64)>,
+    pub(crate) latest_rules: Cell<(u64, u64)>,
     pub(crate) metrics: Metrics,
-    pub(crate) lines: Cap,
-    pub(crate) bodies: Budget,
+    pub(crate) log_limiter: LogRateLimiter,
+    pub(crate) body_budget: BodyBudget,
     clock: Clock,
-    waiting: RefCell<IndexMap<RequestToken, oneshot::Sender<Reply>>>,
+    pending_replies: RefCell<IndexMap<RequestToken, oneshot::Sender<Reply>>>,
     next_token: Cell<u64>,
     peers: Peers,
     backend: Backend,
     pub(crate) socket: Rc<UdpSocket>,
-    timer: Notify,
+    timer_changed: Notify,
     stopped: Notify,
 }
 
@@ -153,66 +153,68 @@
 ///
 /// [`StartError`] if an address cannot be bound.
 pub async fn start(settings: Settings) -> Result<Node, StartError> {
-    let bind = |e| StartError::Bind(settings.http_addr, e);
-    let http = TcpListener::bind(settings.http_addr).await.map_err(bind)?;
-    let http_addr = http.local_addr().map_err(bind)?;
+    let bind_error = |e| StartError::Bind(settings.http_addr, e);
+    let http = TcpListener::bind(settings.http_addr)
+        .await
+        .map_err(bind_error)?;
+    let http_addr = http.local_addr().map_err(bind_error)?;
     let (tcp, socket) = bind_peer(settings.peer_addr).await?;
-    let bind = |e| StartError::Bind(settings.peer_addr, e);
-    let peer_addr = tcp.local_addr().map_err(bind)?;
+    let bind_error = |e| StartError::Bind(settings.peer_addr, e);
+    let peer_addr = tcp.local_addr().map_err(bind_error)?;
 
-    let me = Instance {
+    let own_instance = Instance {
         incarnation: Incarnation(uuid::Uuid::new_v4().as_u64_pair().0),
         service: settings.service.as_str().into(),
         failure_domain: settings.failure_domain.as_str().into(),
         region: settings.region.as_str().into(),
         addr: settings.advertised_addr.unwrap_or(peer_addr),
     };
-    let seed = me.incarnation.0;
+    let seed = own_instance.incarnation.0;
     let mut cfg = Config {
         seed,
         contacts: settings.contacts.clone(),
         policy: settings.switches,
-        retry_budget: within(settings.retries),
-        revocation_bound: settings.revocation,
-        quota_bounds: settings.quotas,
+        retry_budget: with_safety_margin(settings.retry_limits),
+        revocation_bound: settings.revocation_bound,
+        quota_bounds: settings.quota_tolerance,
         ..Config::default()
     };
     if settings.platform.is_some() {
-        attached::configure(&mut cfg);
+        platform_mode::configure(&mut cfg);
     }
     cfg.membership.seed = seed;
     let socket = Rc::new(socket);
     let shell = Rc::new(Shell {
-        engine: RefCell::new(Engine::new(cfg, me.clone())),
+        engine: RefCell::new(Engine::new(cfg, own_instance.clone())),
         dialect: Dialect::new(&settings),
         store: Store::new(settings.store_addr),
-        read_store: Notify::new(),
-        rules_offset: Cell::new(None),
-        newest_rules: Cell::new((0, 0)),
+        store_read_requested: Notify::new(),
+        next_rules_offset: Cell::new(None),
+        latest_rules: Cell::new((0, 0)),
         metrics: Metrics::new(settings.metrics_addr).map_err(StartError::Metrics)?,
-        lines: Cap::new(),
-        bodies: Budget::new(settings.max_bodies),
+        log_limiter: LogRateLimiter::new(),
+        body_budget: BodyBudget::new(settings.max_bodies),
         clock: Clock::new(),
-        waiting: RefCell::default(),
+        pending_replies: RefCell::default(),
         next_token: Cell::new(0),
         peers: Peers::default(),
         backend: Backend::new(&settings),
         socket: socket.clone(),
-        timer: Notify::new(),
+        timer_changed: Notify::new(),
         stopped: Notify::new(),
-        me,
+        own_instance,
         settings,
     });
     log::info!(
         "event=started incarnation={} service={} http={http_addr} peer={peer_addr}",
-        shell.me.incarnation,
-        shell.me.service
+        shell.own_instance.incarnation,
+        shell.own_instance.service
     );
-    actix_rt::spawn(caller::accept(shell.clone(), http));
+    actix_rt::spawn(caller::serve_callers(shell.clone(), http));
     actix_rt::spawn(peers::accept(shell.clone(), tcp));
     actix_rt::spawn(udp::receive(shell.clone(), socket));
     let platform_addrs = match &shell.settings.platform {
-        Some(cfg) => Some(attached::start(&shell, cfg).await?),
+        Some(cfg) => Some(platform_mode::start(&shell, cfg).await?),
         None => {
             actix_rt::spawn(store_reader::follow_views(shell.clone()));
             None
@@ -221,7 +223,11 @@
     if let Some(addr) = shell.settings.metrics_http_addr {
         let listener = TcpListener::bind(addr).await;
         let listener = listener.map_err(|e| StartError::Bind(addr, e))?;
-        actix_rt::spawn(caller::serve(shell.clone(), listener, caller::on_metrics));
+        actix_rt::spawn(caller::serve(
+            shell.clone(),
+            listener,
+            caller::handle_metrics,
+        ));
     }
     actix_rt::spawn(run_timers(shell.clone()));
     actix_rt::spawn(send_gauges(shell.clone()));
@@ -235,25 +241,25 @@
 
 /// The part of the fleet's retries that nodes plan with: others may count the same sends in another
 /// window, and nodes do not know exactly how many they are.
-fn within(fleet: FleetRetryLimits) -> FleetRetryLimits {
+fn with_safety_margin(limits: FleetRetryLimits) -> FleetRetryLimits {
     FleetRetryLimits {
-        ratio: fleet.ratio * RATIO_USED,
-        spare: fleet.spare * SPARE_USED,
-        ..fleet
+        ratio: limits.ratio * PLANNED_RATIO_SHARE,
+        spare: limits.spare * PLANNED_SPARE_SHARE,
+        ..limits
     }
 }
 
 /// TCP and UDP on the same port. A port that the system chose for TCP may be taken for UDP, hence
 /// several attempts.
 async fn bind_peer(addr: SocketAddr) -> Result<(TcpListener, UdpSocket), StartError> {
-    let bind = |e| StartError::Bind(addr, e);
+    let bind_error = |e| StartError::Bind(addr, e);
     let mut attempt = 0;
     loop {
-        let tcp = TcpListener::bind(addr).await.map_err(bind)?;
-        let bound = tcp.local_addr().map_err(bind)?;
+        let tcp = TcpListener::bind(addr).await.map_err(bind_error)?;
+        let bound = tcp.local_addr().map_err(bind_error)?;
         match UdpSocket::bind(bound).await {
             Ok(udp) => return Ok((tcp, udp)),
-            Err(e) if attempt == BIND_ATTEMPTS => return Err(bind(e)),
+            Err(e) if attempt == BIND_ATTEMPTS => return Err(bind_error(e)),
             Err(_) => attempt += 1,
         }
     }
@@ -262,7 +268,7 @@
 async fn run_timers(shell: Rc<Shell>) {
     loop {
         let due = shell.engine.borrow().next_timer();
-        let due = due.map(|due| shell.clock.instant(due));
+        let due = due.map(|due| shell.clock.to_instant(due));
         let sleep = async {
             match due {
                 Some(due) => tokio::time::sleep_until(due).await,
@@ -270,8 +276,8 @@
             }
         };
         tokio::select! {
-            () = sleep => shell.feed(Input::Tick),
-            () = shell.timer.notified() => {}
+            () = sleep => shell.handle_input(Input::Tick),
+            () = shell.timer_changed.notified() => {}
         }
     }
 }
@@ -280,7 +286,7 @@
     loop {
         tokio::time::sleep(GAUGE_INTERVAL).await;
         let gauges = shell.engine.borrow().gauges(shell.now());
-        shell.metrics.gauge(&gauges);
+        shell.metrics.report_gauges(&gauges);
     }
 }
 
@@ -299,59 +305,59 @@
     }
 
     /// Counts bytes from outside that are no message.
-    pub(crate) fn count_broken(&self) {
+    pub(crate) fn count_unexpected_message(&self) {
         self.count(Counter::UnexpectedMessage);
     }
 
     /// Enters a request; the receiver gets its answer.
-    pub(crate) fn request(
+    pub(crate) fn submit_request(
         self: &Rc<Self>,
         input: impl FnOnce(RequestToken) -> Input,
     ) -> (RequestToken, oneshot::Receiver<Reply>) {
         let token = RequestToken(self.next_token.get());
         self.next_token.set(token.0 + 1);
         let (tx, rx) = oneshot::channel();
-        self.waiting.borrow_mut().insert(token, tx);
-        self.feed(input(token));
+        self.pending_replies.borrow_mut().insert(token, tx);
+        self.handle_input(input(token));
         (token, rx)
     }
 
     /// Tells the engine what happened and does what it asks for.
-    pub(crate) fn feed(self: &Rc<Self>, input: Input) {
-        if let Some(suspended) = self.clock.notice_suspension() {
+    pub(crate) fn handle_input(self: &Rc<Self>, input: Input) {
+        if let Some(suspended) = self.clock.take_suspension() {
             let ms = suspended.as_millis();
             log::warn!("event=woken suspended_ms={ms}");
             // Whatever was read before may be old by now, and its connection gone.
-            self.read_store.notify_one();
+            self.store_read_requested.notify_one();
         }
-        let now = self.clock.compared();
-        let (outputs, timer) = {
+        let now = self.clock.now_without_update();
+        let (outputs, timer_moved) = {
             let mut engine = self.engine.borrow_mut();
             let before = engine.next_timer();
             let outputs = engine.handle(now, input);
             (outputs, engine.next_timer() != before)
         };
         for output in outputs {
-            self.perform(now, output);
+            self.execute_output(now, output);
         }
-        if timer {
-            self.timer.notify_one();
+        if timer_moved {
+            self.timer_changed.notify_one();
         }
     }
 
-    fn perform(self: &Rc<Self>, decided: Time, output: Output) {
-        events::note(self, &output);
+    fn execute_output(self: &Rc<Self>, decided_at: Time, output: Output) {
+        events::log_output(self, &output);
         match output {
             Output::Answer {
                 token,
                 outcome,
                 generated_key,
             } => {
-                if let Some(tx) = self.waiting.borrow_mut().swap_remove(&token) {
+                if let Some(tx) = self.pending_replies.borrow_mut().swap_remove(&token) {
                     // The caller may have gone meanwhile.
                     let _ = tx.send(Reply {
                         outcome,
-                        made_key: generated_key,
+                        generated_key,
                     });
                 }
             }
@@ -366,29 +372,29 @@
             } => {
                 // Counted from the time that the engine was told. Counted from here, a pause in
                 // between would lengthen the right to start, and another home's run be the second.
-                let start_by = start_within.map(|within| decided + within);
-                let work = Work {
+                let start_by = start_within.map(|delay| decided_at + delay);
+                let work = BackendRun {
                     run,
                     request,
-                    expect: expected_server,
+                    expected_server,
                     remaining,
                     start_by,
                 };
                 self.backend.run(self, work);
             }
-            Output::CheckServer { id, path } => self.backend.check(self, id, path),
+            Output::CheckServer { id, path } => self.backend.check_health(self, id, path),
             Output::CancelRun(run) => self.backend.cancel(run),
             Output::Append {
                 number,
                 at,
                 entries,
             } => self.append(number, at, entries),
-            Output::FetchState { from, known } => fetch::ask(self, from, known),
+            Output::FetchState { from, known } => fetch::fetch_state(self, from, known),
             Output::CheckRules => match self.settings.platform {
-                Some(_) => attached::check_rules(self),
+                Some(_) => platform_mode::check_rules(self),
                 None => store_reader::check_rules(self),
             },
-            Output::ReadLog => self.read_store.notify_one(),
+            Output::ReadLog => self.store_read_requested.notify_one(),
             Output::Count(counter) => self.count(counter),
             Output::Diagnostic(_) => {}
             Output::Stopped => self.stopped.notify_one(),
@@ -398,16 +404,16 @@
     fn append(self: &Rc<Self>, number: u64, at: u64, entries: Vec<TopicEntry>) {
         let shell = self.clone();
         for (_, value) in &entries {
-            add(&self.metrics.bytes.store_out, value.len());
+            add_bytes(&self.metrics.control_bytes.store_out, value.len());
         }
         actix_rt::spawn(async move {
             let topic = platform::topic(&shell.settings.store_stream);
             match shell.store.append(&topic, Some(at), &entries).await {
-                Ok(_) => shell.feed(Input::Appended(number)),
-                Err(StoreError::Conflict) => shell.feed(Input::AppendConflict(number)),
+                Ok(_) => shell.handle_input(Input::Appended(number)),
+                Err(StoreError::Conflict) => shell.handle_input(Input::AppendConflict(number)),
                 Err(e) => {
                     log::warn!("event=append_lost number={number} at={at} error=\"{e}\"");
-                    shell.feed(Input::AppendLost(number));
+                    shell.handle_input(Input::AppendLost(number));
                 }
             }
         });
--- a/crates/node/src/status.rs
+++ b/crates/node/src/status.rs
@@ -7,9 +7,9 @@
     pub(crate) fn status(&self) -> String {
         let engine = self.engine.borrow();
         let mut lines = vec![
-            format!("incarnation {}", self.me.incarnation),
-            format!("service {}", self.me.service),
-            format!("failure_domain {}", self.me.failure_domain),
+            format!("incarnation {}", self.own_instance.incarnation),
+            format!("service {}", self.own_instance.service),
+            format!("failure_domain {}", self.own_instance.failure_domain),
             format!("rules_version {}", engine.rules_version()),
             format!("next_offset {}", engine.next_offset()),
             format!("listed {}", engine.is_listed()),
@@ -17,10 +17,16 @@
             format!("runs {}", self.run_count()),
         ];
         let gauges = engine.gauges(self.now());
-        let gauges = gauges.into_iter().chain(self.metrics.bytes.gauges());
+        let gauges = gauges
+            .into_iter()
+            .chain(self.metrics.control_bytes.gauges());
         lines.extend(gauges.map(|(name, value)| format!("gauge.{name} {value}")));
-        let totals = self.metrics.totals();
-        lines.extend(totals.iter().map(|(name, n)| format!("counter.{name} {n}")));
+        let counters = self.metrics.counters();
+        lines.extend(
+            counters
+                .iter()
+                .map(|(name, n)| format!("counter.{name} {n}")),
+        );
         lines.push(String::new());
         lines.join("\n")
     }
--- a/crates/node/src/store_reader.rs
+++ b/crates/node/src/store_reader.rs
@@ -1,6 +1,6 @@
 //! Reads a topic of the store for ever: first the newest record of each key, then what comes after.
 
-use crate::metrics::add;
+use crate::metrics::add_bytes;
 use crate::shell::Shell;
 use engine::Input;
 use platform::Item;
@@ -15,55 +15,55 @@
 
 /// How long one read waits for new records. A home goes on by its lease only for as long as the topic
 /// was read to its end lately.
-const READ_WAIT: Duration = Duration::from_secs(5);
+const LOG_POLL_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// How long to wait after a call of the store that failed; doubled up to [`MAX_PAUSE`].
-const MIN_PAUSE: Duration = Duration::from_millis(200);
+const MIN_BACKOFF: Duration = Duration::from_millis(200);
 
 /// The longest wait after a call that failed. Nodes are to know each other within two seconds of
 /// the store's return.
-const MAX_PAUSE: Duration = Duration::from_millis(1500);
+const MAX_BACKOFF: Duration = Duration::from_millis(1500);
 
 /// How often a node that leaves reading to others looks whether it still does.
-const LOOK_AGAIN: Duration = Duration::from_millis(250);
+const READER_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
 /// The wait after calls that failed. All nodes lose the store together; a random part of the wait
 /// keeps them from coming back together.
-pub(crate) struct Pause {
-    next: Duration,
+pub(crate) struct StoreBackoff {
+    next_delay: Duration,
     /// Since when no call has succeeded.
     down_since: Option<Instant>,
 }
 
-impl Pause {
+impl StoreBackoff {
     pub(crate) fn new() -> Self {
         Self {
-            next: MIN_PAUSE,
+            next_delay: MIN_BACKOFF,
             down_since: None,
         }
     }
 
-    pub(crate) async fn after(&mut self, what: &str, e: StoreError) {
+    pub(crate) async fn wait_after_failure(&mut self, call: &str, e: StoreError) {
         if self.down_since.is_none() {
             self.down_since = Some(Instant::now());
-            log::warn!("event=store_lost call={what} error=\"{e}\"");
+            log::warn!("event=store_lost call={call} error=\"{e}\"");
         }
-        let part = rand::rng().random_range(0.5..1.0);
-        tokio::time::sleep(self.next.mul_f64(part)).await;
-        self.next = (self.next * 2).min(MAX_PAUSE);
+        let fraction = rand::rng().random_range(0.5..1.0);
+        tokio::time::sleep(self.next_delay.mul_f64(fraction)).await;
+        self.next_delay = (self.next_delay * 2).min(MAX_BACKOFF);
     }
 
-    pub(crate) fn done(&mut self, what: &str) {
-        self.next = MIN_PAUSE;
+    pub(crate) fn record_success(&mut self, call: &str) {
+        self.next_delay = MIN_BACKOFF;
         if let Some(since) = self.down_since.take() {
             let ms = since.elapsed().as_millis();
-            log::info!("event=store_regained call={what} away_ms={ms}");
+            log::info!("event=store_regained call={call} away_ms={ms}");
         }
     }
 }
 
 /// What one read brought.
-pub(crate) enum Batch {
+pub(crate) enum StoreBatch {
     /// The newest record of each key.
     Newest(Newest),
     /// Records in their order.
@@ -77,40 +77,40 @@
 
 /// Reads a topic for ever, while it is this node that reads, and gives what it reads to `take`, with the time
 /// at which it was asked for. One read waits for `wait`.
-pub(crate) async fn follow(
+pub(crate) async fn follow_topic(
     shell: Rc<Shell>,
     topic: &str,
-    wait: Duration,
-    reads: impl Fn(&Shell) -> bool,
-    take: impl Fn(&Rc<Shell>, Time, Batch),
+    poll_timeout: Duration,
+    is_reader: impl Fn(&Shell) -> bool,
+    on_batch: impl Fn(&Rc<Shell>, Time, StoreBatch),
 ) {
-    let mut pause = Pause::new();
+    let mut backoff = StoreBackoff::new();
     let mut from = None;
     loop {
-        if !reads(&shell) {
+        if !is_reader(&shell) {
             tokio::select! {
-                () = tokio::time::sleep(LOOK_AGAIN) => continue,
+                () = tokio::time::sleep(READER_CHECK_INTERVAL) => continue,
                 // Something is missing here, and those who read cannot give it.
-                () = shell.read_store.notified() => {}
+                () = shell.store_read_requested.notified() => {}
             }
         }
         let asked = shell.now();
-        let read = tokio::select! {
-            read = read(&shell, topic, from, wait) => read,
+        let result = tokio::select! {
+            result = read_once(&shell, topic, from, poll_timeout) => result,
             // Something is missing here. A read that waits over a connection that has gone silent
             // would wait to its end.
-            () = shell.read_store.notified() => continue,
+            () = shell.store_read_requested.notified() => continue,
         };
-        match read {
+        match result {
             Ok(Some((next, batch))) => {
                 from = Some(next);
-                pause.done(topic);
-                take(&shell, asked, batch);
+                backoff.record_success(topic);
+                on_batch(&shell, asked, batch);
             }
             Ok(None) => from = None,
             Err(e) => {
-                shell.feed(Input::LogUnreachable);
-                pause.after(topic, e).await;
+                shell.handle_input(Input::LogUnreachable);
+                backoff.wait_after_failure(topic, e).await;
             }
         }
     }
@@ -118,20 +118,20 @@
 
 /// Reads once, from the newest records if it is not known from where; says where to read on. Nothing
 /// if the records there have expired.
-async fn read(
+async fn read_once(
     shell: &Rc<Shell>,
     topic: &str,
     from: Option<u64>,
-    wait: Duration,
-) -> Result<Option<(u64, Batch)>, StoreError> {
+    poll_timeout: Duration,
+) -> Result<Option<(u64, StoreBatch)>, StoreError> {
     let Some(from) = from else {
         let newest = shell.store.newest(topic).await?;
-        return Ok(Some((newest.end, Batch::Newest(newest))));
+        return Ok(Some((newest.end, StoreBatch::Newest(newest))));
     };
-    Ok(match shell.store.read(topic, from, wait).await? {
+    Ok(match shell.store.read(topic, from, poll_timeout).await? {
         Records::Some { items, next, end } => {
             let at_end = next >= end;
-            Some((next, Batch::Records { items, at_end }))
+            Some((next, StoreBatch::Records { items, at_end }))
         }
         Records::Expired { .. } => None,
     })
@@ -140,8 +140,8 @@
 /// Follows the topic of views and rules.
 pub(crate) async fn follow_views(shell: Rc<Shell>) {
     let topic = platform::topic(&shell.settings.store_stream);
-    let take = |shell: &Rc<Shell>, _, batch| take_views(shell, batch);
-    follow(shell, &topic, READ_WAIT, |_| true, take).await;
+    let on_batch = |shell: &Rc<Shell>, _, batch| apply_views(shell, batch);
+    follow_topic(shell, &topic, LOG_POLL_TIMEOUT, |_| true, on_batch).await;
 }
 
 /// Finds out whether the store has newer rules in the topic of views and rules.
@@ -151,44 +151,44 @@
         let asked = shell.now();
         let topic = platform::topic(&shell.settings.store_stream);
         let from = shell.engine.borrow().next_offset();
-        let input = match read(&shell, &topic, Some(from), Duration::ZERO).await {
+        let input = match read_once(&shell, &topic, Some(from), Duration::ZERO).await {
             Ok(Some((_, batch))) => {
-                let is_whole = !matches!(batch, Batch::Records { at_end: false, .. });
-                take_views(&shell, batch);
+                let is_complete = !matches!(batch, StoreBatch::Records { at_end: false, .. });
+                apply_views(&shell, batch);
                 let version = shell.engine.borrow().rules_version();
-                match is_whole {
+                match is_complete {
                     true => Input::RulesChecked { asked, version },
                     false => Input::RulesCheckFailed,
                 }
             }
             Ok(None) | Err(_) => Input::RulesCheckFailed,
         };
-        shell.feed(input);
+        shell.handle_input(input);
     });
 }
 
-fn take_views(shell: &Rc<Shell>, batch: Batch) {
+fn apply_views(shell: &Rc<Shell>, batch: StoreBatch) {
     match batch {
-        Batch::Newest(newest) => {
+        StoreBatch::Newest(newest) => {
             let end = newest.end;
-            let values = values(shell, newest.items);
-            shell.feed(Input::TopicSnapshot { values, end });
-            shell.feed(Input::LogCaughtUp);
+            let values = record_values(shell, newest.items);
+            shell.handle_input(Input::TopicSnapshot { values, end });
+            shell.handle_input(Input::LogCaughtUp);
         }
-        Batch::Records { items, at_end } => {
-            let records = values(shell, items);
-            shell.feed(Input::Records(records));
+        StoreBatch::Records { items, at_end } => {
+            let records = record_values(shell, items);
+            shell.handle_input(Input::Records(records));
             if at_end {
-                shell.feed(Input::LogCaughtUp);
+                shell.handle_input(Input::LogCaughtUp);
             }
         }
     }
 }
 
-fn values(shell: &Shell, items: Vec<Item>) -> Vec<(u64, bytes::Bytes)> {
-    let values = items.into_iter().map(|item| {
-        add(&shell.metrics.bytes.store_in, item.value.len());
+fn record_values(shell: &Shell, items: Vec<Item>) -> Vec<(u64, bytes::Bytes)> {
+    let with_offsets = items.into_iter().map(|item| {
+        add_bytes(&shell.metrics.control_bytes.store_in, item.value.len());
         (item.offset, item.value)
     });
-    values.collect()
+    with_offsets.collect()
 }
--- a/crates/node/src/udp.rs
+++ b/crates/node/src/udp.rs
@@ -1,6 +1,6 @@
 //! Datagrams.
 
-use crate::metrics::add;
+use crate::metrics::add_bytes;
 use crate::shell::Shell;
 use engine::Counter;
 use engine::Input;
@@ -10,18 +10,18 @@
 use tokio::net::UdpSocket;
 
 /// The largest datagram that is read.
-const MAX_DATAGRAM: usize = 65_536;
+const MAX_DATAGRAM_LEN: usize = 65_536;
 
 pub(crate) async fn receive(shell: Rc<Shell>, socket: Rc<UdpSocket>) {
-    let mut buf = vec![0; MAX_DATAGRAM];
+    let mut buf = vec![0; MAX_DATAGRAM_LEN];
     loop {
         // An error here is about an earlier send to a port that is closed; the socket lives on.
         let Ok((len, from)) = socket.recv_from(&mut buf).await else {
             continue;
         };
-        add(&shell.metrics.bytes.datagrams_in, len);
+        add_bytes(&shell.metrics.control_bytes.datagrams_in, len);
         match proto::decode(&buf[..len]) {
-            Ok(datagram) => shell.feed(Input::Datagram { from, datagram }),
+            Ok(datagram) => shell.handle_input(Input::Datagram { from, datagram }),
             Err(_) => shell.count(Counter::Link(LinkEvent::MalformedDatagram)),
         }
     }
@@ -29,7 +29,7 @@
 
 pub(crate) fn send(shell: &Shell, to: SocketAddr, datagram: &proto::Datagram) {
     let bytes = proto::encode(datagram);
-    add(&shell.metrics.bytes.datagrams_out, bytes.len());
+    add_bytes(&shell.metrics.control_bytes.datagrams_out, bytes.len());
     // Loss is allowed: a full socket buffer drops the datagram.
     let _ = shell.socket.try_send_to(&bytes, to);
 }
