--- a/crates/node/src/backend.rs
+++ b/crates/node/src/backend.rs
@@ -1,4 +1,4 @@
-//! Runs requests on the own backend server, by HTTP.
+//! Runs requests on the node's own backend server over HTTP.
 
 use crate::dialect::OutgoingRun;
 use crate::shell::Shell;
@@ -22,9 +22,9 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// How long a connection to the server may take to open. When many open at once the server's queue
-/// of new connections overflows; the system sends the opening packet again after a second, and a
-/// shorter wait would take a server that is merely busy for one that is gone.
+/// Time-out for connecting to the server. When many connections open at once, the server's accept
+/// queue overflows and the kernel resends the SYN after a second; a shorter time-out would take a
+/// busy server for a dead one.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(2500);
 
 pub(crate) struct Backend {
@@ -35,23 +35,23 @@
     running: RefCell<IndexMap<RunId, oneshot::Sender<()>>>,
 }
 
-/// How long the server may take to say that it is healthy. It is asked again after its next heartbeat.
+/// Time-out of a health check. The next heartbeat triggers another check.
 const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Idle connections, all to one incarnation of the server.
+/// Idle connections, all to the same incarnation of the server.
 #[derive(Default)]
 struct IdleConnections {
     server: Option<Arc<str>>,
     pool: Pool,
 }
 
-/// What is to be run.
+/// A request to run on the backend server.
 pub(crate) struct BackendRun {
     pub(crate) run: RunId,
     pub(crate) request: Request,
     pub(crate) expected_server: Option<Arc<str>>,
     pub(crate) remaining: Duration,
-    /// The run may not start later.
+    /// The run must not start after this time.
     pub(crate) start_by: Option<Time>,
 }
 
@@ -73,7 +73,7 @@
         let shell = shell.clone();
         actix_rt::spawn(async move {
             let backend = shell.backend();
-            // Whatever is dropped here takes its connection with it: the server then stops working.
+            // Dropping the exchange closes its connection, so the server stops working on it.
             let end = tokio::select! {
                 end = backend.exchange(&shell, &backend_run) => end,
                 () = tokio::time::sleep(backend_run.remaining) => RunEnd::TimedOut,
@@ -96,8 +96,8 @@
             Ok(connection) => connection,
             Err(_) => return RunEnd::NeverSent,
         };
-        // The process may have been paused since the engine decided; the right to start may have
-        // gone to another node meanwhile, and a run here would be the second one.
+        // The process may have been paused since the engine decided. The permit to start may have
+        // passed to another node in the meantime, and the request would run twice.
         if backend_run
             .start_by
             .is_some_and(|start_by| shell.now() >= start_by)
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Asks the server whether it is healthy and stays, over a connection of its own.
+    /// Asks the server over a separate connection whether it is healthy and keeps accepting work.
     pub(crate) fn check_health(&self, shell: &Rc<Shell>, id: Arc<str>, path: Arc<str>) {
         let shell = shell.clone();
         actix_rt::spawn(async move {
@@ -161,7 +161,7 @@
         let pooled = {
             let mut idle = self.idle.borrow_mut();
             if idle.server != backend_run.expected_server {
-                // These lead to an incarnation that is gone.
+                // These lead to a previous incarnation.
                 idle.pool.clear();
                 idle.server = backend_run.expected_server.clone();
             }
--- a/crates/node/src/body.rs
+++ b/crates/node/src/body.rs
@@ -1,4 +1,5 @@
-//! Bodies of callers' requests: whole, in time, and bounded in memory together.
+//! Reads the bodies of callers' requests completely, within a time limit and a shared memory
+//! budget.
 
 use actix_http::HttpMessage;
 use actix_http::Request as HttpRequest;
@@ -11,25 +12,25 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// Bounds of bodies.
+/// Limits for one body.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct BodyLimits {
-    /// The largest body, in bytes.
+    /// Largest body, in bytes.
     pub(crate) max_bytes: usize,
-    /// How long one may take.
+    /// Time limit for receiving the body.
     pub(crate) timeout: Duration,
 }
 
-/// The bytes that all bodies in flight may take up together.
+/// Memory budget shared by all request bodies in flight.
 ///
-/// Each body alone keeps to its bound, but many at once would still take all the memory of a small
+/// A limit per body is not enough: many bodies at once could exhaust the memory of a small
 /// instance, and the kernel would kill the process with every call in it.
 #[derive(Debug, Clone)]
 pub(crate) struct BodyBudget {
     available: Rc<Cell<usize>>,
 }
 
-/// A part of the budget; given back when dropped.
+/// A share of the budget, returned when dropped.
 #[derive(Debug)]
 pub(crate) struct Reservation {
     budget: BodyBudget,
@@ -68,7 +69,7 @@
     }
 }
 
-/// Reads the whole body. Keep the reservation for as long as the body is in use.
+/// Reads the whole body. The reservation must be kept for as long as the body is in use.
 pub(crate) async fn read_body(
     req: &mut HttpRequest,
     limits: BodyLimits,
@@ -77,7 +78,8 @@
     if declared_len(req).is_some_and(|len| len > limits.max_bytes) {
         return Err(Reason::TooLarge);
     }
-    // A caller that sends its body a byte at a time would hold its place in the budget for ever.
+    // Without a time limit, a caller that sends one byte at a time would hold its share of the
+    // budget indefinitely.
     let body = timeout(limits.timeout, collect(req, limits.max_bytes, budget)).await;
     body.unwrap_or(Err(Reason::Deadline))
 }
@@ -101,7 +103,7 @@
     Ok((body.freeze(), reservation))
 }
 
-/// The length that the head announces.
+/// The length declared by the `Content-Length` header.
 fn declared_len(req: &HttpRequest) -> Option<usize> {
     let len = req.headers().get(actix_http::header::CONTENT_LENGTH)?;
     len.to_str().ok()?.parse().ok()
--- a/crates/node/src/caller.rs
+++ b/crates/node/src/caller.rs
@@ -1,4 +1,4 @@
-//! HTTP from callers and from the own backend server.
+//! Serves HTTP requests from callers and from the node's own backend server.
 
 use crate::body;
 use crate::body::BodyLimits;
@@ -25,16 +25,16 @@
 use tokio::net::TcpListener;
 use tokio::time::Instant;
 
-/// The path of the status page; no service has this name.
+/// Path of the status page. `-` is not a valid service name.
 const STATUS_PATH: &str = "/-/status";
 
-/// Serves callers on the listener for ever.
+/// Serves callers on the listener.
 pub(crate) async fn serve_callers(shell: Rc<Shell>, listener: TcpListener) {
     let handler = |shell, req| handle_request(shell, req);
     serve(shell, listener, handler).await;
 }
 
-/// Serves HTTP/1.1 on the listener for ever.
+/// Accepts connections on the listener and serves HTTP/1.1 on each.
 pub(crate) async fn serve<F>(
     shell: Rc<Shell>,
     listener: TcpListener,
@@ -45,7 +45,7 @@
     let cfg = ServiceConfig::default();
     loop {
         let Ok((stream, peer)) = listener.accept().await else {
-            // Out of file descriptors, most likely; do not spin.
+            // Most likely out of file descriptors; back off instead of spinning.
             tokio::time::sleep(Duration::from_millis(10)).await;
             continue;
         };
@@ -65,8 +65,8 @@
     }
 }
 
-/// Why a head was refused before it reached the handler: with 400, 408 or 431, and without an
-/// outcome header.
+/// The counted reason for a request head that was rejected before it reached the handler. The
+/// response has status 400, 408 or 431 and no outcome header.
 fn rejection_reason(e: &ConnectionError) -> Option<Reason> {
     match e {
         ConnectionError::Parse(ParseError::TooLarge) => Some(Reason::TooLarge),
@@ -76,7 +76,7 @@
     }
 }
 
-/// Tells the engine that nobody waits any more, unless the answer was delivered.
+/// Reports to the engine that the caller is gone, unless the answer was delivered.
 struct CancelGuard {
     shell: Rc<Shell>,
     token: Option<RequestToken>,
@@ -90,7 +90,7 @@
     }
 }
 
-/// Serves counters and times.
+/// Serves counters and latency quantiles.
 pub(crate) async fn handle_metrics(shell: Rc<Shell>, _req: HttpRequest) -> HttpResponse<BoxBody> {
     HttpResponse::build(StatusCode::OK)
         .body(shell.metrics.render())
@@ -140,7 +140,7 @@
     (shell.dialect.respond)(&id, reply)
 }
 
-/// Reads a request whole. The reservation is for its body.
+/// Reads a complete request. The reservation covers its body.
 async fn read_request(
     shell: &Shell,
     req: &mut HttpRequest,
--- a/crates/node/src/clock.rs
+++ b/crates/node/src/clock.rs
@@ -1,9 +1,10 @@
-//! The node's time: the runtime's clock, and the time for which the machine was suspended.
+//! The node's time: the runtime's clock, plus the time for which the machine was suspended.
 //!
-//! A suspended machine's steady clock stands still. Woken up, a node that goes by it alone takes all that it
-//! knew for fresh: a home would start an order by a lease that has long gone to another, which one
-//! would notice as a doubled order, and callers who have left would be served. The boot-time clock goes
-//! on, so what it gained on the steady one is added.
+//! The monotonic clock stops while a machine is suspended. A node that relied on it alone would
+//! take all its state for fresh after waking up: it would start an order under a lease that has
+//! long passed to another node, which would run the order twice, and it would serve callers that
+//! have left. The boot-time clock keeps running, so the time it gained on the monotonic clock is
+//! added.
 
 use nix::time::clock_gettime;
 use nix::time::ClockId;
@@ -15,24 +16,25 @@
 #[cfg(test)]
 mod tests;
 
-/// The two clocks are read one after the other. A smaller gain is only the time in between.
+/// The two clocks are read one after the other, so a smaller gain is only the time between the
+/// reads.
 const MIN_SUSPENSION: Duration = Duration::from_millis(10);
 
-/// Tells by how much the boot-time clock is ahead of the steady one.
+/// Returns how far the boot-time clock is ahead of the monotonic clock.
 type BootTimeOffset = dyn Fn() -> Duration;
 
-/// A clock that begins at zero and never goes back.
+/// A clock that starts at zero and never goes back.
 pub(crate) struct Clock {
     origin: Instant,
     boot_offset: Box<BootTimeOffset>,
     initial_offset: Duration,
     suspended: Cell<Duration>,
-    /// The part of it that was told.
+    /// The part of `suspended` that [`Clock::take_suspension`] has returned so far.
     reported: Cell<Duration>,
 }
 
 impl Clock {
-    /// The clock of this machine.
+    /// Creates a clock that uses the system's clocks.
     pub(crate) fn new() -> Self {
         Self::with_boot_offset(Box::new(system_boot_offset))
     }
@@ -47,25 +49,26 @@
         }
     }
 
-    /// The present time.
+    /// The current time.
     pub(crate) fn now(&self) -> Time {
         self.update_suspended();
         self.now_without_update()
     }
 
-    /// The present time by the last comparison of the clocks, for those who have just made one.
+    /// The current time without comparing the clocks again, for callers that have just done so.
     pub(crate) fn now_without_update(&self) -> Time {
         Time::ZERO + self.origin.elapsed() + self.suspended.get()
     }
 
-    /// When the runtime's clock will show this time, if the machine is not suspended meanwhile.
+    /// When the runtime's clock will reach this time, provided that the machine is not suspended
+    /// before.
     pub(crate) fn to_instant(&self, at: Time) -> Instant {
         let since = at.since(Time::ZERO).saturating_sub(self.suspended.get());
         self.origin + since
     }
 
-    /// For how long the machine was suspended since this was last asked, if it was. Whoever asks for
-    /// the time in between does not take the answer away.
+    /// How long the machine was suspended since the last call of this method, or `None` if it was
+    /// not. Calls of [`Clock::now`] in between do not consume the suspension.
     pub(crate) fn take_suspension(&self) -> Option<Duration> {
         self.update_suspended();
         let suspended = self.suspended.get();
@@ -81,7 +84,7 @@
     }
 }
 
-/// None where the system has no such clock: then nothing is known of suspensions.
+/// Zero if the system has no boot-time clock; suspensions then go unnoticed.
 fn system_boot_offset() -> Duration {
     let read = |clock| clock_gettime(clock).map(Duration::from);
     match (
--- a/crates/node/src/clock/tests.rs
+++ b/crates/node/src/clock/tests.rs
@@ -1,4 +1,4 @@
-//! The node's time on the runtime's paused clock, with a boot-time clock of the test's own.
+//! Tests the clock on the runtime's paused clock, with a simulated boot-time clock.
 
 use super::Clock;
 use std::cell::Cell;
@@ -10,7 +10,7 @@
     Duration::from_millis(ms)
 }
 
-/// A clock, and the lead of its boot-time clock.
+/// A clock, and the offset of its simulated boot-time clock.
 fn clock() -> (Clock, Rc<Cell<Duration>>) {
     let boot_offset = Rc::new(Cell::new(ms(70_000)));
     let test_offset = boot_offset.clone();
@@ -20,8 +20,8 @@
     )
 }
 
-/// A machine is suspended for five seconds, and its steady clock does not count them. A lease of three
-/// seconds must be over when it wakes, or two nodes would start the same order.
+/// A machine is suspended for five seconds, which its monotonic clock does not count. A lease of
+/// three seconds must have expired when it wakes up, or two nodes would start the same order.
 #[tokio::test(start_paused = true)]
 async fn time_includes_suspension() {
     let (clock, boot_offset) = clock();
@@ -33,8 +33,8 @@
     assert_eq!(clock.now(), Time::ZERO + ms(5_150));
 }
 
-/// The two clocks are not read at once, so their distance is never quite the same. Time must not
-/// go back for that.
+/// The two clocks are not read at the same instant, so their difference varies slightly. This must
+/// not make time go back.
 #[tokio::test(start_paused = true)]
 async fn small_clock_differences_are_ignored() {
     let (clock, boot_offset) = clock();
@@ -50,7 +50,7 @@
     assert_eq!(clock.now(), Time::ZERO + ms(1_000));
 }
 
-/// A timer that is due after the suspension fires when the runtime's clock has come as far as is left.
+/// After a suspension, a timer fires when the runtime's clock has advanced by the remaining time.
 #[tokio::test(start_paused = true)]
 async fn timer_deadlines_account_for_suspension() {
     let (clock, boot_offset) = clock();
@@ -63,8 +63,8 @@
     );
 }
 
-/// Something else asks for the time first after the machine has woken, a gauge for example. The
-/// suspension must be told all the same, or the store would not be read anew.
+/// After wake-up something else, such as a gauge, reads the time first. The suspension must still
+/// be reported, or the store would not be read again.
 #[tokio::test(start_paused = true)]
 async fn reading_the_time_does_not_consume_a_suspension() {
     let (clock, boot_offset) = clock();
--- a/crates/node/src/dialect.rs
+++ b/crates/node/src/dialect.rs
@@ -1,7 +1,8 @@
-//! How requests and answers look: to callers, and to the own backend server.
+//! HTTP representation of requests and responses, towards callers and the node's own backend
+//! server.
 //!
-//! The engine knows requests, outcomes and refusals. Which headers and statuses carry them differs
-//! from one deployment to another, and is said here by functions.
+//! The engine works on requests, outcomes and refusals. Which headers and statuses carry them
+//! depends on the deployment; each `Dialect` maps them with a set of functions.
 
 mod native;
 mod platform;
@@ -24,7 +25,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What the head of a request from a caller says.
+/// The head of a caller's request.
 #[derive(Debug)]
 pub(crate) struct RequestHead {
     pub(crate) caller: Arc<str>,
@@ -37,11 +38,11 @@
     pub(crate) request: Request,
 }
 
-/// An answer to a caller.
+/// The answer to a caller.
 #[derive(Debug)]
 pub(crate) struct Reply {
     pub(crate) outcome: Outcome,
-    /// The key that was made for the request.
+    /// The idempotency key that the node generated for the request.
     pub(crate) generated_key: Option<Arc<str>>,
 }
 
@@ -54,7 +55,7 @@
     }
 }
 
-/// A run as the own backend server is to see it.
+/// A run as it is sent to the node's own backend server.
 #[derive(Debug)]
 pub(crate) struct OutgoingRun<'a> {
     pub(crate) id: RunId,
@@ -67,26 +68,27 @@
 type RejectHead = dyn Fn(&HttpRequest, Reason) -> HttpResponse<BoxBody>;
 type Respond = dyn Fn(&str, Reply) -> HttpResponse<BoxBody>;
 
-/// How requests and answers look.
+/// Maps requests and responses to HTTP for one kind of deployment.
 pub(crate) struct Dialect {
-    /// Reads a request's head.
+    /// Parses a request head.
     pub(crate) read_head: Box<ReadHead>,
-    /// Answers a request that could not be read.
+    /// Builds the response to a request that could not be read.
     pub(crate) reject_head: Box<RejectHead>,
-    /// Answers a request with this id.
+    /// Builds the response to the request with this id.
     pub(crate) respond: Box<Respond>,
-    /// Writes a request to the own backend server.
+    /// Encodes a request to the backend server.
     pub(crate) encode_run: Box<dyn Fn(&OutgoingRun<'_>) -> BytesMut>,
-    /// Asks the own backend server at a path whether it is healthy and stays.
+    /// Encodes a health check of the backend server, from path and host.
     pub(crate) encode_health_check: fn(&str, &str) -> BytesMut,
-    /// Whether it says that this incarnation is.
+    /// Whether the response to a health check says that this incarnation is healthy and keeps
+    /// accepting work.
     pub(crate) is_healthy: fn(&Whole, &str) -> bool,
-    /// Whether a response of the server belongs to the request.
+    /// Whether a response of the backend server belongs to the request.
     pub(crate) matches_request: fn(&HeaderMap, &Request) -> bool,
-    /// What a whole response says of its run.
+    /// Derives the result of a run from its complete response.
     pub(crate) classify_response: Box<dyn Fn(Whole) -> RunEnd>,
-    /// What the caller gets in place of a response that is too large. The work is done; taken for a
-    /// broken connection, it would be run again, and its request be held for one that crashes
+    /// What the caller gets instead of a response that is too large. The work is done; if this
+    /// counted as a broken connection, the request would run again and be suspected of crashing
     /// servers.
     pub(crate) oversized_response: fn() -> Response,
 }
@@ -100,7 +102,7 @@
     }
 }
 
-/// A request whose body is still to come.
+/// A request whose body has not been read yet.
 fn request_without_body(
     req: &HttpRequest,
     path: Arc<str>,
--- a/crates/node/src/dialect/native.rs
+++ b/crates/node/src/dialect/native.rs
@@ -1,4 +1,5 @@
-//! The product's own interface: `/SERVICE/REST`, and headers that begin with `bilberry`.
+//! The native HTTP interface: paths of the form `/SERVICE/REST`, and headers that start with
+//! `bilberry`.
 
 use super::request_without_body;
 use super::Dialect;
@@ -31,32 +32,32 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Says how a call ended: `whole`, `not-run` or `unknown`.
+/// How a call ended: `whole`, `not-run` or `unknown`.
 const OUTCOME_HEADER: &str = "bilberry-outcome";
 
-/// Says `not-run` if this attempt certainly did not run, whatever an earlier one with the same key
-/// did.
+/// `not-run` if this attempt certainly did not run, regardless of earlier attempts with the same
+/// key.
 const ATTEMPT_HEADER: &str = "bilberry-attempt";
 
-/// When to ask again with the same key what became of a call, in seconds.
+/// When to repeat a call with an unknown outcome, with the same key, in seconds.
 const UNKNOWN_RETRY_AFTER: &str = "1";
 
-/// Says why a call did not end whole.
+/// Why a call did not complete.
 const REASON_HEADER: &str = "bilberry-reason";
 
-/// The caller's key, and the one that the node made.
+/// The caller's idempotency key, or the one that the node generated.
 const KEY_HEADER: &str = "idempotency-key";
 
-/// Copied by the backend server from the call it serves to the calls it makes.
+/// Copied by the backend server from the request it serves to the requests it makes.
 const CONTEXT_HEADER: &str = "bilberry-context";
 
-/// Milliseconds that the backend server has for its answer.
+/// The time that the backend server has for its response, in milliseconds.
 const DEADLINE_HEADER: &str = "bilberry-deadline-ms";
 
-/// Headers that this node sets itself.
+/// Headers that the node sets itself, removed from the backend server's responses.
 const NODE_SET_HEADERS: [&str; 3] = [CONTEXT_HEADER, DEADLINE_HEADER, ORGANISATION_HEADER];
 
-/// Headers of requests that are not passed on: those, and the organisation's key.
+/// Headers of requests that are not passed on: those, and the organisation's API key.
 const STRIPPED_REQUEST_HEADERS: [&str; 4] = [
     CONTEXT_HEADER,
     DEADLINE_HEADER,
@@ -64,10 +65,10 @@
     "authorization",
 ];
 
-/// The organisation that a request is from, for the backend server.
+/// The organisation that sent the request, for the backend server.
 const ORGANISATION_HEADER: &str = "bilberry-organisation";
 
-/// What comes before an organisation's key (RFC 6750, 2.1).
+/// Prefix of an organisation's API key (RFC 6750, 2.1).
 const BEARER_PREFIX: &str = "Bearer ";
 
 pub(super) fn dialect(settings: &Settings) -> Dialect {
@@ -155,7 +156,7 @@
     })
 }
 
-/// What a caller gets whose answer is larger than allowed.
+/// The response to a caller whose actual response exceeds the size limit.
 fn oversized_response() -> Response {
     Response {
         status: StatusCode::BAD_GATEWAY.as_u16(),
@@ -164,7 +165,7 @@
     }
 }
 
-/// `/SERVICE/REST` asks `SERVICE` for `/REST`.
+/// Splits `/SERVICE/REST` into the service and `/REST`.
 fn split_target(req: &HttpRequest) -> Result<(Arc<str>, Arc<str>), Reason> {
     let path = req.uri().path_and_query().map_or("/", |path| path.as_str());
     let path = path.strip_prefix('/').unwrap_or(path);
@@ -172,8 +173,8 @@
     Ok((service.into(), format!("/{rest}").into()))
 }
 
-/// The milliseconds that the caller has. A value that is no number is an error: taken for none, the
-/// work would go on long after the caller has gone.
+/// Reads the caller's time limit from its header. An invalid value is an error: if it were ignored,
+/// the work would continue long after the caller has left.
 fn read_caller_timeout(req: &HttpRequest) -> Result<Option<Duration>, Reason> {
     let Some(text) = optional_header(req, DEADLINE_HEADER, Reason::BadRequest)? else {
         return Ok(None);
--- a/crates/node/src/dialect/platform.rs
+++ b/crates/node/src/dialect/platform.rs
@@ -1,4 +1,4 @@
-//! The users' platform, by the package that knows its words.
+//! The HTTP interface of the users' platform; the `platform` package defines its names and formats.
 
 use super::request_without_body;
 use super::Dialect;
@@ -21,7 +21,7 @@
 use proto::Response;
 use std::time::Duration;
 
-/// When a request that could not be read may come again.
+/// When a caller may retry a request that could not be read.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 pub(super) fn dialect(settings: &Settings) -> Dialect {
@@ -69,7 +69,8 @@
     platform::respond(id, &reply.outcome)
 }
 
-/// What a client gets whose answer is larger than allowed: nothing is promised by it.
+/// The response to a client whose actual response exceeds the size limit. The status does not claim
+/// that the request was not run.
 fn oversized_response() -> Response {
     Response {
         status: StatusCode::BAD_GATEWAY.as_u16(),
--- a/crates/node/src/events.rs
+++ b/crates/node/src/events.rs
@@ -1,5 +1,5 @@
-//! The log: `key=value` lines. Decisions about requests that did not end whole, and changes of what
-//! this node believes, at info; whole requests at debug.
+//! The log: `key=value` lines. Decisions about requests that did not succeed and changes of the
+//! node's state are logged at info, successful requests at debug.
 
 use crate::shell::Shell;
 use engine::Counter;
@@ -10,11 +10,11 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The most decisions about requests that are written in a second. Under overload each request is
-/// refused in its own right; written without a bound, the lines would cost more than the requests.
+/// Most decisions about requests that are logged per second. Under overload every request is
+/// refused individually; without a limit the log lines would cost more than the requests.
 const MAX_PER_SECOND: u32 = 50;
 
-/// Bounds the lines about requests.
+/// Limits the rate of log lines about requests.
 #[derive(Debug)]
 pub(crate) struct LogRateLimiter {
     window_start: Cell<Instant>,
@@ -31,7 +31,8 @@
         }
     }
 
-    /// Whether one more line may be written. Tells how many were left out before.
+    /// Whether another line may be logged. Also reports how many lines were suppressed in the last
+    /// window.
     fn admit(&self) -> bool {
         if self.window_start.get().elapsed() >= Duration::from_secs(1) {
             self.window_start.set(Instant::now());
@@ -50,7 +51,7 @@
     }
 }
 
-/// Writes down what the engine asks for, where an operator would want to know.
+/// Logs an engine output if it is of interest to an operator.
 pub(crate) fn log_output(shell: &Shell, output: &Output) {
     match output {
         Output::Diagnostic(diagnostic) => log_diagnostic(shell, diagnostic),
@@ -66,7 +67,7 @@
             matches!(outcome, OutcomeSummary::Whole(status) if *status < 500)
         }
         Diagnostic::Refused { .. } => false,
-        // Changes of belief are rare.
+        // Changes of the node's view of others are rare, so these lines are not limited.
         Diagnostic::Peer { .. }
         | Diagnostic::Peers { .. }
         | Diagnostic::OwnServer { .. }
--- a/crates/node/src/fetch.rs
+++ b/crates/node/src/fetch.rs
@@ -1,5 +1,5 @@
-//! One question and its answer, over a connection of its own: rules and views, for a node that the
-//! store does not answer, and the status page, for the operator's tool.
+//! One request and its response over a separate connection between nodes: rules and views for a
+//! node that cannot reach the store, and the status page for the operator's tool.
 
 use crate::framing;
 use crate::framing::FramedStream;
@@ -15,10 +15,11 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// How long a fetch may take.
+/// Time-out for each exchange.
 const FETCH_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Asks the node at `addr`. It may be any incarnation, because a contact address names none.
+/// Fetches state from the node at `addr`. Any incarnation may answer, because a contact address
+/// does not identify one.
 pub(crate) fn fetch_state(shell: &Rc<Shell>, addr: SocketAddr, known: SyncProgress) {
     let shell = shell.clone();
     actix_rt::spawn(async move {
@@ -45,7 +46,7 @@
     }
 }
 
-/// Answers one question; a node that knows nothing newer just closes.
+/// Serves one request. Closes the connection without a response if this node has no newer state.
 pub(crate) async fn serve_request(shell: &Shell, stream: &mut FramedStream) {
     let answer = match timeout(FETCH_TIMEOUT, framing::read_frame(stream)).await {
         Ok(Ok(Frame::FetchState(known))) => shell
--- a/crates/node/src/framing.rs
+++ b/crates/node/src/framing.rs
@@ -1,4 +1,5 @@
-//! Frames on a TCP connection: length-delimited `postcard`, with note of every byte that passes.
+//! Frames on a TCP connection: length-delimited `postcard`, with the time of the last byte in each
+//! direction.
 
 use bytes::Bytes;
 use bytes::BytesMut;
@@ -26,15 +27,15 @@
 
 pub(crate) type FramedStream = Framed<MeteredStream, LengthDelimitedCodec>;
 
-/// When bytes last passed each way. A large frame on a slow path takes long and is still a sign of
-/// life, which whole frames alone would not show.
+/// When bytes last passed in each direction. A large frame on a slow connection takes long but
+/// proves that the peer is alive, which complete frames alone would not show.
 #[derive(Clone)]
 pub(crate) struct Progress {
     pub(crate) last_read: Rc<Cell<Instant>>,
     pub(crate) last_write: Rc<Cell<Instant>>,
 }
 
-/// A TCP stream that notes its progress.
+/// A TCP stream that records its progress.
 pub(crate) struct MeteredStream {
     stream: TcpStream,
     progress: Progress,
@@ -46,14 +47,14 @@
     }
 }
 
-/// Why there is no next frame.
+/// Why no further frame could be read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ReadError {
-    /// The connection is closed or broken, perhaps in the middle of a frame.
+    /// The connection is closed or broken, possibly in the middle of a frame.
     Closed,
-    /// The frame says that it is larger than any may be.
+    /// The declared length exceeds [`MAX_FRAME`].
     TooLarge,
-    /// The bytes are no frame.
+    /// The bytes do not decode to a frame.
     Malformed,
 }
 
@@ -69,7 +70,7 @@
         .new_framed(MeteredStream { stream, progress })
 }
 
-/// Reads one frame. A frame that was cut off is an error, never a shorter frame.
+/// Reads one frame. A truncated frame is an error, never a shorter frame.
 pub(crate) async fn read_frame<S>(stream: &mut S) -> Result<Frame, ReadError>
 where
     S: Stream<Item = io::Result<BytesMut>> + Unpin,
@@ -77,7 +78,7 @@
     match stream.next().await {
         None => Err(ReadError::Closed),
         Some(Ok(bytes)) => proto::decode(&bytes).map_err(|_| ReadError::Malformed),
-        // The codec's own error is about the length; all others are the connection's.
+        // The codec itself only fails on the length; all other errors come from the connection.
         Some(Err(e)) if e.kind() == io::ErrorKind::InvalidData => Err(ReadError::TooLarge),
         Some(Err(_)) => Err(ReadError::Closed),
     }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,7 +1,8 @@
-//! The shell around the engine: sockets, the clock, settings, logs and metrics.
+//! I/O layer around the sans-I/O `engine`: sockets, the clock, settings, logs and metrics.
 //!
-//! It takes no decisions: whatever happens becomes an `engine::Input`, and whatever the engine asks
-//! for is done. One thread, one `actix-rt` system.
+//! It makes no decisions: every event becomes an `engine::Input`, and every `engine::Output` is
+//! executed as given. Everything runs on one thread, in one `actix-rt` system; only log lines are
+//! written by a second thread.
 
 mod backend;
 mod body;
--- a/crates/node/src/link.rs
+++ b/crates/node/src/link.rs
@@ -1,8 +1,8 @@
-//! One connection between two nodes: frames both ways, and whether the other end is still there.
+//! A connection between two nodes: carries frames in both directions and monitors the other end.
 //!
-//! Slow is not dead: only an end that sends nothing at all, not even part of a frame, after it was
-//! asked something is taken for silent. Reading and writing do not wait for each other, so a peer
-//! that does not read cannot keep this end from hearing it, or from giving up on it.
+//! A slow peer is not dead: it is only considered silent if it sends nothing at all, not even part
+//! of a frame, after this end has sent something. Reading and writing do not block each other, so
+//! this end still hears a peer that does not read, and can still close the link.
 
 use crate::framing::read_frame;
 use crate::framing::FramedStream;
@@ -32,65 +32,65 @@
 #[cfg(test)]
 mod tests;
 
-/// The most frames that wait for a link.
+/// Most frames queued for a link.
 const MAX_QUEUED_FRAMES: usize = 1024;
 
-/// The most bytes that wait for a link.
+/// Most bytes queued for a link.
 const MAX_QUEUED_BYTES: usize = 16 << 20;
 
-/// How long the other end may take to say anything before it is pinged.
+/// How long the peer may stay silent before it is pinged.
 const PING_DELAY: Duration = Duration::from_millis(150);
 
-/// After how long without any sign, a ping included, no new calls are to go there. A process that lives
-/// answers a ping within the way there and back, 40 ms between regions. With only [`SILENT_AFTER`],
-/// a machine that stands still keeps all that is sent to it in two seconds.
+/// How long the peer may stay silent, even to a ping, before it gets no new calls. A live process
+/// answers within the round trip, 40 ms between regions. With [`SILENT_TIMEOUT`] alone, a machine
+/// that is paused would hold up everything sent to it for two seconds.
 const QUIET_TIMEOUT: Duration = Duration::from_millis(350);
 
-/// How often a link is looked at while something is awaited, and else.
+/// How often a link is checked: while an answer is outstanding, and while it is idle.
 const MONITOR_INTERVAL: Duration = Duration::from_millis(100);
 const IDLE_MONITOR_INTERVAL: Duration = Duration::from_millis(250);
 
-/// How long it may be silent, pings included, before the link is given up.
+/// How long the peer may stay silent, even to pings, before the link is closed.
 const SILENT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How long a write may make no progress. The other end may be alive but not reading.
+/// How long a write may make no progress. The peer may be alive but not reading.
 const WRITE_STALL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A link on which nothing happens is closed after this time.
+/// An unused link is closed after this time.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A link that another one has taken the place of is closed when it was quiet for this long.
+/// A link replaced by another one is closed after being unused for this long.
 const RETIRED_IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Why a link has ended.
+/// Why a link ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum LinkEnd {
-    /// The other end closed it, or the connection broke.
+    /// The peer closed the connection, or it broke.
     Closed,
-    /// Nothing was heard after something was asked.
+    /// The peer was silent after something was sent to it.
     Silent,
     /// A write made no progress.
     Stalled,
-    /// Nothing happened on it for long.
+    /// The link was unused.
     Idle,
-    /// What came is no frame.
+    /// The peer sent bytes that are not a frame.
     Broken,
-    /// This end gave it up, because an answer did not fit into its queue.
+    /// This end closed the link because an answer did not fit into the send queue.
     GivenUp,
 }
 
-/// A frame did not fit.
+/// The send queue has no room for this frame.
 pub(crate) struct SendQueueFull(pub(crate) Frame);
 
-/// What waits to be written on one link, and what this end waits to hear on it.
+/// Frames waiting to be written to one link, and calls whose answers are expected on it.
 #[derive(Default)]
 pub(crate) struct SendQueue {
-    /// Frames, encoded; with the id if it is a call.
+    /// Encoded frames, with the id if the frame is a call.
     frames: RefCell<VecDeque<(Option<CallId>, Bytes)>>,
-    /// Calls among them.
+    /// Calls that are still in `frames`.
     queued_calls: RefCell<IndexSet<CallId>>,
     bytes: Cell<usize>,
-    /// Calls whose answers are to come on this link.
+    /// Calls whose answers are expected on this link.
     awaited_calls: RefCell<IndexSet<CallId>>,
     wake: Notify,
     pending_pong: Cell<Option<u64>>,
@@ -101,8 +101,8 @@
 
 impl SendQueue {
     pub(crate) fn push(&self, frame: Frame, encoded: Bytes) -> Result<(), SendQueueFull> {
-        // A call that still waits here is not needed twice; it comes again when another link to the
-        // same peer is lost.
+        // A call that is still queued need not be queued again; that happens when another link to
+        // the same peer is lost.
         if let Frame::Call(call) = &frame {
             if self.queued_calls.borrow().contains(&call.id) {
                 return Ok(());
@@ -141,7 +141,7 @@
         Some(bytes)
     }
 
-    /// Takes out what was not written.
+    /// Removes and returns the frames that were not written.
     pub(crate) fn drain(&self) -> Vec<Frame> {
         let unsent = std::iter::from_fn(|| self.pop());
         unsent
@@ -149,17 +149,17 @@
             .collect()
     }
 
-    /// Whether frames wait to be written.
+    /// Whether any frames are still to be written.
     pub(crate) fn has_unsent(&self) -> bool {
         !self.frames.borrow().is_empty()
     }
 
-    /// Another link has taken this one's place: it only finishes what is under way.
+    /// Marks the link as replaced: it only completes what is in flight.
     pub(crate) fn retire(&self) {
         self.retired.set(true);
     }
 
-    /// Ends the link.
+    /// Closes the link.
     pub(crate) fn abort(&self) {
         self.aborted.notify_one();
     }
@@ -174,7 +174,7 @@
         self.wake.notify_one();
     }
 
-    /// The next frame to write; what keeps the link alive goes first.
+    /// The next frame to write. Pings and pongs go first, because they keep the link alive.
     fn next_frame(&self) -> Option<Bytes> {
         if let Some(n) = self.pending_pong.take() {
             return Some(encode(&Frame::Pong(n)));
@@ -188,17 +188,17 @@
 
 /// When things last happened on a link.
 struct LinkActivity {
-    /// The first write since the other end was last heard.
+    /// The first write since bytes were last received.
     unanswered_since: Cell<Option<Instant>>,
-    /// When a frame other than a ping or pong last passed.
+    /// When a frame other than a ping or pong was last sent or received.
     last_used: Cell<Instant>,
-    /// When the write that is under way began.
+    /// When the current write started.
     write_started: Cell<Option<Instant>>,
-    /// When the last whole frame was read.
+    /// When the last complete frame was received.
     last_frame: Cell<Instant>,
 }
 
-/// Carries frames both ways until the link ends.
+/// Carries frames in both directions until the link ends.
 pub(crate) async fn transfer_frames(
     shell: &Rc<Shell>,
     peer: Incarnation,
@@ -277,7 +277,7 @@
     }
 }
 
-/// Writes a frame and all that wait behind it, then flushes once.
+/// Writes a frame and everything queued behind it, then flushes once.
 async fn write_batch(
     sink: &mut SplitSink<FramedStream, Bytes>,
     first: Bytes,
@@ -299,10 +299,10 @@
     sink.flush().await
 }
 
-/// Pings and pongs are no longer than this; they do not count as use.
+/// Longest encoded ping or pong; frames up to this length do not count as use of the link.
 const MAX_PING_LEN: usize = 11;
 
-/// Pings the other end when something is awaited, and ends the link when it must.
+/// Pings the peer while an answer is outstanding, and ends the link on a time-out.
 async fn monitor(
     shell: &Rc<Shell>,
     peer: Incarnation,
@@ -329,14 +329,14 @@
         {
             activity.unanswered_since.set(None);
         }
-        // A large frame that still gets on is as good as an answer.
+        // A large frame that still makes progress counts as a sign of life.
         let last_progress = |began: Instant| began.max(progress.last_write.get());
         let write_progress = activity.write_started.get().map(last_progress);
         if write_progress.is_some_and(|at| now - at >= WRITE_STALL_TIMEOUT) {
             return LinkEnd::Stalled;
         }
         let awaits_answer = !queue.awaited_calls.borrow().is_empty();
-        // A write that hangs has asked something too, though the end was heard after it began.
+        // A write that hangs is unanswered as well, even if the peer was heard after it started.
         let unanswered_since = match (activity.unanswered_since.get(), write_progress) {
             (Some(since), Some(write_progress)) => Some(since.max(write_progress)),
             (since, write_progress) => since.or(write_progress),
@@ -357,8 +357,8 @@
             None if awaits_answer && now - last_read >= PING_DELAY => queue.send_ping(),
             _ => {}
         }
-        // Part of a large frame has come. The other end hears nothing before it is whole, and would
-        // take this end for silent.
+        // Part of a large frame has arrived. Until it is complete the peer would hear nothing and
+        // consider this end silent.
         if last_read > activity.last_frame.get() {
             queue.answer_ping(0);
         }
@@ -378,7 +378,7 @@
     Bytes::from(proto::encode(frame))
 }
 
-/// Runs a link from its start to its end, and tells the engine what became of what was sent.
+/// Runs a link from start to end, and reports to the engine what happened to the frames sent on it.
 pub(crate) async fn run(
     shell: Rc<Shell>,
     peer: Incarnation,
@@ -394,8 +394,8 @@
         LinkEnd::Closed | LinkEnd::Idle | LinkEnd::Broken | LinkEnd::GivenUp => {}
     }
     shell.peers().close(peer, link_id, end);
-    // What was never written certainly did not arrive. It has to be said before the loss, which
-    // would send it again as if it might have.
+    // Frames that were never written certainly did not arrive. This must be reported before the
+    // loss of the link; afterwards they would be sent again as calls that may have run.
     Peers::requeue_or_report(&shell, peer, queue.drain());
     shell.handle_input(Input::PeerLost(peer));
 }
--- a/crates/node/src/link/tests.rs
+++ b/crates/node/src/link/tests.rs
@@ -1,4 +1,4 @@
-//! What waits for a link.
+//! Tests of the send queue of a link.
 
 use super::SendQueue;
 use super::SendQueueFull;
@@ -36,7 +36,7 @@
     }))
 }
 
-/// Pushes calls of this size, and checks how many fit and that these come out again in order.
+/// Pushes calls of this size; checks how many are accepted and that they are drained in order.
 fn check(size: usize, calls: u64, expected: usize) {
     let queue = SendQueue::default();
     let mut accepted = Vec::new();
@@ -52,7 +52,7 @@
     assert_eq!(queue.drain(), []);
 }
 
-/// A peer does not read, and its link's queue would take the node's memory call by call.
+/// A peer does not read. Without bounds, its send queue would use up the node's memory.
 #[test]
 fn a_queue_is_bounded_by_frames_and_by_bytes() {
     check(10, 3, 3);
@@ -60,7 +60,7 @@
     check(1 << 20, 40, 15);
 }
 
-/// A link is lost while a call waits for the one that took its place, and the call comes again.
+/// A link is lost while a call is still queued on its replacement, so the call is pushed again.
 #[test]
 fn a_queued_call_is_not_queued_again() {
     let queue = SendQueue::default();
--- a/crates/node/src/log_queue.rs
+++ b/crates/node/src/log_queue.rs
@@ -1,7 +1,7 @@
-//! Log lines on their way out: bounded, and written by a thread of their own.
+//! A bounded queue of log lines, written by a separate thread.
 //!
-//! Whoever reads the output may stop reading. A node that then waits in the middle of a decision
-//! would take its callers with it, so lines that find no room are dropped and counted.
+//! The reader of the output may stall. A node that blocked on it in the middle of a decision would
+//! stall its callers too, so lines that do not fit are dropped and counted.
 
 use log4rs::append::Append;
 use log4rs::encode::writer::simple::SimpleWriter;
@@ -15,10 +15,10 @@
 use std::sync::mpsc::SyncSender;
 use std::sync::mpsc::TrySendError;
 
-/// Lines that may wait; with some 300 bytes each, about half a megabyte.
+/// Most queued lines; at about 300 bytes each, roughly half a megabyte.
 const MAX_LINES: usize = 2048;
 
-/// An appender that never waits.
+/// A log4rs appender that never blocks.
 pub struct LogQueue {
     encoder: Box<dyn Encode>,
     tx: SyncSender<Vec<u8>>,
@@ -26,7 +26,7 @@
 }
 
 impl LogQueue {
-    /// An appender whose lines `out` gets, from a thread of its own.
+    /// Creates an appender that writes to `out` from a separate thread.
     pub fn new<W>(encoder: Box<dyn Encode>, out: W) -> Self
     where
         W: Write + Send + 'static,
@@ -40,7 +40,8 @@
         }
     }
 
-    /// Sends a line that stands for so many dropped ones, itself included if it finds no room.
+    /// Queues a line. If it does not fit, `line_count` lines count as dropped: the line itself, or
+    /// the dropped lines that it reports.
     fn send(&self, line: Vec<u8>, line_count: u64) {
         if let Err(TrySendError::Full(_)) = self.tx.try_send(line) {
             self.dropped.fetch_add(line_count, Ordering::Relaxed);
@@ -70,8 +71,7 @@
     fn flush(&self) {}
 }
 
-/// Writes lines until the last sender is gone or nobody reads any more. What waits goes out in one
-/// write.
+/// Writes lines until all senders are gone or writing fails. All queued lines go out in one write.
 fn write_lines(rx: &Receiver<Vec<u8>>, mut out: impl Write) {
     while let Ok(mut lines) = rx.recv() {
         while let Ok(line) = rx.try_recv() {
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -1,4 +1,4 @@
-//! `bilberry-node`: the process beside a backend server instance.
+//! `bilberry-node`: the process that runs beside a backend server instance.
 
 use bilberry_node::start;
 use bilberry_node::LogQueue;
@@ -16,11 +16,11 @@
 use tokio::signal::unix::signal;
 use tokio::signal::unix::SignalKind;
 
-/// The exit code for bad arguments or settings.
+/// Exit code for invalid arguments or settings.
 const EXIT_USAGE: u8 = 2;
 
-/// The exit code of a node that stopped because the others had evicted it. Whoever keeps the process
-/// running should start it again.
+/// Exit code of a node that stopped because its peers evicted it. The process supervisor should
+/// restart it.
 const EXIT_EVICTED: u8 = 3;
 
 const LOG_PATTERN: &str = "{d(%Y-%m-%dT%H:%M:%S%.3fZ)(utc)} {l} {t} {m}{n}";
@@ -32,7 +32,7 @@
     #[options(help = "print the version")]
     version: bool,
     #[options(
-        help = "for experiments only: run without this mechanism; may be repeated",
+        help = "disable this mechanism, for experiments only; may be repeated",
         meta = "MECHANISM"
     )]
     without: Vec<String>,
@@ -61,7 +61,7 @@
         Ok(settings) => settings,
         Err(name) => {
             let names = Switches::NAMES.join(", ");
-            eprintln!("--without {name}: takes one of {names}");
+            eprintln!("--without {name}: unknown mechanism, expected one of {names}");
             return ExitCode::from(EXIT_USAGE);
         }
     };
@@ -69,7 +69,7 @@
     actix_rt::System::new().block_on(run(path, settings))
 }
 
-/// Switches mechanisms off; fails with the first name that is none.
+/// Disables the named mechanisms; fails with the first name that is not a mechanism.
 fn disable_mechanisms(mut settings: Settings, names: &[String]) -> Result<Settings, String> {
     for name in names {
         let switches = settings.switches.without(name);
@@ -88,11 +88,11 @@
     };
     println!("{}", listening_line(&node));
     let Ok(mut terminate) = signal(SignalKind::terminate()) else {
-        eprintln!("no handler for SIGTERM");
+        eprintln!("cannot install the SIGTERM handler");
         return ExitCode::FAILURE;
     };
     let Ok(mut hangup) = signal(SignalKind::hangup()) else {
-        eprintln!("no handler for SIGHUP");
+        eprintln!("cannot install the SIGHUP handler");
         return ExitCode::FAILURE;
     };
     let mut settings = settings;
@@ -109,7 +109,8 @@
     ExitCode::SUCCESS
 }
 
-/// Where the node listens, because the system may have chosen the ports.
+/// The start-up line with the bound addresses, which differ from the settings where the OS chose
+/// the port.
 fn listening_line(node: &Node) -> String {
     let line = format!("listening http={} peer={}", node.http_addr, node.peer_addr);
     match node.platform_addrs {
@@ -121,9 +122,9 @@
     }
 }
 
-/// Reads the settings again. Without a handler a hangup would end the process, with every request
-/// in it. The log level is taken over at once; addresses are bound once, so all else waits for the
-/// next start.
+/// Reloads the settings on SIGHUP. Without a handler the signal would kill the process and every
+/// request in flight. Only the log level takes effect at once; everything else, such as the listen
+/// addresses, is applied at the next start.
 fn reload(path: &Path, settings: Settings) -> Settings {
     match Settings::read(path) {
         Ok(new_settings) => {
@@ -148,12 +149,12 @@
     let stdout = LogQueue::new(encoder, std::io::stdout());
     let cfg = log4rs::Config::builder()
         .appender(Appender::builder().build("stdout", Box::new(stdout)))
-        // It writes an error for each caller that speaks no HTTP, which the node counts and tells
-        // at debug; callers could fill the log with it.
+        // `actix_http` logs an error for each connection that is not valid HTTP, so callers could
+        // flood the log. The node counts these itself and logs them at debug.
         .logger(Logger::builder().build("actix_http", log::LevelFilter::Off))
         .build(Root::builder().appender("stdout").build(level));
     match cfg.map(log4rs::init_config) {
         Ok(Ok(_)) => {}
-        _ => eprintln!("no log: the logger could not be set up"),
+        _ => eprintln!("cannot set up logging; nothing will be logged"),
     }
 }
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -1,4 +1,5 @@
-//! Counters, times and gauges: to the metrics service by `cadence`, and kept for the status page.
+//! Counters, latencies and gauges: sent to the metrics service with `cadence`, and kept for the
+//! status and metrics pages.
 
 use cadence::CountedExt;
 use cadence::Gauged;
@@ -17,39 +18,39 @@
 
 const PREFIX: &str = "bilberry";
 
-/// The quantiles of times that are told.
+/// Latency quantiles to report.
 const QUANTILES: [f64; 5] = [0.5, 0.9, 0.99, 0.999, 1.0];
 
-/// The longest time that is told apart from longer ones, in microseconds.
+/// Longest latency that the histograms resolve, in microseconds.
 const MAX_LATENCY_US: u64 = 60_000_000;
 
-/// Two digits tell 10 ms from 10.1 ms, and take some 20 KB a histogram.
+/// Two significant digits distinguish 10 ms from 10.1 ms and take about 20 KB per histogram.
 const SIGNIFICANT_DIGITS: u8 = 2;
 
 fn new_histogram() -> Histogram<u64> {
     let histogram = Histogram::new_with_bounds(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS);
-    histogram.expect("the bounds are constants that the library takes")
+    histogram.expect("the histogram bounds are valid constants")
 }
 
-/// Bytes on the control paths, without the headers of IP, UDP and TCP.
+/// Bytes of control traffic, without IP, UDP and TCP headers.
 #[derive(Debug, Default)]
 pub(crate) struct ControlBytes {
     /// Datagrams sent: membership, leases.
     pub(crate) datagrams_out: Cell<u64>,
     /// Datagrams received.
     pub(crate) datagrams_in: Cell<u64>,
-    /// Values read from the topic of views.
+    /// Values read from the store topic.
     pub(crate) store_in: Cell<u64>,
-    /// Values appended to it.
+    /// Values appended to the store topic.
     pub(crate) store_out: Cell<u64>,
 }
 
 pub(crate) struct Metrics {
-    /// None if nobody takes metrics: to write each for nobody would cost several allocations a
-    /// request.
+    /// `None` if no metrics service is configured: formatting unused metrics would cost several
+    /// allocations per request.
     client: Option<StatsdClient>,
     counters: RefCell<IndexMap<Counter, u64>>,
-    /// Times of requests in microseconds, by outcome.
+    /// Request latencies in microseconds, by outcome.
     latencies: RefCell<IndexMap<&'static str, Histogram<u64>>>,
     pub(crate) control_bytes: ControlBytes,
 }
@@ -75,13 +76,13 @@
 
     pub(crate) fn count(&self, counter: Counter) {
         *self.counters.borrow_mut().entry(counter).or_insert(0) += 1;
-        // A lost metric is no reason to fail; the totals still have it.
+        // A failed send is ignored; the totals still include it.
         if let Some(client) = &self.client {
             let _ = client.incr(&counter.name());
         }
     }
 
-    /// How long a request took, by its outcome.
+    /// Records how long a request took.
     pub(crate) fn record_latency(&self, outcome: &'static str, elapsed: Duration) {
         if let Some(client) = &self.client {
             let _ = client.time(&format!("latency.{outcome}"), elapsed);
@@ -91,7 +92,7 @@
         histogram.saturating_record(elapsed.as_micros() as u64);
     }
 
-    /// Counters and quantiles of times, a name and a value a line.
+    /// Counters and latency quantiles, one name and value per line.
     pub(crate) fn render(&self) -> String {
         let mut lines: Vec<String> = self
             .counters()
@@ -138,7 +139,7 @@
     }
 }
 
-/// Adds to a byte count.
+/// Adds to a byte counter.
 pub(crate) fn add_bytes(total: &Cell<u64>, added: usize) {
     total.set(total.get() + added as u64);
 }
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -1,4 +1,4 @@
-//! TCP between nodes: one link to each node that there is something to say to.
+//! TCP connections between nodes: one link to each peer that frames are sent to.
 
 use crate::fetch;
 use crate::framing::framed;
@@ -31,23 +31,23 @@
 use tokio::time::timeout;
 use tokio::time::Instant;
 
-/// How long connecting and the first frame may take.
+/// Time-out for connecting, and for the first frame of a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How long a peer is not dialled after a dial has failed; doubles with each failure.
+/// How long a peer is not dialled after a failed dial; doubles with each failure.
 const FIRST_BACKOFF: Duration = Duration::from_millis(100);
 
-/// How often that time doubles, at most.
+/// How many times the backoff doubles at most.
 const MAX_BACKOFF_DOUBLINGS: u32 = 6;
 
-/// A dial right after a link was lost waits for a random part of this. All that were linked to a
-/// peer lose it together, and would all dial it at once.
+/// Maximum random delay of a dial right after a link was lost. All nodes linked to a peer lose it
+/// at the same time, and would otherwise all dial it at once.
 const MAX_REDIAL_JITTER: Duration = Duration::from_millis(50);
 
-/// The most peers of which failures are remembered.
+/// Most peers whose failures are remembered.
 const MAX_FAILURE_ENTRIES: usize = 4096;
 
-/// Links by the node at their other end.
+/// Links, by the peer's incarnation.
 #[derive(Default)]
 pub(crate) struct Peers {
     links: RefCell<IndexMap<Incarnation, Link>>,
@@ -62,17 +62,17 @@
     opened_at: Instant,
 }
 
-/// What went wrong lately with a peer.
+/// Recent connection failures of one peer.
 #[derive(Default)]
 struct PeerFailures {
-    /// Dials that failed in a row.
+    /// Number of failed dials in a row.
     consecutive_failed_dials: u32,
     retry_at: Option<Instant>,
     link_lost_at: Option<Instant>,
 }
 
 impl Peers {
-    /// Whether frames wait on a link to be written.
+    /// Whether any link has frames that are still to be written.
     pub(crate) fn has_unsent(&self) -> bool {
         self.links
             .borrow()
@@ -108,8 +108,8 @@
         actix_rt::spawn(dial(shell.clone(), to, link_id, queue));
     }
 
-    /// A call that does not fit was not sent, and may go elsewhere. An answer has nowhere else to
-    /// go: the link is given up, so that the caller notices, attaches again and gets it then.
+    /// A call that does not fit was not sent and may be routed elsewhere. An answer has no other
+    /// way: closing the link makes the caller notice, re-attach and fetch the answer then.
     fn on_queue_full(shell: &Rc<Shell>, peer: Incarnation, queue: &SendQueue, frame: Frame) {
         shell.count(Counter::Link(LinkEvent::QueueFull));
         match frame {
@@ -118,7 +118,8 @@
         }
     }
 
-    /// Reports a frame as not sent, after the engine is done with what it is doing now.
+    /// Reports a frame as not sent, in a separate task because the engine's outputs are still being
+    /// executed.
     fn report_unsent(shell: &Rc<Shell>, peer: Incarnation, frame: Frame) {
         let shell = shell.clone();
         actix_rt::spawn(async move {
@@ -127,7 +128,8 @@
         });
     }
 
-    /// Passes on frames that a link left behind: over the link that took its place, or as unsent.
+    /// Handles the frames left over from a link: queues them on its replacement, or reports them as
+    /// not sent.
     pub(crate) fn requeue_or_report(shell: &Rc<Shell>, peer: Incarnation, frames: Vec<Frame>) {
         let links = shell.peers().links.borrow();
         let queue = links.get(&peer).map(|link| link.queue.clone());
@@ -150,7 +152,7 @@
         }
     }
 
-    /// Enters a link; it takes the place of an earlier one, which ends when it is quiet.
+    /// Registers a link. It replaces an earlier one, which ends once it is unused.
     fn register_link(&self, peer: Incarnation, dialled: bool) -> (u64, Rc<SendQueue>) {
         let link_id = self.next_link_id.get();
         self.next_link_id.set(link_id + 1);
@@ -167,10 +169,10 @@
         (link_id, queue)
     }
 
-    /// Enters a link that the peer dialled. If both dialled at the same time there are two; both
-    /// ends then use the one that the lower incarnation dialled. Choosing the newer one instead
-    /// could make each end retire the one that the other uses. An own link that is not new may
-    /// have been lost by the other end, so it always gives way.
+    /// Registers a link that the peer dialled. If both ends dialled at the same time, both use the
+    /// link dialled by the lower incarnation; with the newer link instead, each end could retire
+    /// the one that the other uses. A link dialled here earlier may already be lost at the other
+    /// end, so it is always replaced.
     fn register_accepted_link(
         &self,
         own_incarnation: Incarnation,
@@ -189,7 +191,7 @@
         (link_id, queue)
     }
 
-    /// Takes out a link, unless another has taken its place.
+    /// Removes a link, unless another one has replaced it.
     pub(crate) fn close(&self, peer: Incarnation, link_id: u64, end: LinkEnd) {
         let mut links = self.links.borrow_mut();
         if links.get(&peer).is_some_and(|link| link.id == link_id) {
@@ -205,7 +207,7 @@
     fn record_failure(&self, peer: Incarnation, change: impl FnOnce(&mut PeerFailures)) {
         let mut recent_failures = self.recent_failures.borrow_mut();
         if recent_failures.len() >= MAX_FAILURE_ENTRIES && !recent_failures.contains_key(&peer) {
-            // Incarnations do not come back, so the oldest entry is the least useful one.
+            // Incarnations never return, so the oldest entry is the least useful one.
             recent_failures.shift_remove_index(0);
         }
         change(recent_failures.entry(peer).or_default());
@@ -253,7 +255,7 @@
     }
 }
 
-/// The accepting end of a link.
+/// Accepts a connection from a peer.
 async fn accept_link(shell: Rc<Shell>, tcp: TcpStream) {
     let mut stream = framed(tcp);
     let hello = timeout(CONNECT_TIMEOUT, read_frame(&mut stream)).await;
@@ -272,7 +274,7 @@
         Ok(Ok(_) | Err(ReadError::Malformed)) => {
             return shell.count(Counter::Link(LinkEvent::MalformedFrame));
         }
-        // Whoever connects and says nothing is no peer.
+        // The other end connected but sent no hello, so it is not a peer.
         Err(_) | Ok(Err(ReadError::Closed)) => {
             return shell.count(Counter::Link(LinkEvent::NoHello));
         }
@@ -287,7 +289,8 @@
     let Some(to) = to else {
         return fetch::serve_request(&shell, &mut stream).await;
     };
-    // Whoever expected an earlier incarnation at this address learns that it is gone.
+    // The peer expects an earlier incarnation at this address; closing tells it that this one is
+    // gone.
     if to != shell.own_instance.incarnation {
         return;
     }
@@ -297,7 +300,7 @@
     link::run(shell, from, link_id, stream, queue).await;
 }
 
-/// The dialling end of a link.
+/// Dials a peer.
 async fn dial(shell: Rc<Shell>, to: Instance, link_id: u64, queue: Rc<SendQueue>) {
     let peer = to.incarnation;
     tokio::time::sleep(shell.peers().redial_delay(peer)).await;
--- a/crates/node/src/pipeline.rs
+++ b/crates/node/src/pipeline.rs
@@ -1,9 +1,9 @@
-//! One HTTP/1.1 connection of a caller, on which requests are worked on side by side and answered in
-//! the order in which they came.
+//! Serves one HTTP/1.1 connection of a caller: pipelined requests run concurrently and are answered
+//! in the order in which they arrived.
 //!
-//! The library's dispatcher works on one request after another. A caller that asks for nine things
-//! at once would get the last answer after the sum of their times; here it gets it after the
-//! longest of them (2.6 s and 1.0 s for one request of 1 s and eight of 0.2 s).
+//! The dispatcher of `actix-http` runs one request after another, so a caller with nine pipelined
+//! requests would get the last response after the sum of their times. Here it gets it after the
+//! longest of them (1.0 s instead of 2.6 s for one request of 1 s and eight of 0.2 s).
 
 mod request_reader;
 
@@ -38,28 +38,29 @@
 use tokio::time::Instant;
 use tokio_util::codec::Encoder;
 
-/// Requests of one connection that are worked on at a time. With the largest answers of a day, 30 KB,
-/// they hold half a megabyte for a caller that does not read.
+/// Requests of one connection that may run concurrently. With the largest responses of a day, 30 KB
+/// each, they hold half a megabyte for a caller that does not read.
 const MAX_PIPELINED: usize = 16;
 
-/// While so many bytes are still to be written, no further answer is taken, and no request begins.
+/// While this many bytes are unwritten, no further response is encoded and no further request
+/// started.
 const MAX_UNWRITTEN_BYTES: usize = 64 * 1024;
 
-/// How long a connection that was closed here is still read. Closed with bytes unread it would be
-/// reset, and the caller could lose the last answer.
+/// How long a connection closed by this end is still read. Closing it with unread bytes would reset
+/// it, and the caller could lose the last response.
 const LINGERING_CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Leave to send a body (RFC 9110, 10.1.1).
+/// Interim response that allows the caller to send the body (RFC 9110, 10.1.1).
 const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
-/// Why a connection ended before its caller closed it.
+/// Why a connection ended before the caller closed it.
 #[derive(Debug)]
 pub(crate) enum ConnectionError {
-    /// Bytes that are no request.
+    /// The bytes are not an HTTP request.
     Parse(ParseError),
-    /// A head was not complete in time.
+    /// A request head was not complete in time.
     HeadTimeout,
-    /// No byte of an answer was read for a long time.
+    /// The caller read no byte of a response for a long time.
     WriteTimeout,
     /// Reading or writing failed.
     Io(io::Error),
@@ -68,9 +69,9 @@
 impl fmt::Display for ConnectionError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            ConnectionError::Parse(e) => write!(f, "no request: {e}"),
-            ConnectionError::HeadTimeout => f.write_str("a head took too long"),
-            ConnectionError::WriteTimeout => f.write_str("an answer was not read"),
+            ConnectionError::Parse(e) => write!(f, "malformed request: {e}"),
+            ConnectionError::HeadTimeout => f.write_str("request head not received in time"),
+            ConnectionError::WriteTimeout => f.write_str("response not read in time"),
             ConnectionError::Io(e) => write!(f, "{e}"),
         }
     }
@@ -82,11 +83,11 @@
     }
 }
 
-/// What reads one request's body and writes its answer: how an answer looks depends on its request.
+/// Decodes one request's body and encodes its response; the encoding depends on the request.
 type RequestCodec = Rc<RefCell<Codec>>;
 
-/// Serves a connection until it ends. `is_stopping` says whether callers are to go elsewhere with
-/// their next requests.
+/// Serves a connection until it ends. `is_stopping` tells whether callers should send further
+/// requests elsewhere.
 pub(crate) async fn serve_connection<F>(
     mut stream: TcpStream,
     cfg: &ServiceConfig,
@@ -103,8 +104,8 @@
     let mut failed = None;
     loop {
         requests.decode_body();
-        // What is passed on has to be answered on this connection, so a stopping node takes nothing
-        // behind a request that it still has to answer.
+        // Every request that was started has to be answered on this connection, so a stopping node
+        // starts none behind one that is still unanswered.
         let may_start = |pending| pending < MAX_PIPELINED && (pending == 0 || !is_stopping());
         while may_start(responses.len()) && unwritten.len() < MAX_UNWRITTEN_BYTES {
             match requests.next_request() {
@@ -139,7 +140,7 @@
                 requests.no_more_requests |= !keep_alive;
             }
             open = requests.read(&mut reader), if requests.has_room() => {
-                // A caller that closed its side has gone, and all that is done for it ends here.
+                // The caller has closed its side: all of its requests are cancelled.
                 if !open? {
                     return failed.map_or(Ok(()), Err);
                 }
@@ -170,7 +171,7 @@
     }
 }
 
-/// Writes an answer; whether the connection is kept after it.
+/// Encodes a response; returns whether the connection stays open after it.
 fn write_response(
     codec: &RequestCodec,
     mut response: HttpResponse<BoxBody>,
@@ -185,7 +186,7 @@
     let (response, body) = response.into_parts();
     let size = body.size();
     let body = body.try_into_bytes();
-    let body = body.map_err(|_| io::Error::other("an answer whose body is not whole"))?;
+    let body = body.map_err(|_| io::Error::other("response body is not available as a whole"))?;
     let mut codec = codec.borrow_mut();
     codec.encode(Message::Item((response, size)), buf)?;
     if !body.is_empty() {
--- a/crates/node/src/pipeline/request_reader.rs
+++ b/crates/node/src/pipeline/request_reader.rs
@@ -1,5 +1,4 @@
-//! The requests of one connection, as they are read: heads, bodies for whoever reads them, and what
-//! the caller is waited for.
+//! Reads the requests of one connection: heads, bodies, and which caller action is awaited.
 
 use super::ConnectionError;
 use super::RequestCodec;
@@ -23,54 +22,55 @@
 use tokio::time::Instant;
 use tokio_util::codec::Decoder;
 
-/// Bytes that are read while no further request may begin. More stay with the system, which slows the
-/// caller down; some are read, because only reading tells that the caller has gone.
+/// Bytes buffered while no further request may start. The rest stays in the kernel's buffer, which
+/// slows the caller down. Some must be read, as only reading detects that the caller has gone.
 const READ_BUFFER_LIMIT: usize = 16 * 1024;
 
-/// What one read takes at most, in bytes: a head fits, and a body comes in few pieces.
+/// Most bytes per read: enough for a request head, and for a body in few chunks.
 const READ_SIZE: usize = 16 * 1024;
 
-/// Pieces of a body that wait for its reader.
+/// Body chunks that may wait for the handler.
 const BODY_CHANNEL_CAPACITY: usize = 4;
 
-/// How long a connection may be idle, or an answer unread. Callers that say how long they keep one keep
-/// it for much less; one that was closed too early costs them a request.
+/// How long a connection may be idle, or a response unread. Callers that advertise a keep-alive
+/// time use much less; closing a connection too early costs the caller a request.
 const KEEP_ALIVE_TIMEOUT: Duration = Duration::from_secs(75);
 
-/// How long a caller may take for the head of a request; the library's default.
+/// How long a caller may take to send a request head; the default of `actix-http`.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The requests of a connection, as they are read.
+/// Reads and decodes the requests of a connection.
 pub(super) struct RequestReader {
     cfg: ServiceConfig,
-    /// Read and not decoded.
+    /// Bytes that were read but not decoded.
     buf: BytesMut,
-    /// The body of the request that was read last, if it is not complete.
+    /// The body of the last request, while it is incomplete.
     body: Option<Body>,
-    /// The caller waits for leave to send the body.
+    /// The caller waits for `100 Continue` before it sends the body.
     expect_continue: bool,
-    /// No further request is read; what still comes is skipped.
+    /// No further request is decoded; any remaining input is discarded.
     pub(super) no_more_requests: bool,
-    /// What the caller is waited for, and since when.
+    /// What the caller is expected to do next; `wait_started` is since when.
     pub(super) wait_state: WaitState,
     wait_started: Instant,
 }
 
-/// A body that is being read.
+/// A body that is being received.
 struct Body {
     codec: RequestCodec,
-    /// Who reads it; `None` if nobody does any more, and the rest is skipped.
+    /// The channel to the handler; `None` once the handler stopped reading and the rest is
+    /// discarded.
     tx: Option<mpsc::Sender<Result<Bytes, PayloadError>>>,
 }
 
 impl Body {
-    /// Whether its reader has no room.
+    /// Whether the handler's channel is full.
     fn is_blocked(&self) -> bool {
         let tx = self.tx.as_ref().filter(|tx| !tx.is_closed());
         tx.is_some_and(|tx| tx.capacity() == 0)
     }
 
-    /// Hands a piece to the reader, if there is one; it has room.
+    /// Sends a chunk to the handler if it is still reading. The channel must have room.
     fn forward(&mut self, chunk: Result<Bytes, PayloadError>) {
         let sent = self.tx.as_ref().map(|tx| tx.try_send(chunk));
         if !matches!(sent, Some(Ok(()))) {
@@ -79,16 +79,17 @@
     }
 }
 
-/// What a caller is waited for.
+/// What the caller is expected to do.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum WaitState {
-    /// Its next request.
+    /// Send its next request.
     NextRequest,
-    /// The rest of a head.
+    /// Send the rest of a request head.
     RestOfHead,
-    /// That it reads its answers, of which so many bytes are unwritten.
+    /// Read its responses, of which this many bytes are unwritten.
     ResponseRead { unwritten: usize },
-    /// It waits for answers, or its body for its reader, who knows how long it may take.
+    /// Nothing: the caller waits for responses, or the body waits for the handler, which has its
+    /// own time limit.
     Nothing,
 }
 
@@ -109,7 +110,8 @@
         Rc::new(RefCell::new(Codec::new(self.cfg.clone())))
     }
 
-    /// The next request, if its head is there and the one before it is complete.
+    /// The next request, once its head is complete and the body of the previous request was
+    /// received.
     pub(super) fn next_request(
         &mut self,
     ) -> Result<Option<(RequestCodec, HttpRequest)>, ConnectionError> {
@@ -126,7 +128,7 @@
                 return Err(ConnectionError::Parse(e));
             }
         };
-        // Whatever is behind it counts as unread, and its caller sends it again elsewhere.
+        // Anything behind the last request is left unread, so the caller sends it again elsewhere.
         self.no_more_requests = !codec.borrow().keep_alive();
         if codec.borrow().message_type() != MessageType::None {
             let (tx, mut rx) = mpsc::channel(BODY_CHANNEL_CAPACITY);
@@ -144,7 +146,8 @@
         Ok(Some((codec, req)))
     }
 
-    /// Hands the body on as far as it is there and its reader has room; whether it is complete.
+    /// Forwards the buffered part of the body as far as the handler has room; returns whether the
+    /// body is complete.
     pub(super) fn decode_body(&mut self) -> bool {
         while let Some(body) = &mut self.body {
             if body.is_blocked() {
@@ -159,7 +162,8 @@
                     self.expect_continue = false;
                 }
                 Err(_) => {
-                    // Taken for the body's end, it would pass on a part for the whole.
+                    // Without this error the handler would take the truncated body for a complete
+                    // one.
                     body.forward(Err(PayloadError::EncodingCorrupted));
                     self.body = None;
                     self.no_more_requests = true;
@@ -169,27 +173,29 @@
         true
     }
 
-    /// Whether the caller waits for leave to send its body; asked once.
+    /// Whether the caller waits for `100 Continue`; true only once per request.
     pub(super) fn take_expect_continue(&mut self) -> bool {
         std::mem::take(&mut self.expect_continue)
     }
 
-    /// Whether more may be read.
+    /// Whether more input may be read.
     pub(super) fn has_room(&self) -> bool {
-        // An incomplete head may be longer; the library has a bound for it.
+        // An incomplete head may be larger than the buffer limit; `actix-http` has its own limit
+        // for it.
         self.no_more_requests
             || self.wait_state == WaitState::RestOfHead
             || self.buf.len() < READ_BUFFER_LIMIT
     }
 
-    /// Reads on; `false` at the end. What is read is kept if the future is dropped.
+    /// Reads more input; returns `false` at the end of the stream. Cancel-safe: bytes that were
+    /// read are kept if the future is dropped.
     pub(super) async fn read(&mut self, reader: &mut ReadHalf<'_>) -> io::Result<bool> {
         if self.no_more_requests && self.body.is_none() {
             self.buf.clear();
         }
         let body = self.body.as_ref().filter(|body| body.is_blocked());
         if let Some(tx) = body.and_then(|body| body.tx.as_ref()) {
-            // Without a permit its reader has ended, and the rest is skipped.
+            // Without a permit the handler has stopped reading, and the rest is discarded.
             let _ = tx.reserve().await;
             return Ok(true);
         }
@@ -197,7 +203,7 @@
         Ok(reader.read_buf(&mut self.buf).await? > 0)
     }
 
-    /// Notes what the caller is waited for.
+    /// Updates what the caller is expected to do.
     pub(super) fn update_wait_state(&mut self, all_answered: bool, unwritten: usize) {
         let wait_state = match all_answered && self.body.is_none() {
             _ if unwritten > 0 => WaitState::ResponseRead { unwritten },
@@ -211,7 +217,7 @@
         }
     }
 
-    /// When the caller has been waited for too long.
+    /// When the wait for the caller times out.
     pub(super) fn deadline(&self) -> Option<Instant> {
         let timeout = match self.wait_state {
             WaitState::NextRequest | WaitState::ResponseRead { .. } => KEEP_ALIVE_TIMEOUT,
--- a/crates/node/src/platform_mode.rs
+++ b/crates/node/src/platform_mode.rs
@@ -1,5 +1,6 @@
-//! What a node does on the users' platform in place of reading the log: it takes the
-//! operators' configuration and other nodes' addresses from the store, and hears its own server.
+//! Node operation on the users' platform: instead of following the log, the node reads the
+//! operators' configuration and the addresses of other nodes from the store, and receives
+//! heartbeats from its own backend server.
 
 use crate::body;
 use crate::body::BodyLimits;
@@ -32,41 +33,44 @@
 use tokio::net::TcpListener;
 use tokio::time::Instant;
 
-/// How long one read waits for a new configuration. Reads are paid for, and peers tell of a new one
-/// as well; but a read over a connection that has gone silent is noticed only at its end.
+/// How long one read waits for a new configuration. Reads are billed, and peers pass on new
+/// configurations as well; but a connection that has gone silent is only detected when this
+/// time-out expires.
 const CONFIG_POLL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How long a node that has just started waits for its peers to tell it the configuration, and a random
-/// part of as much more. Of nodes that start together a few read it, and tell the others.
+/// Minimum time a node that has just started waits for a peer to send the configuration; a random
+/// delay up to the same length is added. Of nodes that start together, a few read the store and
+/// tell the others.
 const PEER_CONFIG_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// One in so many of the nodes that the directory has already reads at once.
+/// One in this many of the nodes already in the directory reads the store at once.
 const DIRECT_READER_STRIDE: usize = 8;
 
-/// So many of those that it has not, the first to announce themselves, do as well.
+/// This many of the nodes not yet in the directory, the first to announce themselves, also read the
+/// store at once.
 const DIRECT_READER_ANNOUNCEMENTS: u64 = 16;
 
-/// How often a node that waits looks whether it has a configuration.
+/// How often a waiting node checks whether it has received a configuration.
 const CONFIG_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How long a node that knows no other waits before it looks again.
+/// How often a node that knows no peers reads the directory again.
 const REDISCOVERY_INTERVAL: Duration = Duration::from_secs(2);
 
-/// How long a stopping node goes on taking requests. The platform asks each second, and leaves out
-/// a node that said no twice.
+/// How long a stopping node keeps accepting requests. The platform probes readiness every second
+/// and removes a node after two failures.
 const STOP_GRACE_PERIOD: Duration = Duration::from_millis(2200);
 
-/// Calls of an action for which one of them may be tried again. All retries are bounded by the fleet's
-/// part as well.
+/// Number of calls of an action per allowed retry. The fleet-wide retry limits apply to these
+/// retries as well.
 const CALLS_PER_RETRY: u16 = 2;
 
-/// The largest body of a heartbeat, in bytes.
+/// Largest heartbeat body, in bytes.
 const MAX_HEARTBEAT_BYTES: usize = 64 * 1024;
 
-/// How long a server may take for its heartbeat.
+/// How long the backend server may take to send a heartbeat.
 const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Sets what differs on the platform.
+/// Applies the configuration that is specific to the platform.
 pub(crate) fn configure(cfg: &mut Config) {
     cfg.parse_rules = |text| platform::parse_rules(text).ok();
     cfg.keyless_calls = KeylessCalls::OwnedByIngress;
@@ -74,23 +78,23 @@
     cfg.shared_store_reads = true;
     cfg.tree_retries = TreeRetries::ScaledByCalls(CALLS_PER_RETRY);
     cfg.stop_grace_period = STOP_GRACE_PERIOD;
-    // The servers tell their slots, and work beyond those waits inside them. A limit that is guessed
-    // from times went down to 2 of 14 slots where one class had work of 55 and of 180 ms.
+    // Servers announce their slots and queue excess work themselves. A limit estimated from latency
+    // fell to 2 of 14 slots when one class mixed work of 55 ms and 180 ms.
     cfg.policy.adaptive_limit = false;
-    // Each attempt has an id of its own, so no two requests are alike.
+    // Each attempt has its own id, so identical requests cannot be recognised.
     cfg.policy.resend_limit = false;
 }
 
-/// Where the platform reaches a node.
+/// Addresses on which the platform reaches a node.
 #[derive(Debug, Clone, Copy)]
 pub struct PlatformAddrs {
-    /// Where it asks whether the node takes clients.
+    /// Serves the readiness probe.
     pub ready_addr: SocketAddr,
-    /// Where the own backend server announces itself.
+    /// Receives announcements from the node's own backend server.
     pub control_addr: SocketAddr,
 }
 
-/// Starts the tasks; says where they listen, because the system may have chosen the ports.
+/// Starts the platform tasks and returns the bound addresses, as the OS may have chosen the ports.
 pub(crate) async fn start(
     shell: &Rc<Shell>,
     cfg: &PlatformSettings,
@@ -113,7 +117,7 @@
     Ok((listener, bound))
 }
 
-/// Meets the others, and takes each new configuration as soon as the store has it or a peer tells of it.
+/// Discovers peers, then applies each new configuration as soon as the store or a peer provides it.
 async fn join_cluster(shell: Rc<Shell>) {
     let directory = read_directory(&shell).await;
     let position = directory
@@ -131,7 +135,7 @@
     follow_config(shell).await;
 }
 
-/// Gives the peers a chance to tell the configuration.
+/// Waits for a peer to provide the configuration.
 async fn wait_for_config(shell: &Shell) {
     let wait = PEER_CONFIG_TIMEOUT.mul_f64(rand::rng().random_range(1.0..2.0));
     let deadline = Instant::now() + wait;
@@ -164,8 +168,8 @@
     .await;
 }
 
-/// Finds out whether the store has a newer configuration. The question may be lost on a connection that has
-/// gone silent while another answer is under way, so it has a task of its own.
+/// Checks whether the store has a newer configuration. Runs as a task of its own, so that a check
+/// lost on a connection that has gone silent does not hold up reads that are still answered.
 pub(crate) fn check_rules(shell: &Rc<Shell>) {
     let shell = shell.clone();
     actix_rt::spawn(async move {
@@ -181,8 +185,8 @@
     });
 }
 
-/// Takes the configurations that the store has had since it was read last; gives the newest version that it
-/// has.
+/// Applies the configurations published since the last read; returns the newest version in the
+/// store.
 async fn read_new_configs(shell: &Rc<Shell>) -> Result<u64, StoreError> {
     if let Some(from) = shell.next_rules_offset.get() {
         let read = shell
@@ -213,7 +217,8 @@
             continue;
         }
         let config = parse_config(value);
-        // One that cannot be read may revoke any key.
+        // A configuration that cannot be parsed might revoke any key, so it counts as newer than
+        // every version in force.
         let version = config.as_ref().map_or(u64::MAX, |(version, _)| *version);
         let newest = shell.latest_rules.get().max((*offset, version));
         shell.latest_rules.set(newest);
@@ -227,14 +232,14 @@
     }
 }
 
-/// The version of a configuration, and its text without keys.
+/// Returns the version of a configuration and its text with API keys replaced by digests.
 fn parse_config(value: &[u8]) -> Result<(u64, Arc<str>), ConfigError> {
     let text = std::str::from_utf8(value).map_err(|_| ConfigError::Malformed)?;
     let version = platform::version_of(text)?;
     Ok((version, platform::without_keys(text)?.into()))
 }
 
-/// Reads where other nodes announced themselves.
+/// Reads the addresses under which other nodes announced themselves.
 async fn read_directory(shell: &Shell) -> Vec<SocketAddr> {
     let mut backoff = StoreBackoff::new();
     loop {
@@ -252,7 +257,7 @@
     }
 }
 
-/// Announces this node; gives how many announcements came before.
+/// Announces this node; returns how many announcements preceded it.
 async fn announce(shell: &Shell) -> u64 {
     let mut backoff = StoreBackoff::new();
     let addr = shell.own_instance.addr.to_string();
@@ -269,9 +274,9 @@
     }
 }
 
-/// Who comes later finds this node, so having read the directory once is enough; only a node that is
-/// alone looks again. Of nodes that start together, those that read before any other had announced
-/// itself are found by those that read after it.
+/// Reads the directory again while no peer is known. Later nodes find this one through its
+/// announcement, so reading the directory once is normally enough. Of nodes that start together,
+/// those that read before any had announced itself are found by those that read later.
 async fn rediscover_when_isolated(shell: Rc<Shell>) {
     loop {
         tokio::time::sleep(REDISCOVERY_INTERVAL).await;
@@ -292,8 +297,8 @@
     HttpResponse::build(status).body("").map_into_boxed_body()
 }
 
-/// Hears the own server. It is answered once the engine has taken what it said: from then on no
-/// new work goes to a server that leaves.
+/// Handles an announcement of the node's own backend server. The response is sent after the engine
+/// has processed it, so a draining server receives no new work once it has its acknowledgement.
 async fn handle_control(shell: Rc<Shell>, mut req: HttpRequest) -> HttpResponse<BoxBody> {
     let status = match receive_announcement(&shell, &mut req).await {
         Ok(()) => StatusCode::OK,
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings, in INI.
+//! Settings of a node, in an INI file.
 
 mod error;
 mod value;
@@ -25,70 +25,70 @@
 use value::parse_service_name;
 use value::Key;
 
-/// A node's settings. What the operators decide is in the rules, not here.
+/// A node's settings. Operators' policies are in the rules file instead.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
-    /// The service of the backend server that this node stands beside.
+    /// The service of the backend server beside this node.
     pub service: String,
-    /// Its failure domain.
+    /// The failure domain of the instance.
     pub failure_domain: String,
-    /// Its region.
+    /// The region of the instance.
     pub region: String,
-    /// Where callers and the own backend server reach this node, by HTTP.
+    /// Listen address for HTTP from callers and the node's own backend server.
     pub http_addr: SocketAddr,
-    /// Where other nodes reach it, by TCP and UDP.
+    /// Listen address for other nodes, TCP and UDP.
     pub peer_addr: SocketAddr,
-    /// Where other nodes are told to reach it, if that is not `peer_addr`, because that one is a
-    /// wildcard or behind a translation of addresses.
+    /// The address that other nodes are told to connect to, if it differs from `peer_addr`, because
+    /// that is a wildcard or behind NAT.
     pub advertised_addr: Option<SocketAddr>,
-    /// Hints where other nodes may be.
+    /// Addresses at which other nodes may be found.
     pub contacts: Vec<SocketAddr>,
-    /// The backend server.
+    /// The address of the backend server.
     pub backend_server_addr: SocketAddr,
-    /// A response of the backend server with this header says that the work did not run.
+    /// A backend response with this header means that the request was not run.
     pub refusal_header: String,
-    /// The header that names the caller.
+    /// The request header that identifies the caller.
     pub caller_header: String,
-    /// The store, where what must last is kept.
+    /// The address of the store, which holds durable state.
     pub store_addr: SocketAddr,
-    /// The stream there that holds rules and views; unused where there is a platform, which has rules
-    /// of its own and no homes.
+    /// The store stream with rules and views. Unused on the users' platform, which has its own
+    /// rules and no owners of keys.
     pub store_stream: String,
-    /// The users' platform, if this node speaks to its servers and clients.
+    /// The users' platform, if this node serves its servers and clients.
     pub platform: Option<PlatformSettings>,
     /// The log level.
     pub log_level: log::LevelFilter,
-    /// Where metrics go, by UDP.
+    /// The metrics service, by UDP.
     pub metrics_addr: Option<SocketAddr>,
-    /// Where counters and times are served, by HTTP.
+    /// Listen address for the HTTP page of counters and latencies.
     pub metrics_http_addr: Option<SocketAddr>,
-    /// The largest body of a request or response, in bytes.
+    /// Largest body of a request or response, in bytes.
     pub max_body: usize,
-    /// The most bytes of callers' bodies in flight together.
+    /// Most bytes of all callers' bodies in flight together.
     pub max_bodies: usize,
-    /// How long a caller may take for its body.
+    /// How long a caller may take to send a body.
     pub body_timeout: Duration,
-    /// What the whole fleet may try again at each service.
+    /// Fleet-wide retry limits for each service.
     pub retry_limits: FleetRetryLimits,
-    /// A revoked key is refused by every node within this time; unbounded without it.
+    /// Time within which every node refuses a revoked key; unbounded if not set.
     pub revocation_bound: Option<Duration>,
-    /// How strictly the quotas of organisations hold.
+    /// How far organisations may exceed their quotas.
     pub quota_tolerance: QuotaTolerance,
-    /// The mechanisms in force. No key sets this: all are on, but for experiments that ask otherwise
-    /// on the command line.
+    /// Enabled mechanisms. There is no settings key: all are on unless disabled on the command line
+    /// for an experiment.
     pub switches: Switches,
 }
 
-/// Where the users' platform is met.
+/// Listen addresses for the users' platform.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PlatformSettings {
-    /// Where it asks whether this node takes clients.
+    /// Serves the readiness probe.
     pub ready_addr: SocketAddr,
-    /// Where the own backend server announces itself.
+    /// Receives announcements from the node's own backend server.
     pub control_addr: SocketAddr,
 }
 
-/// The largest `max_body`: a body travels in one frame, with its head.
+/// Largest allowed `max_body`: a body travels in one frame together with its head.
 const MAX_BODY_LIMIT: usize = 3 << 20;
 
 const SERVICE: Key = Key::new("node", "service");
@@ -119,7 +119,7 @@
 const METRICS_HTTP_ADDR: Key = Key::new("metrics", "http_addr");
 const METRICS_ADDR: Key = Key::new("metrics", "addr");
 
-/// Every key there is.
+/// All known keys.
 const KNOWN_KEYS: [Key; 27] = [
     SERVICE,
     FAILURE_DOMAIN,
@@ -151,21 +151,21 @@
 ];
 
 impl Settings {
-    /// Reads and checks a file.
+    /// Reads and validates a settings file.
     ///
     /// # Errors
     ///
-    /// The first thing that is wrong, with section, key, value and what is allowed.
+    /// The first problem found, with section, key, value and the allowed values.
     pub fn read(path: &Path) -> Result<Self, SettingsError> {
         let unreadable = |_| SettingsError::Unreadable(path.display().to_string());
         Self::parse(&std::fs::read_to_string(path).map_err(unreadable)?)
     }
 
-    /// Checks the text of a file.
+    /// Parses and validates the text of a settings file.
     ///
     /// # Errors
     ///
-    /// As [`Settings::read`].
+    /// Same as [`Settings::read`].
     ///
     /// # Examples
     ///
@@ -267,14 +267,14 @@
     })
 }
 
-/// What `node.body_timeout` may be.
+/// Allowed range of `node.body_timeout`.
 const BODY_TIMEOUT_RANGE: (Duration, Duration) =
     (Duration::from_millis(1), Duration::from_secs(300));
 
-/// `node.max_bodies`, unless one body may be larger.
+/// Default of `node.max_bodies`, unless `node.max_body` is larger.
 const DEFAULT_MAX_BODIES: usize = 8 << 20;
 
-/// The largest `node.max_bodies`.
+/// Largest allowed `node.max_bodies`.
 const MAX_BODIES_LIMIT: usize = 1 << 30;
 
 fn reject_unknown_keys(ini: &Ini) -> Result<(), SettingsError> {
--- a/crates/node/src/settings/error.rs
+++ b/crates/node/src/settings/error.rs
@@ -1,22 +1,22 @@
-//! What can be wrong with settings.
+//! Errors in settings.
 
 use std::fmt;
 
-/// What is wrong with the settings.
+/// An error in the settings.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SettingsError {
     /// The file could not be read.
     Unreadable(String),
-    /// The file is not INI.
+    /// The file is not valid INI.
     Syntax(String),
-    /// A key is missing.
+    /// A required key is missing.
     Missing {
         /// The section.
         section: &'static str,
         /// The key.
         key: &'static str,
     },
-    /// A value is not what the key takes.
+    /// A value is not allowed for its key.
     InvalidValue {
         /// The section.
         section: &'static str,
@@ -27,14 +27,14 @@
         /// What is allowed.
         allowed: &'static str,
     },
-    /// A key stands twice in its section.
+    /// A key appears twice in its section.
     Duplicate {
         /// The section.
         section: String,
         /// The key.
         key: String,
     },
-    /// A section or key that there is none of.
+    /// The section or key does not exist.
     Unknown {
         /// The section.
         section: String,
@@ -46,8 +46,8 @@
 impl fmt::Display for SettingsError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            SettingsError::Unreadable(path) => write!(f, "{path} cannot be read"),
-            SettingsError::Syntax(message) => write!(f, "not INI: {message}"),
+            SettingsError::Unreadable(path) => write!(f, "cannot read {path}"),
+            SettingsError::Syntax(message) => write!(f, "invalid INI: {message}"),
             SettingsError::Missing { section, key } => write!(f, "[{section}] {key} is missing"),
             SettingsError::InvalidValue {
                 section,
@@ -60,7 +60,9 @@
             SettingsError::Duplicate { section, key } => {
                 write!(f, "[{section}] {key}: stands twice")
             }
-            SettingsError::Unknown { section, key } => write!(f, "[{section}] {key}: unknown"),
+            SettingsError::Unknown { section, key } => {
+                write!(f, "[{section}] {key}: unknown section or key")
+            }
         }
     }
 }
--- a/crates/node/src/settings/value.rs
+++ b/crates/node/src/settings/value.rs
@@ -1,4 +1,4 @@
-//! Values of settings: how each kind is read, and what is allowed.
+//! Parsers for settings values.
 
 use crate::SettingsError;
 use actix_http::header::HeaderName;
@@ -6,14 +6,14 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A section and a key in it.
+/// A settings key and its section.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct Key<'a> {
     section: &'a str,
     key: &'a str,
 }
 
-/// A value, or what would have been allowed.
+/// A value, or a description of the allowed values.
 type ParseResult<T> = Result<T, &'static str>;
 
 impl<'a> Key<'a> {
@@ -74,7 +74,7 @@
     Ok(value.to_owned())
 }
 
-/// The name of a service. It is the first part of a path, where `-` is the node itself.
+/// A service name. It is the first segment of request paths, where `-` refers to the node itself.
 pub(super) fn parse_service_name(value: &str) -> ParseResult<String> {
     let allowed = "1 to 64 letters, digits, `-`, `_` or `.`, but not `-`, `.` or `..` alone";
     match value {
@@ -83,13 +83,13 @@
     }
 }
 
-/// An address to listen at.
+/// An address to listen on.
 pub(super) fn parse_listen_addr(value: &str) -> ParseResult<SocketAddr> {
     value.parse().map_err(|_| "IP:PORT")
 }
 
-/// An address to listen at and to tell others. Told an unspecified one, they would connect to
-/// themselves, and the node would be in the views but never reached.
+/// An address to listen on and to advertise. Other nodes that were told an unspecified address
+/// would connect to themselves, and the node would be listed in the views but never reached.
 pub(super) fn parse_advertised_addr(value: &str) -> ParseResult<SocketAddr> {
     let allowed = "IP:PORT that other nodes can reach: not 0.0.0.0, [::], multicast or broadcast";
     value.parse().ok().filter(is_unicast).ok_or(allowed)
@@ -113,14 +113,14 @@
     let addrs = words.filter(|word| !word.is_empty()).map(parse_remote_addr);
     match addrs.collect::<Result<Vec<_>, _>>() {
         Ok(addrs) if addrs.len() <= MAX_CONTACTS => Ok(addrs),
-        _ => Err("up to 32 times IP:PORT, with commas between"),
+        _ => Err("up to 32 addresses IP:PORT, separated by commas"),
     }
 }
 
 pub(super) fn parse_header_name(value: &str) -> ParseResult<String> {
     let name = HeaderName::from_bytes(value.as_bytes());
     name.map(|name| name.as_str().to_owned())
-        .map_err(|_| "the name of an HTTP header")
+        .map_err(|_| "an HTTP header name")
 }
 
 pub(super) fn parse_log_level(value: &str) -> ParseResult<log::LevelFilter> {
@@ -129,7 +129,7 @@
         .map_err(|_| "off, error, warn, info, debug or trace")
 }
 
-/// A number of bytes in a range. The bounds are in docs/CONFIGURATION.md.
+/// A number of bytes within a range. The ranges are documented in docs/CONFIGURATION.md.
 pub(super) fn parse_byte_count(min: usize, max: usize) -> impl Fn(&str) -> ParseResult<usize> {
     move |value| {
         let number = value.parse().ok();
@@ -139,7 +139,7 @@
     }
 }
 
-/// A number in a range; the bounds are in docs/CONFIGURATION.md.
+/// A number within a range. The ranges are documented in docs/CONFIGURATION.md.
 pub(super) fn parse_number(min: f64, max: f64) -> impl Fn(&str) -> ParseResult<f64> {
     move |value| {
         let number: Option<f64> = value.parse().ok();
@@ -149,7 +149,7 @@
     }
 }
 
-/// A duration in a range.
+/// A duration within a range.
 pub(super) fn parse_duration(
     (min, max): (Duration, Duration),
 ) -> impl Fn(&str) -> ParseResult<Duration> {
--- a/crates/node/src/shell.rs
+++ b/crates/node/src/shell.rs
@@ -1,4 +1,5 @@
-//! The node as one `actix-rt` system: starts everything, and carries inputs and outputs.
+//! The node as one `actix-rt` system: starts all tasks, feeds inputs to the engine and executes its
+//! outputs.
 
 use crate::backend::Backend;
 use crate::backend::BackendRun;
@@ -44,80 +45,81 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// How often a pair of free ports for TCP and UDP is looked for.
+/// How many times to retry finding a port that is free for both TCP and UDP.
 const BIND_ATTEMPTS: u32 = 20;
 
-/// The longest wait for last frames to be written, when a node stops.
+/// How long a stopping node waits for queued frames to be written.
 const FLUSH_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The time that the tasks which write get, and between two looks at what they have left.
+/// How often the flush checks for unsent frames, and how long the writer tasks get after the queues
+/// are empty.
 const FLUSH_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Of the retries for each first send that the settings allow, what is used; the rest makes up for what
-/// is in hand at the beginning of a window.
+/// Share of `retries.ratio` that nodes plan with. The rest covers retries that are already
+/// available at the start of a window.
 const PLANNED_RATIO_SHARE: f64 = 0.8;
 
-/// Of the retries beyond those, what is used.
+/// Share of `retries.spare` that nodes plan with.
 const PLANNED_SPARE_SHARE: f64 = 0.9;
 
-/// How often gauges go to the metrics service.
+/// How often gauges are sent to the metrics service.
 const GAUGE_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Why a node did not start.
+/// Why a node failed to start.
 #[derive(Debug)]
 pub enum StartError {
-    /// An address could not be bound.
+    /// Binding a listen address failed.
     Bind(SocketAddr, std::io::Error),
-    /// The metrics socket could not be made.
+    /// Creating the metrics socket failed.
     Metrics(std::io::Error),
 }
 
 impl std::fmt::Display for StartError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            StartError::Bind(addr, e) => write!(f, "{addr} cannot be bound: {e}"),
-            StartError::Metrics(e) => write!(f, "no socket for metrics: {e}"),
+            StartError::Bind(addr, e) => write!(f, "cannot bind {addr}: {e}"),
+            StartError::Metrics(e) => write!(f, "cannot create the metrics socket: {e}"),
         }
     }
 }
 
 impl std::error::Error for StartError {}
 
-/// A node that runs in this system.
+/// A running node.
 pub struct Node {
-    /// Where it takes HTTP.
+    /// Address that serves callers' HTTP requests.
     pub http_addr: SocketAddr,
-    /// Where other nodes reach it.
+    /// Address that accepts connections and datagrams from other nodes.
     pub peer_addr: SocketAddr,
-    /// Where the users' platform reaches it, if it is on one.
+    /// Addresses that the users' platform connects to, if the node runs on one.
     pub platform_addrs: Option<PlatformAddrs>,
     shell: Rc<Shell>,
 }
 
 impl Node {
-    /// Asks for a graceful shutdown.
+    /// Starts a graceful shutdown.
     pub fn stop(&self) {
         self.shell.handle_input(Input::Stop);
     }
 
-    /// Waits until a graceful shutdown is complete.
+    /// Waits for the graceful shutdown to complete.
     pub async fn stopped(&self) {
         self.shell.stopped.notified().await;
         self.flush().await;
     }
 
-    /// The last answers were given to tasks that write them. If the process ended before they did,
-    /// callers would see connections that break off, for work that was done.
+    /// Waits until the last responses are written. They are queued for the writer tasks; if the
+    /// process exited first, callers would see connections cut off for work that was done.
     async fn flush(&self) {
         let deadline = Instant::now() + FLUSH_TIMEOUT;
         while self.shell.peers.has_unsent() && Instant::now() < deadline {
             tokio::time::sleep(FLUSH_POLL_INTERVAL).await;
         }
-        // What has left the queues is on its way into the sockets.
+        // Frames taken from the queues may still be on their way into the sockets.
         tokio::time::sleep(FLUSH_POLL_INTERVAL).await;
     }
 
-    /// Counters by name, in order.
+    /// Counter totals, sorted by name.
     pub fn counters(&self) -> Vec<(String, u64)> {
         self.shell.metrics.counters()
     }
@@ -130,9 +132,10 @@
     pub(crate) dialect: Dialect,
     pub(crate) store: Store,
     pub(crate) store_read_requested: Notify,
-    /// From where the store is read for newer rules; nothing before it was read once.
+    /// Offset from which to read newer rules; `None` until the rules topic was read for the first
+    /// time.
     pub(crate) next_rules_offset: Cell<Option<u64>>,
-    /// The offset and version of the newest rules that were read from there.
+    /// Offset and version of the newest rules read from that topic.
     pub(crate) latest_rules: Cell<(u64, u64)>,
     pub(crate) metrics: Metrics,
     pub(crate) log_limiter: LogRateLimiter,
@@ -147,11 +150,11 @@
     stopped: Notify,
 }
 
-/// Starts a node in the running system.
+/// Starts a node on the current `actix-rt` system.
 ///
 /// # Errors
 ///
-/// [`StartError`] if an address cannot be bound.
+/// [`StartError`] if an address cannot be bound or the metrics socket cannot be created.
 pub async fn start(settings: Settings) -> Result<Node, StartError> {
     let bind_error = |e| StartError::Bind(settings.http_addr, e);
     let http = TcpListener::bind(settings.http_addr)
@@ -239,8 +242,8 @@
     })
 }
 
-/// The part of the fleet's retries that nodes plan with: others may count the same sends in another
-/// window, and nodes do not know exactly how many they are.
+/// Reduces the fleet-wide retry limits to what nodes plan with. Others may count the same sends in
+/// a different window, and a node knows the fleet size only approximately.
 fn with_safety_margin(limits: FleetRetryLimits) -> FleetRetryLimits {
     FleetRetryLimits {
         ratio: limits.ratio * PLANNED_RATIO_SHARE,
@@ -249,8 +252,8 @@
     }
 }
 
-/// TCP and UDP on the same port. A port that the system chose for TCP may be taken for UDP, hence
-/// several attempts.
+/// Binds TCP and UDP to the same port. A port that the OS picked for TCP may already be taken for
+/// UDP, so this retries.
 async fn bind_peer(addr: SocketAddr) -> Result<(TcpListener, UdpSocket), StartError> {
     let bind_error = |e| StartError::Bind(addr, e);
     let mut attempt = 0;
@@ -295,7 +298,7 @@
         self.clock.now()
     }
 
-    /// Whether the process was asked to stop.
+    /// Whether a shutdown was requested.
     pub(crate) fn is_stopping(&self) -> bool {
         self.engine.borrow().is_stopping()
     }
@@ -304,12 +307,12 @@
         self.metrics.count(counter);
     }
 
-    /// Counts bytes from outside that are no message.
+    /// Counts bytes from a peer that are not an expected message.
     pub(crate) fn count_unexpected_message(&self) {
         self.count(Counter::UnexpectedMessage);
     }
 
-    /// Enters a request; the receiver gets its answer.
+    /// Submits a request to the engine; the receiver yields its reply.
     pub(crate) fn submit_request(
         self: &Rc<Self>,
         input: impl FnOnce(RequestToken) -> Input,
@@ -322,12 +325,12 @@
         (token, rx)
     }
 
-    /// Tells the engine what happened and does what it asks for.
+    /// Passes an input to the engine and executes the outputs.
     pub(crate) fn handle_input(self: &Rc<Self>, input: Input) {
         if let Some(suspended) = self.clock.take_suspension() {
             let ms = suspended.as_millis();
             log::warn!("event=woken suspended_ms={ms}");
-            // Whatever was read before may be old by now, and its connection gone.
+            // What was read before the suspension may be stale, and the store connection dead.
             self.store_read_requested.notify_one();
         }
         let now = self.clock.now_without_update();
@@ -354,7 +357,7 @@
                 generated_key,
             } => {
                 if let Some(tx) = self.pending_replies.borrow_mut().swap_remove(&token) {
-                    // The caller may have gone meanwhile.
+                    // The caller may have disconnected in the meantime.
                     let _ = tx.send(Reply {
                         outcome,
                         generated_key,
@@ -370,8 +373,8 @@
                 remaining,
                 start_within,
             } => {
-                // Counted from the time that the engine was told. Counted from here, a pause in
-                // between would lengthen the right to start, and another home's run be the second.
+                // Measured from when the engine decided, not from now: a pause in between would
+                // extend the permit to start, and the key's next owner could start a second run.
                 let start_by = start_within.map(|delay| decided_at + delay);
                 let work = BackendRun {
                     run,
--- a/crates/node/src/status.rs
+++ b/crates/node/src/status.rs
@@ -1,9 +1,9 @@
-//! The status page, for `bilberryctl status`.
+//! The status page, read by `bilberryctl status`.
 
 use crate::shell::Shell;
 
 impl Shell {
-    /// `key value` lines: who this is, what it knows, gauges, counters.
+    /// `key value` lines: identity, state, gauges and counters.
     pub(crate) fn status(&self) -> String {
         let engine = self.engine.borrow();
         let mut lines = vec![
--- a/crates/node/src/store_reader.rs
+++ b/crates/node/src/store_reader.rs
@@ -1,4 +1,4 @@
-//! Reads a topic of the store for ever: first the newest record of each key, then what comes after.
+//! Follows a topic of the store: reads the newest record of each key first, then later records.
 
 use crate::metrics::add_bytes;
 use crate::shell::Shell;
@@ -13,25 +13,25 @@
 use stdx::Time;
 use tokio::time::Instant;
 
-/// How long one read waits for new records. A home goes on by its lease only for as long as the topic
-/// was read to its end lately.
+/// How long one read waits for new records. An owner of keys may rely on its lease only if it has
+/// read the topic to the end recently.
 const LOG_POLL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// How long to wait after a call of the store that failed; doubled up to [`MAX_PAUSE`].
+/// Delay after the first failed store call; doubled up to [`MAX_BACKOFF`].
 const MIN_BACKOFF: Duration = Duration::from_millis(200);
 
-/// The longest wait after a call that failed. Nodes are to know each other within two seconds of
-/// the store's return.
+/// Longest delay after a failed store call. Nodes must find each other within two seconds of the
+/// store's return.
 const MAX_BACKOFF: Duration = Duration::from_millis(1500);
 
-/// How often a node that leaves reading to others looks whether it still does.
+/// How often a node that leaves reading to its peers checks whether it has become a reader.
 const READER_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// The wait after calls that failed. All nodes lose the store together; a random part of the wait
-/// keeps them from coming back together.
+/// Exponential backoff for failed store calls. All nodes lose the store at the same time; random
+/// jitter keeps them from reconnecting at the same time.
 pub(crate) struct StoreBackoff {
     next_delay: Duration,
-    /// Since when no call has succeeded.
+    /// Time of the first failure since the last successful call.
     down_since: Option<Instant>,
 }
 
@@ -62,21 +62,21 @@
     }
 }
 
-/// What one read brought.
+/// The result of one read.
 pub(crate) enum StoreBatch {
     /// The newest record of each key.
     Newest(Newest),
-    /// Records in their order.
+    /// Records in log order.
     Records {
         /// The records.
         items: Vec<Item>,
-        /// Whether the topic ends with them.
+        /// Whether they reach the end of the topic.
         at_end: bool,
     },
 }
 
-/// Reads a topic for ever, while it is this node that reads, and gives what it reads to `take`, with the time
-/// at which it was asked for. One read waits for `wait`.
+/// Reads a topic for as long as `is_reader` holds, and passes each batch to `on_batch` with the
+/// time at which it was requested. Each read waits up to `poll_timeout` for new records.
 pub(crate) async fn follow_topic(
     shell: Rc<Shell>,
     topic: &str,
@@ -90,15 +90,15 @@
         if !is_reader(&shell) {
             tokio::select! {
                 () = tokio::time::sleep(READER_CHECK_INTERVAL) => continue,
-                // Something is missing here, and those who read cannot give it.
+                // Something is missing that the readers among the peers could not provide.
                 () = shell.store_read_requested.notified() => {}
             }
         }
         let asked = shell.now();
         let result = tokio::select! {
             result = read_once(&shell, topic, from, poll_timeout) => result,
-            // Something is missing here. A read that waits over a connection that has gone silent
-            // would wait to its end.
+            // Something is missing. A read pending on a connection that has gone silent would block
+            // until its time-out, so start a new one.
             () = shell.store_read_requested.notified() => continue,
         };
         match result {
@@ -116,8 +116,8 @@
     }
 }
 
-/// Reads once, from the newest records if it is not known from where; says where to read on. Nothing
-/// if the records there have expired.
+/// Reads one batch and returns it with the offset to continue from. Without an offset, reads the
+/// newest record of each key. Returns `None` if the records at the offset have expired.
 async fn read_once(
     shell: &Rc<Shell>,
     topic: &str,
@@ -137,14 +137,14 @@
     })
 }
 
-/// Follows the topic of views and rules.
+/// Follows the topic that holds views and rules.
 pub(crate) async fn follow_views(shell: Rc<Shell>) {
     let topic = platform::topic(&shell.settings.store_stream);
     let on_batch = |shell: &Rc<Shell>, _, batch| apply_views(shell, batch);
     follow_topic(shell, &topic, LOG_POLL_TIMEOUT, |_| true, on_batch).await;
 }
 
-/// Finds out whether the store has newer rules in the topic of views and rules.
+/// Checks whether the topic of views and rules has newer rules.
 pub(crate) fn check_rules(shell: &Rc<Shell>) {
     let shell = shell.clone();
     actix_rt::spawn(async move {
--- a/crates/node/src/udp.rs
+++ b/crates/node/src/udp.rs
@@ -1,4 +1,4 @@
-//! Datagrams.
+//! Datagrams between nodes.
 
 use crate::metrics::add_bytes;
 use crate::shell::Shell;
@@ -9,13 +9,13 @@
 use std::rc::Rc;
 use tokio::net::UdpSocket;
 
-/// The largest datagram that is read.
+/// Receive buffer size: the largest possible datagram.
 const MAX_DATAGRAM_LEN: usize = 65_536;
 
 pub(crate) async fn receive(shell: Rc<Shell>, socket: Rc<UdpSocket>) {
     let mut buf = vec![0; MAX_DATAGRAM_LEN];
     loop {
-        // An error here is about an earlier send to a port that is closed; the socket lives on.
+        // An error here is caused by an earlier send to a closed port; the socket remains usable.
         let Ok((len, from)) = socket.recv_from(&mut buf).await else {
             continue;
         };
@@ -30,6 +30,6 @@
 pub(crate) fn send(shell: &Shell, to: SocketAddr, datagram: &proto::Datagram) {
     let bytes = proto::encode(datagram);
     add_bytes(&shell.metrics.control_bytes.datagrams_out, bytes.len());
-    // Loss is allowed: a full socket buffer drops the datagram.
+    // Datagrams may be lost: a full socket buffer drops them.
     let _ = shell.socket.try_send_to(&bytes, to);
 }
