--- a/crates/node/src/backend.rs
+++ b/crates/node/src/backend.rs
@@ -27,11 +27,13 @@
 /// busy server for a dead one.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(2500);
 
+/// HTTP client of the node's own backend server.
 pub(crate) struct Backend {
     parser: Parser,
     addr: SocketAddr,
     max_body: usize,
     idle: RefCell<IdleConnections>,
+    /// Runs in progress, with the channels that cancel them.
     running: RefCell<IndexMap<RunId, oneshot::Sender<()>>>,
 }
 
--- a/crates/node/src/clock.rs
+++ b/crates/node/src/clock.rs
@@ -63,8 +63,8 @@
     /// When the runtime's clock will reach this time, provided that the machine is not suspended
     /// before.
     pub(crate) fn to_instant(&self, at: Time) -> Instant {
-        let since = at.since(Time::ZERO).saturating_sub(self.suspended.get());
-        self.origin + since
+        let since_origin = at.since(Time::ZERO).saturating_sub(self.suspended.get());
+        self.origin + since_origin
     }
 
     /// How long the machine was suspended since the last call of this method, or `None` if it was
--- a/crates/node/src/dialect.rs
+++ b/crates/node/src/dialect.rs
@@ -29,9 +29,12 @@
 #[derive(Debug)]
 pub(crate) struct RequestHead {
     pub(crate) caller: Arc<str>,
+    /// The id of the run that makes this request, from the context header.
     pub(crate) context: Option<Arc<str>>,
+    /// The id of the request being served by the caller, if this request's id reveals it.
     pub(crate) parent: Option<Arc<str>>,
     pub(crate) idempotency_key: Option<Arc<str>>,
+    /// The digest of the organisation's API key.
     pub(crate) credential: Option<KeyDigest>,
     pub(crate) caller_timeout: Option<Duration>,
     /// The request without its body.
--- a/crates/node/src/dialect/native.rs
+++ b/crates/node/src/dialect/native.rs
@@ -116,8 +116,8 @@
 }
 
 fn reject_head(req: &HttpRequest, reason: Reason) -> HttpResponse<BoxBody> {
-    let keyed = req.headers().contains_key(KEY_HEADER);
-    respond(Reply::new(not_run_outcome(reason, keyed)))
+    let has_key = req.headers().contains_key(KEY_HEADER);
+    respond(Reply::new(not_run_outcome(reason, has_key)))
 }
 
 fn encode_run(run: &OutgoingRun<'_>, addr: SocketAddr) -> BytesMut {
@@ -192,9 +192,9 @@
     Ok(text.map(Into::into))
 }
 
-fn not_run_outcome(reason: Reason, keyed: bool) -> Outcome {
+fn not_run_outcome(reason: Reason, has_key: bool) -> Outcome {
     let refusal = Refusal::new(reason, Duration::from_secs(1));
-    if keyed && !reason.is_client_error() {
+    if has_key && !reason.is_client_error() {
         return Outcome::NotRun(refusal.for_attempt_only());
     }
     Outcome::NotRun(refusal)
--- a/crates/node/src/link.rs
+++ b/crates/node/src/link.rs
@@ -89,7 +89,7 @@
     frames: RefCell<VecDeque<(Option<CallId>, Bytes)>>,
     /// Calls that are still in `frames`.
     queued_calls: RefCell<IndexSet<CallId>>,
-    bytes: Cell<usize>,
+    queued_bytes: Cell<usize>,
     /// Calls whose answers are expected on this link.
     awaited_calls: RefCell<IndexSet<CallId>>,
     wake: Notify,
@@ -100,6 +100,7 @@
 }
 
 impl SendQueue {
+    /// Queues a frame with its encoding.
     pub(crate) fn push(&self, frame: Frame, encoded: Bytes) -> Result<(), SendQueueFull> {
         // A call that is still queued need not be queued again; that happens when another link to
         // the same peer is lost.
@@ -109,7 +110,7 @@
             }
         }
         let len = self.frames.borrow().len();
-        if len >= MAX_QUEUED_FRAMES || self.bytes.get() + encoded.len() > MAX_QUEUED_BYTES {
+        if len >= MAX_QUEUED_FRAMES || self.queued_bytes.get() + encoded.len() > MAX_QUEUED_BYTES {
             return Err(SendQueueFull(frame));
         }
         match &frame {
@@ -122,7 +123,8 @@
             }
             _ => {}
         }
-        self.bytes.set(self.bytes.get() + encoded.len());
+        self.queued_bytes
+            .set(self.queued_bytes.get() + encoded.len());
         let call = match &frame {
             Frame::Call(call) => Some(call.id),
             _ => None,
@@ -137,7 +139,7 @@
         if let Some(call) = call {
             self.queued_calls.borrow_mut().swap_remove(&call);
         }
-        self.bytes.set(self.bytes.get() - bytes.len());
+        self.queued_bytes.set(self.queued_bytes.get() - bytes.len());
         Some(bytes)
     }
 
@@ -330,7 +332,7 @@
             activity.unanswered_since.set(None);
         }
         // A large frame that still makes progress counts as a sign of life.
-        let last_progress = |began: Instant| began.max(progress.last_write.get());
+        let last_progress = |started: Instant| started.max(progress.last_write.get());
         let write_progress = activity.write_started.get().map(last_progress);
         if write_progress.is_some_and(|at| now - at >= WRITE_STALL_TIMEOUT) {
             return LinkEnd::Stalled;
@@ -367,8 +369,9 @@
         } else {
             IDLE_TIMEOUT
         };
-        let unused = now - activity.last_used.get() >= idle_limit && now - last_read >= PING_DELAY;
-        if unused && !awaits_answer {
+        let is_unused =
+            now - activity.last_used.get() >= idle_limit && now - last_read >= PING_DELAY;
+        if is_unused && !awaits_answer {
             return LinkEnd::Idle;
         }
     }
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -122,9 +122,9 @@
 
     pub(crate) fn counters(&self) -> Vec<(String, u64)> {
         let counters = self.counters.borrow();
-        let mut lines: Vec<_> = counters.iter().map(|(c, n)| (c.name(), *n)).collect();
-        lines.sort();
-        lines
+        let mut sorted: Vec<_> = counters.iter().map(|(c, n)| (c.name(), *n)).collect();
+        sorted.sort();
+        sorted
     }
 }
 
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -80,6 +80,7 @@
             .any(|link| link.queue.has_unsent())
     }
 
+    /// Sends a frame to a peer, dialling it if there is no link yet.
     pub(crate) fn send(&self, shell: &Rc<Shell>, to: Instance, frame: Frame) {
         let peer = to.incarnation;
         let encoded = Bytes::from(proto::encode(&frame));
@@ -138,12 +139,7 @@
         for frame in frames {
             let encoded = Bytes::from(proto::encode(&frame));
             match &queue {
-                Some(queue) => unsent.extend(
-                    queue
-                        .push(frame, encoded)
-                        .err()
-                        .map(|queue_full| queue_full.0),
-                ),
+                Some(queue) => unsent.extend(queue.push(frame, encoded).err().map(|full| full.0)),
                 None => unsent.push(frame),
             }
         }
@@ -198,13 +194,13 @@
             links.swap_remove(&peer);
         }
         if end != LinkEnd::Idle {
-            self.record_failure(peer, |failures| {
+            self.update_failures(peer, |failures| {
                 failures.link_lost_at = Some(Instant::now())
             });
         }
     }
 
-    fn record_failure(&self, peer: Incarnation, change: impl FnOnce(&mut PeerFailures)) {
+    fn update_failures(&self, peer: Incarnation, change: impl FnOnce(&mut PeerFailures)) {
         let mut recent_failures = self.recent_failures.borrow_mut();
         if recent_failures.len() >= MAX_FAILURE_ENTRIES && !recent_failures.contains_key(&peer) {
             // Incarnations never return, so the oldest entry is the least useful one.
@@ -235,7 +231,7 @@
     }
 
     fn on_dial_failed(&self, peer: Incarnation) {
-        self.record_failure(peer, |failures| {
+        self.update_failures(peer, |failures| {
             let backoff =
                 FIRST_BACKOFF * (1 << failures.consecutive_failed_dials.min(MAX_BACKOFF_DOUBLINGS));
             let backoff = backoff.mul_f64(rand::rng().random_range(0.5..1.5));
@@ -247,11 +243,11 @@
 
 pub(crate) async fn accept(shell: Rc<Shell>, listener: TcpListener) {
     loop {
-        let Ok((stream, _)) = listener.accept().await else {
+        let Ok((tcp, _)) = listener.accept().await else {
             tokio::time::sleep(Duration::from_millis(10)).await;
             continue;
         };
-        actix_rt::spawn(accept_link(shell.clone(), stream));
+        actix_rt::spawn(accept_link(shell.clone(), tcp));
     }
 }
 
--- a/crates/node/src/pipeline.rs
+++ b/crates/node/src/pipeline.rs
@@ -5,7 +5,7 @@
 //! requests would get the last response after the sum of their times. Here it gets it after the
 //! longest of them (1.0 s instead of 2.6 s for one request of 1 s and eight of 0.2 s).
 
-mod request_reader;
+mod requests;
 
 use actix_http::body::BoxBody;
 use actix_http::body::MessageBody;
@@ -22,8 +22,8 @@
 use futures_util::future::Either;
 use futures_util::stream::FuturesOrdered;
 use futures_util::StreamExt;
-use request_reader::RequestReader;
-use request_reader::WaitState;
+use requests::RequestReader;
+use requests::WaitState;
 use std::cell::RefCell;
 use std::fmt;
 use std::future::Future;
@@ -42,9 +42,9 @@
 /// each, they hold half a megabyte for a caller that does not read.
 const MAX_PIPELINED: usize = 16;
 
-/// While this many bytes are unwritten, no further response is encoded and no further request
+/// While this many bytes are unwritten, no further response is encoded and no further request is
 /// started.
-const MAX_UNWRITTEN_BYTES: usize = 64 * 1024;
+const WRITE_BUFFER_LIMIT: usize = 64 * 1024;
 
 /// How long a connection closed by this end is still read. Closing it with unread bytes would reset
 /// it, and the caller could lose the last response.
@@ -86,7 +86,7 @@
 /// Decodes one request's body and encodes its response; the encoding depends on the request.
 type RequestCodec = Rc<RefCell<Codec>>;
 
-/// Serves a connection until it ends. `is_stopping` tells whether callers should send further
+/// Serves a connection until it ends. While `is_stopping` returns true, callers should send further
 /// requests elsewhere.
 pub(crate) async fn serve_connection<F>(
     mut stream: TcpStream,
@@ -101,13 +101,13 @@
     let mut requests = RequestReader::new(cfg.clone());
     let mut unwritten = BytesMut::new();
     let mut responses = FuturesOrdered::new();
-    let mut failed = None;
+    let mut error = None;
     loop {
         requests.decode_body();
         // Every request that was started has to be answered on this connection, so a stopping node
         // starts none behind one that is still unanswered.
         let may_start = |pending| pending < MAX_PIPELINED && (pending == 0 || !is_stopping());
-        while may_start(responses.len()) && unwritten.len() < MAX_UNWRITTEN_BYTES {
+        while may_start(responses.len()) && unwritten.len() < WRITE_BUFFER_LIMIT {
             match requests.next_request() {
                 Ok(Some((codec, req))) => {
                     let response = handle(req);
@@ -117,7 +117,7 @@
                 Err(e) => {
                     let response = empty_response(error_status(&e));
                     responses.push_back(Either::Right(ready((requests.new_codec(), response))));
-                    failed = Some(e);
+                    error = Some(e);
                 }
             }
         }
@@ -134,15 +134,15 @@
             written = writer.write_buf(&mut unwritten), if !unwritten.is_empty() => {
                 written?;
             }
-            Some((codec, response)) = responses.next(), if unwritten.len() < MAX_UNWRITTEN_BYTES => {
+            Some((codec, response)) = responses.next(), if unwritten.len() < WRITE_BUFFER_LIMIT => {
                 let is_last = responses.is_empty() && (requests.no_more_requests || is_stopping());
                 let keep_alive = write_response(&codec, response, is_last, &mut unwritten)?;
                 requests.no_more_requests |= !keep_alive;
             }
-            open = requests.read(&mut reader), if requests.has_room() => {
+            is_open = requests.read(&mut reader), if requests.has_room() => {
                 // The caller has closed its side: all of its requests are cancelled.
-                if !open? {
-                    return failed.map_or(Ok(()), Err);
+                if !is_open? {
+                    return error.map_or(Ok(()), Err);
                 }
             }
             () = sleep_until(deadline), if deadline.is_some() => {
@@ -151,7 +151,7 @@
                     WaitState::RestOfHead => {
                         let response = empty_response(StatusCode::REQUEST_TIMEOUT);
                         responses.push_back(Either::Right(ready((requests.new_codec(), response))));
-                        failed = Some(ConnectionError::HeadTimeout);
+                        error = Some(ConnectionError::HeadTimeout);
                     }
                     WaitState::NextRequest | WaitState::Nothing => {}
                 }
@@ -161,7 +161,7 @@
     }
     writer.shutdown().await?;
     let _ = timeout(LINGERING_CLOSE_TIMEOUT, discard_input(&mut reader)).await;
-    failed.map_or(Ok(()), Err)
+    error.map_or(Ok(()), Err)
 }
 
 async fn sleep_until(deadline: Option<Instant>) {
--- a/crates/node/src/platform_mode.rs
+++ b/crates/node/src/platform_mode.rs
@@ -207,8 +207,8 @@
 }
 
 fn advance_rules_offset(shell: &Shell, next: u64) {
-    let read = shell.next_rules_offset.get();
-    shell.next_rules_offset.set(read.max(Some(next)));
+    let current = shell.next_rules_offset.get();
+    shell.next_rules_offset.set(current.max(Some(next)));
 }
 
 fn apply_configs(shell: &Rc<Shell>, items: &[Item]) {
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -38,8 +38,8 @@
     pub http_addr: SocketAddr,
     /// Listen address for other nodes, TCP and UDP.
     pub peer_addr: SocketAddr,
-    /// The address that other nodes are told to connect to, if it differs from `peer_addr`, because
-    /// that is a wildcard or behind NAT.
+    /// The address advertised to other nodes, if it differs from `peer_addr` because that is a
+    /// wildcard or behind NAT.
     pub advertised_addr: Option<SocketAddr>,
     /// Addresses at which other nodes may be found.
     pub contacts: Vec<SocketAddr>,
--- a/crates/node/src/settings/value.rs
+++ b/crates/node/src/settings/value.rs
@@ -88,8 +88,8 @@
     value.parse().map_err(|_| "IP:PORT")
 }
 
-/// An address to listen on and to advertise. Other nodes that were told an unspecified address
-/// would connect to themselves, and the node would be listed in the views but never reached.
+/// An address to listen on and to advertise. Other nodes would connect to themselves at an
+/// unspecified address, and this node would be listed in the views but never reached.
 pub(super) fn parse_advertised_addr(value: &str) -> ParseResult<SocketAddr> {
     let allowed = "IP:PORT that other nodes can reach: not 0.0.0.0, [::], multicast or broadcast";
     value.parse().ok().filter(is_unicast).ok_or(allowed)
@@ -109,8 +109,10 @@
 
 pub(super) fn parse_contacts(value: &str) -> ParseResult<Vec<SocketAddr>> {
     const MAX_CONTACTS: usize = 32;
-    let words = value.split(',').map(str::trim);
-    let addrs = words.filter(|word| !word.is_empty()).map(parse_remote_addr);
+    let entries = value.split(',').map(str::trim);
+    let addrs = entries
+        .filter(|entry| !entry.is_empty())
+        .map(parse_remote_addr);
     match addrs.collect::<Result<Vec<_>, _>>() {
         Ok(addrs) if addrs.len() <= MAX_CONTACTS => Ok(addrs),
         _ => Err("up to 32 addresses IP:PORT, separated by commas"),
@@ -155,7 +157,7 @@
 ) -> impl Fn(&str) -> ParseResult<Duration> {
     move |value| {
         rules::parse_duration(value)
-            .filter(|time| (min..=max).contains(time))
+            .filter(|duration| (min..=max).contains(duration))
             .ok_or("a number with ms, s, m or h: body_timeout 1ms to 300s, retention 10m to 8760h")
     }
 }
--- a/crates/node/src/shell.rs
+++ b/crates/node/src/shell.rs
@@ -125,12 +125,14 @@
     }
 }
 
+/// The state shared by all tasks of a node.
 pub(crate) struct Shell {
     pub(crate) settings: Settings,
     pub(crate) own_instance: Instance,
     pub(crate) engine: RefCell<Engine>,
     pub(crate) dialect: Dialect,
     pub(crate) store: Store,
+    /// Wakes the store reader when the engine is missing something from the store.
     pub(crate) store_read_requested: Notify,
     /// Offset from which to read newer rules; `None` until the rules topic was read for the first
     /// time.
@@ -145,7 +147,8 @@
     next_token: Cell<u64>,
     peers: Peers,
     backend: Backend,
-    pub(crate) socket: Rc<UdpSocket>,
+    pub(crate) udp_socket: Rc<UdpSocket>,
+    /// Wakes the timer task when the engine's next timer has changed.
     timer_changed: Notify,
     stopped: Notify,
 }
@@ -157,13 +160,13 @@
 /// [`StartError`] if an address cannot be bound or the metrics socket cannot be created.
 pub async fn start(settings: Settings) -> Result<Node, StartError> {
     let bind_error = |e| StartError::Bind(settings.http_addr, e);
-    let http = TcpListener::bind(settings.http_addr)
+    let http_listener = TcpListener::bind(settings.http_addr)
         .await
         .map_err(bind_error)?;
-    let http_addr = http.local_addr().map_err(bind_error)?;
-    let (tcp, socket) = bind_peer(settings.peer_addr).await?;
+    let http_addr = http_listener.local_addr().map_err(bind_error)?;
+    let (peer_listener, udp_socket) = bind_peer(settings.peer_addr).await?;
     let bind_error = |e| StartError::Bind(settings.peer_addr, e);
-    let peer_addr = tcp.local_addr().map_err(bind_error)?;
+    let peer_addr = peer_listener.local_addr().map_err(bind_error)?;
 
     let own_instance = Instance {
         incarnation: Incarnation(uuid::Uuid::new_v4().as_u64_pair().0),
@@ -186,7 +189,7 @@
         platform_mode::configure(&mut cfg);
     }
     cfg.membership.seed = seed;
-    let socket = Rc::new(socket);
+    let udp_socket = Rc::new(udp_socket);
     let shell = Rc::new(Shell {
         engine: RefCell::new(Engine::new(cfg, own_instance.clone())),
         dialect: Dialect::new(&settings),
@@ -202,7 +205,7 @@
         next_token: Cell::new(0),
         peers: Peers::default(),
         backend: Backend::new(&settings),
-        socket: socket.clone(),
+        udp_socket: udp_socket.clone(),
         timer_changed: Notify::new(),
         stopped: Notify::new(),
         own_instance,
@@ -213,9 +216,9 @@
         shell.own_instance.incarnation,
         shell.own_instance.service
     );
-    actix_rt::spawn(caller::serve_callers(shell.clone(), http));
-    actix_rt::spawn(peers::accept(shell.clone(), tcp));
-    actix_rt::spawn(udp::receive(shell.clone(), socket));
+    actix_rt::spawn(caller::serve_callers(shell.clone(), http_listener));
+    actix_rt::spawn(peers::accept(shell.clone(), peer_listener));
+    actix_rt::spawn(udp::receive(shell.clone(), udp_socket));
     let platform_addrs = match &shell.settings.platform {
         Some(cfg) => Some(platform_mode::start(&shell, cfg).await?),
         None => {
@@ -258,10 +261,10 @@
     let bind_error = |e| StartError::Bind(addr, e);
     let mut attempt = 0;
     loop {
-        let tcp = TcpListener::bind(addr).await.map_err(bind_error)?;
-        let bound = tcp.local_addr().map_err(bind_error)?;
+        let peer_listener = TcpListener::bind(addr).await.map_err(bind_error)?;
+        let bound = peer_listener.local_addr().map_err(bind_error)?;
         match UdpSocket::bind(bound).await {
-            Ok(udp) => return Ok((tcp, udp)),
+            Ok(udp) => return Ok((peer_listener, udp)),
             Err(e) if attempt == BIND_ATTEMPTS => return Err(bind_error(e)),
             Err(_) => attempt += 1,
         }
@@ -376,14 +379,14 @@
                 // Measured from when the engine decided, not from now: a pause in between would
                 // extend the permit to start, and the key's next owner could start a second run.
                 let start_by = start_within.map(|delay| decided_at + delay);
-                let work = BackendRun {
+                let backend_run = BackendRun {
                     run,
                     request,
                     expected_server,
                     remaining,
                     start_by,
                 };
-                self.backend.run(self, work);
+                self.backend.run(self, backend_run);
             }
             Output::CheckServer { id, path } => self.backend.check_health(self, id, path),
             Output::CancelRun(run) => self.backend.cancel(run),
--- a/crates/node/src/store_reader.rs
+++ b/crates/node/src/store_reader.rs
@@ -171,12 +171,12 @@
     match batch {
         StoreBatch::Newest(newest) => {
             let end = newest.end;
-            let values = record_values(shell, newest.items);
+            let values = into_values(shell, newest.items);
             shell.handle_input(Input::TopicSnapshot { values, end });
             shell.handle_input(Input::LogCaughtUp);
         }
         StoreBatch::Records { items, at_end } => {
-            let records = record_values(shell, items);
+            let records = into_values(shell, items);
             shell.handle_input(Input::Records(records));
             if at_end {
                 shell.handle_input(Input::LogCaughtUp);
@@ -185,7 +185,7 @@
     }
 }
 
-fn record_values(shell: &Shell, items: Vec<Item>) -> Vec<(u64, bytes::Bytes)> {
+fn into_values(shell: &Shell, items: Vec<Item>) -> Vec<(u64, bytes::Bytes)> {
     let with_offsets = items.into_iter().map(|item| {
         add_bytes(&shell.metrics.control_bytes.store_in, item.value.len());
         (item.offset, item.value)
--- a/crates/node/src/udp.rs
+++ b/crates/node/src/udp.rs
@@ -31,5 +31,5 @@
     let bytes = proto::encode(datagram);
     add_bytes(&shell.metrics.control_bytes.datagrams_out, bytes.len());
     // Datagrams may be lost: a full socket buffer drops them.
-    let _ = shell.socket.try_send_to(&bytes, to);
+    let _ = shell.udp_socket.try_send_to(&bytes, to);
 }
