--- a/crates/node/src/body.rs
+++ b/crates/node/src/body.rs
@@ -1,4 +1,5 @@
-//! Bodies of callers' requests: whole, in time, and bounded in memory together.
+//! Reads the bodies of callers' requests completely, within a time limit and a shared memory
+//! budget.
 
 use actix_http::HttpMessage;
 use actix_http::Request as HttpRequest;
@@ -11,35 +12,35 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// Bounds of bodies.
+/// Limits for one body.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Limits {
-    /// The largest body, in bytes.
-    pub(crate) max: usize,
-    /// How long one may take.
-    pub(crate) time: Duration,
+pub(crate) struct BodyLimits {
+    /// Largest body, in bytes.
+    pub(crate) max_bytes: usize,
+    /// Time limit for receiving the body.
+    pub(crate) timeout: Duration,
 }
 
-/// The bytes that all bodies in flight may take up together.
+/// Memory budget shared by all request bodies in flight.
 ///
-/// Each body alone keeps to its bound, but many at once would still take all the memory of a small
+/// A limit per body is not enough: many bodies at once could exhaust the memory of a small
 /// instance, and the kernel would kill the process with every call in it.
 #[derive(Debug, Clone)]
-pub(crate) struct Budget {
-    left: Rc<Cell<usize>>,
+pub(crate) struct BodyBudget {
+    available: Rc<Cell<usize>>,
 }
 
-/// A part of the budget; given back when dropped.
+/// A share of the budget, returned when dropped.
 #[derive(Debug)]
 pub(crate) struct Reservation {
-    budget: Budget,
+    budget: BodyBudget,
     bytes: usize,
 }
 
-impl Budget {
+impl BodyBudget {
     pub(crate) fn new(bytes: usize) -> Self {
         Self {
-            left: Rc::new(Cell::new(bytes)),
+            available: Rc::new(Cell::new(bytes)),
         }
     }
 
@@ -53,9 +54,9 @@
 
 impl Reservation {
     fn grow(&mut self, bytes: usize) -> Result<(), Reason> {
-        let left = self.budget.left.get();
-        let left = left.checked_sub(bytes).ok_or(Reason::TableFull)?;
-        self.budget.left.set(left);
+        let available = self.budget.available.get();
+        let available = available.checked_sub(bytes).ok_or(Reason::TableFull)?;
+        self.budget.available.set(available);
         self.bytes += bytes;
         Ok(())
     }
@@ -63,36 +64,37 @@
 
 impl Drop for Reservation {
     fn drop(&mut self) {
-        let left = &self.budget.left;
-        left.set(left.get() + self.bytes);
+        let available = &self.budget.available;
+        available.set(available.get() + self.bytes);
     }
 }
 
-/// Reads the whole body. Keep the reservation for as long as the body is in use.
-pub(crate) async fn read(
+/// Reads the whole body. The reservation must be kept for as long as the body is in use.
+pub(crate) async fn read_body(
     req: &mut HttpRequest,
-    limits: Limits,
-    budget: &Budget,
+    limits: BodyLimits,
+    budget: &BodyBudget,
 ) -> Result<(Bytes, Reservation), Reason> {
-    if announced(req).is_some_and(|len| len > limits.max) {
+    if declared_len(req).is_some_and(|len| len > limits.max_bytes) {
         return Err(Reason::TooLarge);
     }
-    // A caller that sends its body a byte at a time would hold its place in the budget for ever.
-    let read = timeout(limits.time, collect(req, limits.max, budget)).await;
-    read.unwrap_or(Err(Reason::Deadline))
+    // Without a time limit, a caller that sends one byte at a time would hold its share of the
+    // budget indefinitely.
+    let body = timeout(limits.timeout, collect(req, limits.max_bytes, budget)).await;
+    body.unwrap_or(Err(Reason::Deadline))
 }
 
 async fn collect(
     req: &mut HttpRequest,
-    max: usize,
-    budget: &Budget,
+    max_bytes: usize,
+    budget: &BodyBudget,
 ) -> Result<(Bytes, Reservation), Reason> {
     let mut payload = req.take_payload();
     let mut body = BytesMut::new();
     let mut reservation = budget.reserve();
     while let Some(chunk) = payload.next().await {
         let chunk = chunk.map_err(|_| Reason::BadRequest)?;
-        if body.len() + chunk.len() > max {
+        if body.len() + chunk.len() > max_bytes {
             return Err(Reason::TooLarge);
         }
         reservation.grow(chunk.len())?;
@@ -101,8 +103,8 @@
     Ok((body.freeze(), reservation))
 }
 
-/// The length that the head announces.
-fn announced(req: &HttpRequest) -> Option<usize> {
+/// The length declared by the `Content-Length` header.
+fn declared_len(req: &HttpRequest) -> Option<usize> {
     let len = req.headers().get(actix_http::header::CONTENT_LENGTH)?;
     len.to_str().ok()?.parse().ok()
 }
--- a/crates/node/src/settings/error.rs
+++ b/crates/node/src/settings/error.rs
@@ -1,23 +1,23 @@
-//! What can be wrong with settings.
+//! Errors in settings.
 
 use std::fmt;
 
-/// What is wrong with the settings.
+/// An error in the settings.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SettingsError {
     /// The file could not be read.
     Unreadable(String),
-    /// The file is not INI.
+    /// The file is not valid INI.
     Syntax(String),
-    /// A key is missing.
+    /// A required key is missing.
     Missing {
         /// The section.
         section: &'static str,
         /// The key.
         key: &'static str,
     },
-    /// A value is not what the key takes.
-    BadValue {
+    /// A value is not allowed for its key.
+    InvalidValue {
         /// The section.
         section: &'static str,
         /// The key.
@@ -27,14 +27,14 @@
         /// What is allowed.
         allowed: &'static str,
     },
-    /// A key stands twice in its section.
-    Repeated {
+    /// A key appears twice in its section.
+    Duplicate {
         /// The section.
         section: String,
         /// The key.
         key: String,
     },
-    /// A section or key that there is none of.
+    /// The section or key does not exist.
     Unknown {
         /// The section.
         section: String,
@@ -46,10 +46,10 @@
 impl fmt::Display for SettingsError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            SettingsError::Unreadable(path) => write!(f, "{path} cannot be read"),
-            SettingsError::Syntax(what) => write!(f, "not INI: {what}"),
+            SettingsError::Unreadable(path) => write!(f, "cannot read {path}"),
+            SettingsError::Syntax(message) => write!(f, "invalid INI: {message}"),
             SettingsError::Missing { section, key } => write!(f, "[{section}] {key} is missing"),
-            SettingsError::BadValue {
+            SettingsError::InvalidValue {
                 section,
                 key,
                 value,
@@ -57,10 +57,12 @@
             } => {
                 write!(f, "[{section}] {key} = {value}: takes {allowed}")
             }
-            SettingsError::Repeated { section, key } => {
+            SettingsError::Duplicate { section, key } => {
                 write!(f, "[{section}] {key}: stands twice")
             }
-            SettingsError::Unknown { section, key } => write!(f, "[{section}] {key}: unknown"),
+            SettingsError::Unknown { section, key } => {
+                write!(f, "[{section}] {key}: unknown section or key")
+            }
         }
     }
 }
--- a/crates/node/src/shell.rs
+++ b/crates/node/src/shell.rs
@@ -1,21 +1,22 @@
-//! The node as one `actix-rt` system: starts everything, and carries inputs and outputs.
+//! The node as one `actix-rt` system: starts all tasks, feeds inputs to the engine and executes its
+//! outputs.
 
-use crate::attached;
-use crate::attached::PlatformAddrs;
 use crate::backend::Backend;
-use crate::backend::Work;
-use crate::body::Budget;
+use crate::backend::BackendRun;
+use crate::body::BodyBudget;
 use crate::caller;
 use crate::clock::Clock;
 use crate::dialect::Dialect;
 use crate::dialect::Reply;
 use crate::events;
-use crate::events::Cap;
+use crate::events::LogRateLimiter;
 use crate::fetch;
-use crate::metrics::add;
+use crate::metrics::add_bytes;
 use crate::metrics::Metrics;
 use crate::peers;
 use crate::peers::Peers;
+use crate::platform_mode;
+use crate::platform_mode::PlatformAddrs;
 use crate::store_reader;
 use crate::udp;
 use crate::Settings;
@@ -44,175 +45,182 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// How often a pair of free ports for TCP and UDP is looked for.
+/// How many times to retry finding a port that is free for both TCP and UDP.
 const BIND_ATTEMPTS: u32 = 20;
 
-/// The longest wait for last frames to be written, when a node stops.
+/// How long a stopping node waits for queued frames to be written.
 const FLUSH_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The time that the tasks which write get, and between two looks at what they have left.
-const FLUSH_PAUSE: Duration = Duration::from_millis(50);
+/// How often the flush checks for unsent frames, and how long the writer tasks get after the queues
+/// are empty.
+const FLUSH_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Of the retries for each first send that the settings allow, what is used; the rest makes up for what
-/// is in hand at the beginning of a window.
-const RATIO_USED: f64 = 0.8;
+/// Share of `retries.ratio` that nodes plan with. The rest covers retries that are already
+/// available at the start of a window.
+const PLANNED_RATIO_SHARE: f64 = 0.8;
 
-/// Of the retries beyond those, what is used.
-const SPARE_USED: f64 = 0.9;
+/// Share of `retries.spare` that nodes plan with.
+const PLANNED_SPARE_SHARE: f64 = 0.9;
 
-/// How often gauges go to the metrics service.
+/// How often gauges are sent to the metrics service.
 const GAUGE_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Why a node did not start.
+/// Why a node failed to start.
 #[derive(Debug)]
 pub enum StartError {
-    /// An address could not be bound.
+    /// Binding a listen address failed.
     Bind(SocketAddr, std::io::Error),
-    /// The metrics socket could not be made.
+    /// Creating the metrics socket failed.
     Metrics(std::io::Error),
 }
 
 impl std::fmt::Display for StartError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            StartError::Bind(addr, e) => write!(f, "{addr} cannot be bound: {e}"),
-            StartError::Metrics(e) => write!(f, "no socket for metrics: {e}"),
+            StartError::Bind(addr, e) => write!(f, "cannot bind {addr}: {e}"),
+            StartError::Metrics(e) => write!(f, "cannot create the metrics socket: {e}"),
         }
     }
 }
 
 impl std::error::Error for StartError {}
 
-/// A node that runs in this system.
+/// A running node.
 pub struct Node {
-    /// Where it takes HTTP.
+    /// Address that serves callers' HTTP requests.
     pub http_addr: SocketAddr,
-    /// Where other nodes reach it.
+    /// Address that accepts connections and datagrams from other nodes.
     pub peer_addr: SocketAddr,
-    /// Where the users' platform reaches it, if it is on one.
+    /// Addresses that the users' platform connects to, if the node runs on one.
     pub platform_addrs: Option<PlatformAddrs>,
     shell: Rc<Shell>,
 }
 
 impl Node {
-    /// Asks for a graceful shutdown.
+    /// Starts a graceful shutdown.
     pub fn stop(&self) {
-        self.shell.feed(Input::Stop);
+        self.shell.handle_input(Input::Stop);
     }
 
-    /// Waits until a graceful shutdown is complete.
+    /// Waits for the graceful shutdown to complete.
     pub async fn stopped(&self) {
         self.shell.stopped.notified().await;
         self.flush().await;
     }
 
-    /// The last answers were given to tasks that write them. If the process ended before they did,
-    /// callers would see connections that break off, for work that was done.
+    /// Waits until the last responses are written. They are queued for the writer tasks; if the
+    /// process exited first, callers would see connections cut off for work that was done.
     async fn flush(&self) {
-        let ends = Instant::now() + FLUSH_TIMEOUT;
-        while self.shell.peers.has_unsent() && Instant::now() < ends {
-            tokio::time::sleep(FLUSH_PAUSE).await;
+        let deadline = Instant::now() + FLUSH_TIMEOUT;
+        while self.shell.peers.has_unsent() && Instant::now() < deadline {
+            tokio::time::sleep(FLUSH_POLL_INTERVAL).await;
         }
-        // What has left the queues is on its way into the sockets.
-        tokio::time::sleep(FLUSH_PAUSE).await;
+        // Frames taken from the queues may still be on their way into the sockets.
+        tokio::time::sleep(FLUSH_POLL_INTERVAL).await;
     }
 
-    /// Counters by name, in order.
-    pub fn totals(&self) -> Vec<(String, u64)> {
-        self.shell.metrics.totals()
+    /// Counter totals, sorted by name.
+    pub fn counters(&self) -> Vec<(String, u64)> {
+        self.shell.metrics.counters()
     }
 }
 
+/// The state shared by all tasks of a node.
 pub(crate) struct Shell {
     pub(crate) settings: Settings,
-    pub(crate) me: Instance,
+    pub(crate) own_instance: Instance,
     pub(crate) engine: RefCell<Engine>,
     pub(crate) dialect: Dialect,
     pub(crate) store: Store,
-    pub(crate) read_store: Notify,
-    /// From where the store is read for newer rules; nothing before it was read once.
-    pub(crate) rules_offset: Cell<Option<u64>>,
-    /// The offset and version of the newest rules that were read from there.
-    pub(crate) newest_rules: Cell<(u64, u64)>,
+    /// Wakes the store reader when the engine is missing something from the store.
+    pub(crate) store_read_requested: Notify,
+    /// Offset from which to read newer rules; `None` until the rules topic was read for the first
+    /// time.
+    pub(crate) next_rules_offset: Cell<Option<u64>>,
+    /// Offset and version of the newest rules read from that topic.
+    pub(crate) latest_rules: Cell<(u64, u64)>,
     pub(crate) metrics: Metrics,
-    pub(crate) lines: Cap,
-    pub(crate) bodies: Budget,
+    pub(crate) log_limiter: LogRateLimiter,
+    pub(crate) body_budget: BodyBudget,
     clock: Clock,
-    waiting: RefCell<IndexMap<RequestToken, oneshot::Sender<Reply>>>,
+    pending_replies: RefCell<IndexMap<RequestToken, oneshot::Sender<Reply>>>,
     next_token: Cell<u64>,
     peers: Peers,
     backend: Backend,
-    pub(crate) socket: Rc<UdpSocket>,
-    timer: Notify,
+    pub(crate) udp_socket: Rc<UdpSocket>,
+    /// Wakes the timer task when the engine's next timer has changed.
+    timer_changed: Notify,
     stopped: Notify,
 }
 
-/// Starts a node in the running system.
+/// Starts a node on the current `actix-rt` system.
 ///
 /// # Errors
 ///
-/// [`StartError`] if an address cannot be bound.
+/// [`StartError`] if an address cannot be bound or the metrics socket cannot be created.
 pub async fn start(settings: Settings) -> Result<Node, StartError> {
-    let bind = |e| StartError::Bind(settings.http_addr, e);
-    let http = TcpListener::bind(settings.http_addr).await.map_err(bind)?;
-    let http_addr = http.local_addr().map_err(bind)?;
-    let (tcp, socket) = bind_peer(settings.peer_addr).await?;
-    let bind = |e| StartError::Bind(settings.peer_addr, e);
-    let peer_addr = tcp.local_addr().map_err(bind)?;
-
-    let me = Instance {
+    let bind_error = |e| StartError::Bind(settings.http_addr, e);
+    let http_listener = TcpListener::bind(settings.http_addr)
+        .await
+        .map_err(bind_error)?;
+    let http_addr = http_listener.local_addr().map_err(bind_error)?;
+    let (peer_listener, udp_socket) = bind_peer(settings.peer_addr).await?;
+    let bind_error = |e| StartError::Bind(settings.peer_addr, e);
+    let peer_addr = peer_listener.local_addr().map_err(bind_error)?;
+
+    let own_instance = Instance {
         incarnation: Incarnation(uuid::Uuid::new_v4().as_u64_pair().0),
         service: settings.service.as_str().into(),
         failure_domain: settings.failure_domain.as_str().into(),
         region: settings.region.as_str().into(),
         addr: settings.advertised_addr.unwrap_or(peer_addr),
     };
-    let seed = me.incarnation.0;
+    let seed = own_instance.incarnation.0;
     let mut cfg = Config {
         seed,
         contacts: settings.contacts.clone(),
         policy: settings.switches,
-        retry_budget: within(settings.retries),
-        revocation_bound: settings.revocation,
-        quota_bounds: settings.quotas,
+        retry_budget: with_safety_margin(settings.retry_limits),
+        revocation_bound: settings.revocation_bound,
+        quota_bounds: settings.quota_tolerance,
         ..Config::default()
     };
     if settings.platform.is_some() {
-        attached::configure(&mut cfg);
+        platform_mode::configure(&mut cfg);
     }
     cfg.membership.seed = seed;
-    let socket = Rc::new(socket);
+    let udp_socket = Rc::new(udp_socket);
     let shell = Rc::new(Shell {
-        engine: RefCell::new(Engine::new(cfg, me.clone())),
+        engine: RefCell::new(Engine::new(cfg, own_instance.clone())),
         dialect: Dialect::new(&settings),
         store: Store::new(settings.store_addr),
-        read_store: Notify::new(),
-        rules_offset: Cell::new(None),
-        newest_rules: Cell::new((0, 0)),
+        store_read_requested: Notify::new(),
+        next_rules_offset: Cell::new(None),
+        latest_rules: Cell::new((0, 0)),
         metrics: Metrics::new(settings.metrics_addr).map_err(StartError::Metrics)?,
-        lines: Cap::new(),
-        bodies: Budget::new(settings.max_bodies),
+        log_limiter: LogRateLimiter::new(),
+        body_budget: BodyBudget::new(settings.max_bodies),
         clock: Clock::new(),
-        waiting: RefCell::default(),
+        pending_replies: RefCell::default(),
         next_token: Cell::new(0),
         peers: Peers::default(),
         backend: Backend::new(&settings),
-        socket: socket.clone(),
-        timer: Notify::new(),
+        udp_socket: udp_socket.clone(),
+        timer_changed: Notify::new(),
         stopped: Notify::new(),
-        me,
+        own_instance,
         settings,
     });
     log::info!(
         "event=started incarnation={} service={} http={http_addr} peer={peer_addr}",
-        shell.me.incarnation,
-        shell.me.service
+        shell.own_instance.incarnation,
+        shell.own_instance.service
     );
-    actix_rt::spawn(caller::accept(shell.clone(), http));
-    actix_rt::spawn(peers::accept(shell.clone(), tcp));
-    actix_rt::spawn(udp::receive(shell.clone(), socket));
+    actix_rt::spawn(caller::serve_callers(shell.clone(), http_listener));
+    actix_rt::spawn(peers::accept(shell.clone(), peer_listener));
+    actix_rt::spawn(udp::receive(shell.clone(), udp_socket));
     let platform_addrs = match &shell.settings.platform {
-        Some(cfg) => Some(attached::start(&shell, cfg).await?),
+        Some(cfg) => Some(platform_mode::start(&shell, cfg).await?),
         None => {
             actix_rt::spawn(store_reader::follow_views(shell.clone()));
             None
@@ -221,7 +229,11 @@
     if let Some(addr) = shell.settings.metrics_http_addr {
         let listener = TcpListener::bind(addr).await;
         let listener = listener.map_err(|e| StartError::Bind(addr, e))?;
-        actix_rt::spawn(caller::serve(shell.clone(), listener, caller::on_metrics));
+        actix_rt::spawn(caller::serve(
+            shell.clone(),
+            listener,
+            caller::handle_metrics,
+        ));
     }
     actix_rt::spawn(run_timers(shell.clone()));
     actix_rt::spawn(send_gauges(shell.clone()));
@@ -233,27 +245,27 @@
     })
 }
 
-/// The part of the fleet's retries that nodes plan with: others may count the same sends in another
-/// window, and nodes do not know exactly how many they are.
-fn within(fleet: FleetRetryLimits) -> FleetRetryLimits {
+/// Reduces the fleet-wide retry limits to what nodes plan with. Others may count the same sends in
+/// a different window, and a node knows the fleet size only approximately.
+fn with_safety_margin(limits: FleetRetryLimits) -> FleetRetryLimits {
     FleetRetryLimits {
-        ratio: fleet.ratio * RATIO_USED,
-        spare: fleet.spare * SPARE_USED,
-        ..fleet
+        ratio: limits.ratio * PLANNED_RATIO_SHARE,
+        spare: limits.spare * PLANNED_SPARE_SHARE,
+        ..limits
     }
 }
 
-/// TCP and UDP on the same port. A port that the system chose for TCP may be taken for UDP, hence
-/// several attempts.
+/// Binds TCP and UDP to the same port. A port that the OS picked for TCP may already be taken for
+/// UDP, so this retries.
 async fn bind_peer(addr: SocketAddr) -> Result<(TcpListener, UdpSocket), StartError> {
-    let bind = |e| StartError::Bind(addr, e);
+    let bind_error = |e| StartError::Bind(addr, e);
     let mut attempt = 0;
     loop {
-        let tcp = TcpListener::bind(addr).await.map_err(bind)?;
-        let bound = tcp.local_addr().map_err(bind)?;
+        let peer_listener = TcpListener::bind(addr).await.map_err(bind_error)?;
+        let bound = peer_listener.local_addr().map_err(bind_error)?;
         match UdpSocket::bind(bound).await {
-            Ok(udp) => return Ok((tcp, udp)),
-            Err(e) if attempt == BIND_ATTEMPTS => return Err(bind(e)),
+            Ok(udp) => return Ok((peer_listener, udp)),
+            Err(e) if attempt == BIND_ATTEMPTS => return Err(bind_error(e)),
             Err(_) => attempt += 1,
         }
     }
@@ -262,7 +274,7 @@
 async fn run_timers(shell: Rc<Shell>) {
     loop {
         let due = shell.engine.borrow().next_timer();
-        let due = due.map(|due| shell.clock.instant(due));
+        let due = due.map(|due| shell.clock.to_instant(due));
         let sleep = async {
             match due {
                 Some(due) => tokio::time::sleep_until(due).await,
@@ -270,8 +282,8 @@
             }
         };
         tokio::select! {
-            () = sleep => shell.feed(Input::Tick),
-            () = shell.timer.notified() => {}
+            () = sleep => shell.handle_input(Input::Tick),
+            () = shell.timer_changed.notified() => {}
         }
     }
 }
@@ -280,7 +292,7 @@
     loop {
         tokio::time::sleep(GAUGE_INTERVAL).await;
         let gauges = shell.engine.borrow().gauges(shell.now());
-        shell.metrics.gauge(&gauges);
+        shell.metrics.report_gauges(&gauges);
     }
 }
 
@@ -289,7 +301,7 @@
         self.clock.now()
     }
 
-    /// Whether the process was asked to stop.
+    /// Whether a shutdown was requested.
     pub(crate) fn is_stopping(&self) -> bool {
         self.engine.borrow().is_stopping()
     }
@@ -298,60 +310,60 @@
         self.metrics.count(counter);
     }
 
-    /// Counts bytes from outside that are no message.
-    pub(crate) fn count_broken(&self) {
+    /// Counts bytes from a peer that are not an expected message.
+    pub(crate) fn count_unexpected_message(&self) {
         self.count(Counter::UnexpectedMessage);
     }
 
-    /// Enters a request; the receiver gets its answer.
-    pub(crate) fn request(
+    /// Submits a request to the engine; the receiver yields its reply.
+    pub(crate) fn submit_request(
         self: &Rc<Self>,
         input: impl FnOnce(RequestToken) -> Input,
     ) -> (RequestToken, oneshot::Receiver<Reply>) {
         let token = RequestToken(self.next_token.get());
         self.next_token.set(token.0 + 1);
         let (tx, rx) = oneshot::channel();
-        self.waiting.borrow_mut().insert(token, tx);
-        self.feed(input(token));
+        self.pending_replies.borrow_mut().insert(token, tx);
+        self.handle_input(input(token));
         (token, rx)
     }
 
-    /// Tells the engine what happened and does what it asks for.
-    pub(crate) fn feed(self: &Rc<Self>, input: Input) {
-        if let Some(suspended) = self.clock.notice_suspension() {
+    /// Passes an input to the engine and executes the outputs.
+    pub(crate) fn handle_input(self: &Rc<Self>, input: Input) {
+        if let Some(suspended) = self.clock.take_suspension() {
             let ms = suspended.as_millis();
             log::warn!("event=woken suspended_ms={ms}");
-            // Whatever was read before may be old by now, and its connection gone.
-            self.read_store.notify_one();
+            // What was read before the suspension may be stale, and the store connection dead.
+            self.store_read_requested.notify_one();
         }
-        let now = self.clock.compared();
-        let (outputs, timer) = {
+        let now = self.clock.now_without_update();
+        let (outputs, timer_moved) = {
             let mut engine = self.engine.borrow_mut();
             let before = engine.next_timer();
             let outputs = engine.handle(now, input);
             (outputs, engine.next_timer() != before)
         };
         for output in outputs {
-            self.perform(now, output);
+            self.execute_output(now, output);
         }
-        if timer {
-            self.timer.notify_one();
+        if timer_moved {
+            self.timer_changed.notify_one();
         }
     }
 
-    fn perform(self: &Rc<Self>, decided: Time, output: Output) {
-        events::note(self, &output);
+    fn execute_output(self: &Rc<Self>, decided_at: Time, output: Output) {
+        events::log_output(self, &output);
         match output {
             Output::Answer {
                 token,
                 outcome,
                 generated_key,
             } => {
-                if let Some(tx) = self.waiting.borrow_mut().swap_remove(&token) {
-                    // The caller may have gone meanwhile.
+                if let Some(tx) = self.pending_replies.borrow_mut().swap_remove(&token) {
+                    // The caller may have disconnected in the meantime.
                     let _ = tx.send(Reply {
                         outcome,
-                        made_key: generated_key,
+                        generated_key,
                     });
                 }
             }
@@ -364,31 +376,31 @@
                 remaining,
                 start_within,
             } => {
-                // Counted from the time that the engine was told. Counted from here, a pause in
-                // between would lengthen the right to start, and another home's run be the second.
-                let start_by = start_within.map(|within| decided + within);
-                let work = Work {
+                // Measured from when the engine decided, not from now: a pause in between would
+                // extend the permit to start, and the key's next owner could start a second run.
+                let start_by = start_within.map(|delay| decided_at + delay);
+                let backend_run = BackendRun {
                     run,
                     request,
-                    expect: expected_server,
+                    expected_server,
                     remaining,
                     start_by,
                 };
-                self.backend.run(self, work);
+                self.backend.run(self, backend_run);
             }
-            Output::CheckServer { id, path } => self.backend.check(self, id, path),
+            Output::CheckServer { id, path } => self.backend.check_health(self, id, path),
             Output::CancelRun(run) => self.backend.cancel(run),
             Output::Append {
                 number,
                 at,
                 entries,
             } => self.append(number, at, entries),
-            Output::FetchState { from, known } => fetch::ask(self, from, known),
+            Output::FetchState { from, known } => fetch::fetch_state(self, from, known),
             Output::CheckRules => match self.settings.platform {
-                Some(_) => attached::check_rules(self),
+                Some(_) => platform_mode::check_rules(self),
                 None => store_reader::check_rules(self),
             },
-            Output::ReadLog => self.read_store.notify_one(),
+            Output::ReadLog => self.store_read_requested.notify_one(),
             Output::Count(counter) => self.count(counter),
             Output::Diagnostic(_) => {}
             Output::Stopped => self.stopped.notify_one(),
@@ -398,16 +410,16 @@
     fn append(self: &Rc<Self>, number: u64, at: u64, entries: Vec<TopicEntry>) {
         let shell = self.clone();
         for (_, value) in &entries {
-            add(&self.metrics.bytes.store_out, value.len());
+            add_bytes(&self.metrics.control_bytes.store_out, value.len());
         }
         actix_rt::spawn(async move {
             let topic = platform::topic(&shell.settings.store_stream);
             match shell.store.append(&topic, Some(at), &entries).await {
-                Ok(_) => shell.feed(Input::Appended(number)),
-                Err(StoreError::Conflict) => shell.feed(Input::AppendConflict(number)),
+                Ok(_) => shell.handle_input(Input::Appended(number)),
+                Err(StoreError::Conflict) => shell.handle_input(Input::AppendConflict(number)),
                 Err(e) => {
                     log::warn!("event=append_lost number={number} at={at} error=\"{e}\"");
-                    shell.feed(Input::AppendLost(number));
+                    shell.handle_input(Input::AppendLost(number));
                 }
             }
         });
