--- a/crates/once/examples/costs.rs
+++ b/crates/once/examples/costs.rs
@@ -1,5 +1,5 @@
-//! What leases cost, how long slots are out after an eviction, and what a record takes up:
-//! `cargo run --release -p bilberry-once --example costs`.
+//! Prints the traffic of leases, how long slots are unavailable after an eviction, and the size of
+//! a record: `cargo run --release -p bilberry-once --example costs`.
 
 #[path = "../tests/common/mod.rs"]
 mod common;
@@ -24,8 +24,10 @@
         while !cluster.all_ready() {
             cluster.advance(ms(10));
         }
-        let out = cluster.now.since(evicted);
-        println!("{members} members: {each:.0} lease bytes/s sent by a node, slots out {out:?}");
+        let unavailable = cluster.now.since(evicted);
+        println!(
+            "{members} members: {each:.0} lease bytes/s sent by a node, slots out {unavailable:?}"
+        );
     }
     let mut cluster = Cluster::new(1);
     let keys: Vec<KeyHash> = (0..1000).map(|nth| cluster.key_of(1, nth)).collect();
--- a/crates/once/src/config.rs
+++ b/crates/once/src/config.rs
@@ -1,38 +1,38 @@
-//! Bounds and times of a home.
+//! Limits and durations of a [`Home`](crate::Home).
 
 use std::time::Duration;
 
-/// Bounds and times of a home; filled once and passed down.
+/// Limits and durations of a [`Home`](crate::Home).
 ///
-/// All nodes of a service must agree on `lease`, `margin` and `max_log_staleness`: a fence waits out
-/// what others were granted.
+/// All nodes of a service must use the same `lease`, `margin` and `max_log_staleness`, because a
+/// fence waits out leases granted under the configuration of other nodes.
 #[derive(Debug, Clone)]
 pub struct Config {
-    /// The most bytes that records may take up: keys, fingerprints and responses.
+    /// Maximum size of all records: keys, fingerprints and responses.
     pub max_bytes: usize,
-    /// What must be free to start work, for the response to come. A larger response is passed on
-    /// to whoever waits, but only kept if it fits.
+    /// Space that must be free before a run starts, reserved for its response. A larger response is
+    /// still passed to the waiting callers, but is stored only if it fits.
     pub reserve_bytes: usize,
-    /// The largest response that is kept for re-sends. A few larger ones would fill the table, and
-    /// new work would be refused for the whole retention; re-sends of their keys are told that the
-    /// answer is unknown, once the run has ended.
+    /// Largest response that is stored for re-sent calls. A few larger ones would fill the table,
+    /// and new work would be refused for the whole retention period. Once a run with a larger
+    /// response has ended, re-sends of its key are told that the outcome is unknown.
     pub max_response_bytes: usize,
-    /// How long a lease lasts after the round that won it was sent.
+    /// Duration of a lease, counted from when the round that acquired it was sent.
     pub lease: Duration,
-    /// The least of the lease that must be left to start work. It also covers clocks that run at
-    /// unlike rates: a fence waits for `lease` + `margin`.
+    /// Minimum remaining lease required to start a run. It also allows for clocks that run at
+    /// different rates: a fence waits for `lease` + `margin`.
     pub margin: Duration,
-    /// A node that did not hear the log for so long holds no lease.
+    /// A node that has not read the log to its end for this long holds no lease.
     pub max_log_staleness: Duration,
-    /// The longest time that one read of the log may take: what was read is at most this old.
+    /// Maximum duration of one read of the log, and thus the maximum age of what was read.
     pub max_log_read_duration: Duration,
-    /// How long a transfer from a node that left as planned is waited for.
+    /// How long to wait for a transfer from a node that left as planned.
     pub transfer_timeout: Duration,
-    /// How long calls are held while their slot is on its way here.
+    /// How long calls are held while their slot is being transferred here.
     pub max_hold: Duration,
-    /// How long to wait before a transfer without an answer is sent again.
+    /// Interval after which an unacknowledged transfer is sent again.
     pub resend_interval: Duration,
-    /// The most bytes of records in one transfer frame.
+    /// Maximum size of the records in one transfer frame.
     pub max_part_bytes: usize,
 }
 
--- a/crates/once/src/effect.rs
+++ b/crates/once/src/effect.rs
@@ -1,4 +1,4 @@
-//! What a home tells its driver.
+//! Effects, results and invariant violations that a [`Home`](crate::Home) reports to its driver.
 
 use proto::Instance;
 use proto::KeyHash;
@@ -9,101 +9,102 @@
 use proto::SlotTransfer;
 use std::net::SocketAddr;
 
-/// What the driver has to do.
+/// An action for the driver to perform.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Effect {
-    /// Send a lease message, as a datagram.
+    /// Send a lease message as a datagram.
     SendLease {
-        /// Where to.
+        /// Address of the receiver.
         to: SocketAddr,
-        /// What.
+        /// The message.
         message: LeaseMessage,
     },
-    /// Send a slot's records to its next home.
+    /// Send a part of a slot's records to the next home of the slot.
     SendTransfer {
-        /// To whom.
+        /// The new home.
         to: Instance,
-        /// What.
+        /// The part.
         transfer: SlotTransfer,
     },
-    /// Tell the giver that a slot has arrived.
+    /// Acknowledge to the previous home that a slot has been transferred completely.
     AckTransfer {
-        /// To whom.
+        /// The previous home.
         to: Instance,
         /// The slot.
         slot: u16,
-        /// The view that moved it.
+        /// Number of the view that moved the slot.
         view: u64,
     },
-    /// Send the end of a run to the home that its record moved to.
+    /// Send the outcome of a run to the home that its record moved to.
     SendFinished {
-        /// To whom.
+        /// The new home.
         to: Instance,
-        /// What.
+        /// The final record of the run.
         record: KeyRecord,
     },
-    /// Tell the sender of a [`Effect::SendFinished`] that it is in the records.
+    /// Acknowledge a [`Effect::SendFinished`] once its record has been stored.
     AckFinished {
-        /// To whom.
+        /// The node that executed the run.
         to: Instance,
-        /// The key.
+        /// The key of the run.
         key: KeyHash,
     },
-    /// A slot has arrived here or has gone; calls that were held for it shall begin again.
+    /// A move of this slot has ended. Calls that were held for the slot must begin again.
     MoveEnded(u16),
-    /// The lease was won; all calls that were held shall begin again.
+    /// The lease was acquired. All calls that were held must begin again.
     LeaseAcquired,
-    /// A run at another node has ended; calls that wait for it shall begin again.
+    /// A run on another node has ended. Calls that wait for it must begin again.
     RemoteRunEnded(KeyHash),
-    /// A queued run shall be taken out of the queue: its slot moves. It did not run.
+    /// Remove this queued run from the queue, because its slot moves away. It did not run.
     CancelQueued(KeyHash),
-    /// Somebody knows a newer view: read the log.
+    /// A peer knows a newer view: read the log.
     ViewOutdated,
-    /// The log's views left this incarnation out, and all its slots are handed over or given up. It
-    /// shall go on as a new incarnation.
+    /// The views no longer contain this incarnation, and all its slots were handed over or given
+    /// up. The node must continue as a new incarnation.
     Expelled,
-    /// An invariant does not hold. This is a bug; production logs it and goes on.
+    /// An invariant was violated. This is a bug; in production it is logged and the node continues.
     InvariantViolation(InvariantViolation),
 }
 
-/// An invariant that does not hold.
+/// A violated invariant.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum InvariantViolation {
-    /// A record would have moved backwards, or two homes ran the same key.
+    /// A record would have moved to an earlier state, or two homes ran the same key.
     RecordRegressed(KeyHash),
     /// A run ended that was not in flight.
     RunNotInFlight(KeyHash),
-    /// A slot was to be given that never was here.
+    /// A transfer was due for a slot that this node never held.
     SlotNotHeld(u16),
 }
 
-/// What a call with a key gets.
+/// How to proceed with a call that has a key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum BeginResult {
-    /// No run with this key was ever started, and the record says that one is queued here. Call
-    /// [`crate::Home::start`] just before it runs, and [`crate::Home::finish`] in any case.
+    /// No run with this key was ever started. The key is now recorded as queued. Call
+    /// [`crate::Home::start`] immediately before the run starts, and [`crate::Home::finish`] in any
+    /// case.
     Start,
-    /// A run is queued or under way, here or at an earlier home; wait for its end, or for
+    /// A run is queued or in flight, here or at an earlier home. Wait for its outcome or for
     /// [`Effect::RemoteRunEnded`].
     Attach,
-    /// It ended with this response.
+    /// The run has ended with this response.
     Done(Response),
-    /// The slot or the lease is on its way; ask again on [`Effect::MoveEnded`] and
-    /// [`Effect::LeaseAcquired`], or say that it did not run.
+    /// The slot or the lease is expected shortly. Begin again on [`Effect::MoveEnded`] or
+    /// [`Effect::LeaseAcquired`], or answer that the call did not run.
     Wait,
-    /// It did not run, for this reason.
+    /// The call did not run, for this reason.
     NotRun(Reason),
-    /// It may have run.
+    /// The call may have run.
     Unknown,
 }
 
-/// How a run ended.
+/// The outcome of a run.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RunOutcome {
-    /// With a whole response.
+    /// The run completed with this response.
     Done(Response),
-    /// It certainly did not run, and the key may be used again.
+    /// The run certainly did not start, and the key may be used again.
     NotRun,
-    /// Nobody can tell.
+    /// It is not known whether the run took place.
     Unknown,
 }
--- a/crates/once/src/fence.rs
+++ b/crates/once/src/fence.rs
@@ -1,10 +1,11 @@
-//! Which views are fenced: nobody can hold a lease of them any more.
+//! Tracks which views are fenced, i.e. for which views no node can hold a lease any more.
 //!
-//! A node that was taken for dead may only be paused. Woken up, it would go on by its old view and
-//! start work that its successor has started too; one would notice a doubled order. So a successor
-//! that got no records from it waits until all views before its own are fenced.
+//! A node that was evicted as dead may only have been paused. When it resumes it still uses its old
+//! view, and could start a run that its successor has started too; a customer would get a duplicate
+//! order. A successor that received no records from the evicted node therefore waits until all
+//! views before its own are fenced.
 
-use crate::view::is_quorum;
+use crate::quorum::is_quorum;
 use crate::Config;
 use indexmap::IndexMap;
 use indexmap::IndexSet;
@@ -13,151 +14,154 @@
 use std::collections::VecDeque;
 use stdx::Time;
 
-/// The clocks of two instances differ by at most one part in this many.
-const CLOCK_RATE: u32 = 100;
+/// Clock rates of two instances differ by at most 1/`CLOCK_DRIFT_DIVISOR`.
+const CLOCK_DRIFT_DIVISOR: u32 = 100;
 
-/// The most peers of which it is remembered what they have seen.
-const MAX_SEEN: usize = 4096;
+/// Maximum number of peers whose known view or stopped state is tracked.
+const MAX_TRACKED_PEERS: usize = 4096;
 
-/// A view that has a successor and is perhaps not fenced.
+/// A view that has been superseded and may not be fenced yet.
 #[derive(Debug)]
-struct Past {
+struct PastView {
     number: u64,
-    /// `None` for all that was before the first view that this node read.
+    /// `None` stands for all views before the first one that this node read.
     members: Option<Vec<Instance>>,
-    /// When its successor was taken from the log.
-    succeeded: Time,
-    /// Since when no quorum can grant a lease of it any more.
-    closed: Option<Time>,
+    /// When the next view was read from the log.
+    superseded_at: Time,
+    /// Since when no quorum can grant a lease in this view.
+    ungrantable_since: Option<Time>,
 }
 
-/// What is known of fences.
+/// Fencing state of this node's service.
 #[derive(Debug, Default)]
 pub(crate) struct Fence {
     /// All views below this one are fenced.
-    below: u64,
+    fenced_below: u64,
     current: u64,
-    past: VecDeque<Past>,
-    /// The newest view that each peer said it knows.
-    seen: IndexMap<Incarnation, u64>,
-    /// Nodes that certainly neither start nor grant anything: their process has ended, or they said
-    /// in the log that they have stopped.
-    ended: IndexSet<Incarnation>,
-    /// Former members, and who joined at their address by which view.
+    past_views: VecDeque<PastView>,
+    /// The newest view that each peer has reported to know.
+    known_views: IndexMap<Incarnation, u64>,
+    /// Incarnations that certainly start no runs and grant no leases any more: their process has
+    /// ended, or they recorded in the log that they have stopped.
+    stopped: IndexSet<Incarnation>,
+    /// Former members, each with the incarnation that replaced it at its address and the view in
+    /// which that one joined.
     replaced: Vec<(Incarnation, Incarnation, u64)>,
 }
 
 impl Fence {
-    /// Takes the first view; `since_ever` if no view was before it.
-    pub(crate) fn first(&mut self, now: Time, view: u64, since_ever: bool) {
+    /// Sets the first view. `is_first_ever` means that the service had no view before it.
+    pub(crate) fn on_first_view(&mut self, now: Time, view: u64, is_first_ever: bool) {
         self.current = view;
-        if since_ever {
-            self.below = view;
+        if is_first_ever {
+            self.fenced_below = view;
         } else {
-            self.past.push_back(Past {
+            self.past_views.push_back(PastView {
                 number: 0,
                 members: None,
-                succeeded: now,
-                closed: None,
+                superseded_at: now,
+                ungrantable_since: None,
             });
         }
     }
 
-    /// Takes the next view; `members` are those of the one before.
-    pub(crate) fn next(&mut self, now: Time, view: u64, members: &[Instance]) {
-        self.past.push_back(Past {
+    /// Sets the next view. `members` are the members of the previous one.
+    pub(crate) fn on_next_view(&mut self, now: Time, view: u64, members: &[Instance]) {
+        self.past_views.push_back(PastView {
             number: self.current,
             members: Some(members.to_vec()),
-            succeeded: now,
-            closed: None,
+            superseded_at: now,
+            ungrantable_since: None,
         });
         self.current = view;
     }
 
-    /// A peer said which view it knows.
-    pub(crate) fn heard(&mut self, from: Incarnation, view: u64) {
-        let seen = self.seen.entry(from).or_insert(view);
+    /// Records that a peer knows `view`.
+    pub(crate) fn note_peer_view(&mut self, from: Incarnation, view: u64) {
+        let seen = self.known_views.entry(from).or_insert(view);
         *seen = view.max(*seen);
-        if self.seen.len() > MAX_SEEN {
-            self.seen.shift_remove_index(0);
+        if self.known_views.len() > MAX_TRACKED_PEERS {
+            self.known_views.shift_remove_index(0);
         }
     }
 
-    /// A peer said which views are fenced.
-    pub(crate) fn heard_below(&mut self, below: u64) {
-        self.below = self.below.max(below.min(self.current));
+    /// Records that a peer considers all views below `below` fenced.
+    pub(crate) fn note_fenced_below(&mut self, below: u64) {
+        self.fenced_below = self.fenced_below.max(below.min(self.current));
         while self
-            .past
+            .past_views
             .front()
-            .is_some_and(|past| past.number < self.below)
+            .is_some_and(|past| past.number < self.fenced_below)
         {
-            self.past.pop_front();
+            self.past_views.pop_front();
         }
     }
 
-    /// A node certainly does nothing any more.
-    pub(crate) fn ended(&mut self, who: Incarnation) {
-        self.ended.insert(who);
-        if self.ended.len() > MAX_SEEN {
-            self.ended.shift_remove_index(0);
+    /// Records that an incarnation certainly starts no runs and grants no leases any more.
+    pub(crate) fn note_stopped(&mut self, who: Incarnation) {
+        self.stopped.insert(who);
+        if self.stopped.len() > MAX_TRACKED_PEERS {
+            self.stopped.shift_remove_index(0);
         }
     }
 
-    /// A node joined by `view`. Former members at its address have ended, once it is heard to know
-    /// that view. Its `Join` alone is no proof: it may have come late to the log, from a process that
-    /// was dead by then, and after that of its successor, which lives.
-    pub(crate) fn joined(&mut self, newcomer: &Instance, view: u64) {
+    /// Records that a node joined in `view`. Former members at its address have ended once the node
+    /// is known to have seen that view. Its `Join` record alone is no proof: it may have reached
+    /// the log late, from a process that was already dead, and after the `Join` of that process's
+    /// live successor.
+    pub(crate) fn note_joined(&mut self, joiner: &Instance, view: u64) {
         let former = self
-            .past
+            .past_views
             .iter()
             .flat_map(|past| past.members.iter().flatten());
         let former: IndexSet<Incarnation> = former
-            .filter(|old| old.addr == newcomer.addr && old.incarnation != newcomer.incarnation)
+            .filter(|old| old.addr == joiner.addr && old.incarnation != joiner.incarnation)
             .map(|old| old.incarnation)
             .collect();
-        let by = newcomer.incarnation;
+        let by = joiner.incarnation;
         self.replaced
             .extend(former.into_iter().map(|old| (old, by, view)));
-        if self.replaced.len() > MAX_SEEN {
+        if self.replaced.len() > MAX_TRACKED_PEERS {
             self.replaced.remove(0);
         }
     }
 
-    /// Takes note of former members whose successors have been heard.
-    fn note_ended(&mut self, me: Incarnation) {
-        let seen = &self.seen;
-        let alive = |by, view| by == me || seen.get(&by).is_some_and(|seen| *seen >= view);
+    /// Marks former members as stopped whose replacement is known to have seen the view it joined
+    /// in.
+    fn note_replaced(&mut self, me: Incarnation) {
+        let seen = &self.known_views;
+        let has_confirmed = |by, view| by == me || seen.get(&by).is_some_and(|seen| *seen >= view);
         let replaced = std::mem::take(&mut self.replaced).into_iter();
         let (ended, waiting): (Vec<_>, Vec<_>) =
-            replaced.partition(|(_, by, view)| alive(*by, *view));
+            replaced.partition(|(_, by, view)| has_confirmed(*by, *view));
         self.replaced = waiting;
         for (old, ..) in ended {
-            self.ended(old);
+            self.note_stopped(old);
         }
     }
 
     /// All views below this one are fenced.
-    pub(crate) fn below(&self) -> u64 {
-        self.below
+    pub(crate) fn fenced_below(&self) -> u64 {
+        self.fenced_below
     }
 
-    /// Whether some view is not fenced.
-    pub(crate) fn is_open(&self) -> bool {
-        !self.past.is_empty()
+    /// Whether any superseded view is not fenced yet.
+    pub(crate) fn has_unfenced_views(&self) -> bool {
+        !self.past_views.is_empty()
     }
 
-    /// Members of views that are not fenced, who may be asked what they have seen.
-    pub(crate) fn open_members(&self) -> impl Iterator<Item = &Instance> {
-        self.past
+    /// Members of views that are not fenced yet; they may be asked which view they know.
+    pub(crate) fn unfenced_members(&self) -> impl Iterator<Item = &Instance> {
+        self.past_views
             .iter()
             .flat_map(|past| past.members.iter().flatten())
     }
 
-    /// Fences what can be fenced; whether there was any.
+    /// Fences all views that can be fenced now. Returns whether there were any.
     pub(crate) fn poll(&mut self, now: Time, cfg: &Config, me: Incarnation) -> bool {
-        self.note_ended(me);
+        self.note_replaced(me);
         let current = self.current;
-        for past in &mut self.past {
+        for past in &mut self.past_views {
             let Some(members) = &past.members else {
                 continue;
             };
@@ -166,43 +170,43 @@
                 let seen = if member == me {
                     current
                 } else {
-                    self.seen.get(&member).copied().unwrap_or(0)
+                    self.known_views.get(&member).copied().unwrap_or(0)
                 };
-                seen <= number && !self.ended.contains(&member)
+                seen <= number && !self.stopped.contains(&member)
             };
-            if past.closed.is_none() && !is_quorum(members, may_grant) {
-                past.closed = Some(now);
+            if past.ungrantable_since.is_none() && !is_quorum(members, may_grant) {
+                past.ungrantable_since = Some(now);
             }
         }
-        let before = self.below;
+        let before = self.fenced_below;
         while self
-            .past
+            .past_views
             .front()
             .is_some_and(|past| past.is_fenced(now, cfg))
         {
-            self.past.pop_front();
-            self.below = self.past.front().map_or(current, |past| past.number);
+            self.past_views.pop_front();
+            self.fenced_below = self.past_views.front().map_or(current, |past| past.number);
         }
-        self.below > before
+        self.fenced_below > before
     }
 
-    /// When [`Fence::poll`] can do more without news.
-    pub(crate) fn due(&self, cfg: &Config) -> Option<Time> {
-        self.past.front().map(|past| past.fenced_at(cfg))
+    /// When [`Fence::poll`] can make progress without further input.
+    pub(crate) fn next_due(&self, cfg: &Config) -> Option<Time> {
+        self.past_views.front().map(|past| past.fenced_at(cfg))
     }
 }
 
-impl Past {
+impl PastView {
     fn fenced_at(&self, cfg: &Config) -> Time {
-        // Whoever still goes by this view read the log before its successor was in it. Over hours
-        // even good clocks drift apart by more than the margin; without the part for that, a home
-        // with a slow clock could still start work when its successor does.
-        let drift = cfg.max_log_staleness / CLOCK_RATE;
-        let silent = self.succeeded + cfg.max_log_staleness + drift + cfg.margin;
-        // Whatever was granted was asked for before the last granter was lost.
-        match self.closed {
-            Some(closed) => silent.min(closed + cfg.lease + cfg.margin),
-            None => silent,
+        // A node that still uses this view read the log before the next view was in it. Over hours
+        // even good clocks drift apart by more than `margin`; without `drift`, a home with a slow
+        // clock could still start a run when its successor does.
+        let drift = cfg.max_log_staleness / CLOCK_DRIFT_DIVISOR;
+        let log_expired_at = self.superseded_at + cfg.max_log_staleness + drift + cfg.margin;
+        // Any lease granted in this view was requested before the quorum was lost.
+        match self.ungrantable_since {
+            Some(since) => log_expired_at.min(since + cfg.lease + cfg.margin),
+            None => log_expired_at,
         }
     }
 
--- a/crates/once/src/home.rs
+++ b/crates/once/src/home.rs
@@ -1,16 +1,16 @@
-//! A node as the home of slots: what it holds, and how views change that.
+//! A node as the home of slots: the slots it holds, and how views change that.
 
 use crate::fence::Fence;
 use crate::lease::Lease;
-use crate::moved::Moved;
+use crate::moved_run::MovedRun;
 use crate::owner::slot_owner;
+use crate::quorum::is_member;
 use crate::records::Records;
-use crate::slot::Give;
-use crate::slot::Held;
+use crate::slot::Holding;
+use crate::slot::IncomingMove;
 use crate::slot::Move;
-use crate::slot::Receive;
+use crate::slot::OutgoingMove;
 use crate::slot::Slot;
-use crate::view::is_member;
 use crate::Config;
 use crate::Effect;
 use indexmap::IndexMap;
@@ -26,48 +26,48 @@
 use stdx::Bounded;
 use stdx::Time;
 
-/// The most past members whose addresses are kept, to answer their late messages.
-const MAX_KNOWN: usize = 1024;
+/// Maximum number of past members whose addresses are kept, to answer their late messages.
+const MAX_KNOWN_INSTANCES: usize = 1024;
 
-/// The records of keys that this node is home to, and its right to start work on them.
+/// The records of the keys that this node is home to, and its right to start runs for them.
 #[derive(Debug)]
 pub struct Home {
     pub(crate) cfg: Config,
     pub(crate) me: Incarnation,
-    /// How long a record is kept after its run's end.
+    /// How long a record is kept after its run has ended.
     pub(crate) retention: Duration,
-    /// The longest that a run may take.
-    pub(crate) longest_run: Duration,
-    /// The newest view; `None` before the first.
+    /// Maximum duration of a run.
+    pub(crate) max_run_time: Duration,
+    /// The newest view; `None` before the first one was read.
     pub(crate) view: Option<View>,
     /// Whether this incarnation is or was a member.
     pub(crate) joined: bool,
-    /// Work and grants have stopped for good.
+    /// Whether this node has permanently stopped starting runs and granting leases.
     pub(crate) leaving: bool,
-    /// Since when the views leave this incarnation out, until the driver is told.
-    expelled: Option<Time>,
+    /// Since when the views no longer contain this incarnation. Cleared when the driver is told.
+    expelled_since: Option<Time>,
     pub(crate) lease: Lease,
-    pub(crate) next_round: Option<Time>,
-    /// Rounds since the lease was lost, or the view changed.
-    pub(crate) rounds_without: u32,
-    /// Until then a lease that is lacking is waited for.
-    pub(crate) lease_awaited: Time,
+    pub(crate) next_lease_round_at: Option<Time>,
+    /// Lease rounds since the lease was lost or the view changed.
+    pub(crate) rounds_without_lease: u32,
+    /// Until this time, calls are held if the lease is missing.
+    pub(crate) lease_wait_until: Time,
     pub(crate) fence: Fence,
-    /// A time at which the log held no newer view; `None` before the first reading.
-    pub(crate) log_heard: Option<Time>,
+    /// A time at which the log held no newer view; `None` before the log was first read.
+    pub(crate) log_current_at: Option<Time>,
     pub(crate) slots: Vec<Slot>,
-    /// The slots with moves that are not over.
-    pub(crate) moving: BTreeSet<u16>,
+    /// Slots with pending moves.
+    pub(crate) moving_slots: BTreeSet<u16>,
     pub(crate) records: Records,
-    /// Runs of this node whose slot has moved on meanwhile.
-    pub(crate) moved: IndexMap<KeyHash, Moved>,
-    pub(crate) known: Bounded<Incarnation, Instance>,
+    /// Runs on this node whose slot has since moved to another home.
+    pub(crate) moved_runs: IndexMap<KeyHash, MovedRun>,
+    pub(crate) known_instances: Bounded<Incarnation, Instance>,
     pub(crate) service: Arc<str>,
-    pub(crate) out: Vec<Effect>,
+    pub(crate) effects: Vec<Effect>,
 }
 
 impl Home {
-    /// A home to nothing yet.
+    /// Creates a home that holds no slots.
     ///
     /// # Examples
     ///
@@ -81,52 +81,52 @@
         Self {
             me,
             retention: Duration::from_secs(15 * 60),
-            longest_run: Duration::from_secs(60),
+            max_run_time: Duration::from_secs(60),
             view: None,
             joined: false,
             leaving: false,
-            expelled: None,
+            expelled_since: None,
             lease: Lease::default(),
-            next_round: None,
-            rounds_without: 0,
-            lease_awaited: Time::ZERO,
+            next_lease_round_at: None,
+            rounds_without_lease: 0,
+            lease_wait_until: Time::ZERO,
             fence: Fence::default(),
-            log_heard: None,
+            log_current_at: None,
             slots: (0..SLOTS).map(|_| Slot::default()).collect(),
-            moving: BTreeSet::new(),
+            moving_slots: BTreeSet::new(),
             records: Records::new(cfg.reserve_bytes),
-            moved: IndexMap::new(),
-            known: Bounded::new(MAX_KNOWN),
+            moved_runs: IndexMap::new(),
+            known_instances: Bounded::new(MAX_KNOWN_INSTANCES),
             service: "".into(),
-            out: Vec::new(),
+            effects: Vec::new(),
             cfg,
         }
     }
 
-    /// Takes the rules' retention of keys, and the longest deadline of a run.
-    pub fn set_time_limits(&mut self, retention: Duration, longest_run: Duration) {
+    /// Sets the retention period of records and the maximum deadline of a run, both from the rules.
+    pub fn set_time_limits(&mut self, retention: Duration, max_run_time: Duration) {
         self.retention = retention;
-        self.longest_run = longest_run;
+        self.max_run_time = max_run_time;
     }
 
-    /// The number of the newest view that was taken. The first record of a stream makes view 0.
+    /// Number of the newest view. The first record of a stream makes view 0.
     pub fn view_number(&self) -> Option<u64> {
         self.view.as_ref().map(|view| view.number)
     }
 
-    /// The newest view that was taken.
+    /// The newest view.
     pub fn latest_view(&self) -> Option<&View> {
         self.view.as_ref()
     }
 
-    /// Whether this node knows no view, or only older ones.
-    pub(crate) fn is_behind(&self, view: u64) -> bool {
+    /// Whether `view` is newer than any view this node knows.
+    pub(crate) fn lacks_view(&self, view: u64) -> bool {
         self.view_number().is_none_or(|mine| mine < view)
     }
 
     /// All views below this one are fenced, as far as this node knows.
     pub fn fenced_below(&self) -> u64 {
-        self.fence.below()
+        self.fence.fenced_below()
     }
 
     /// Whether this incarnation is or was a member, as far as this node knows.
@@ -134,232 +134,244 @@
         self.joined
     }
 
-    /// How many slots are ready here.
+    /// Number of slots that are ready on this node.
     pub fn ready_slots(&self) -> usize {
         self.slots.iter().filter(|slot| slot.is_ready()).count()
     }
 
-    /// How many records there are, and the bytes that they take up.
+    /// Number of records and their size in bytes.
     pub fn record_usage(&self) -> (usize, usize) {
         (self.records.len(), self.records.bytes())
     }
 
     /// Whether nothing is left to hand over.
     pub fn is_handed_over(&self) -> bool {
-        self.moved.is_empty() && self.moving.is_empty()
+        self.moved_runs.is_empty() && self.moving_slots.is_empty()
     }
 
-    /// Takes a view of this node's service, as it was when this node began to read the log in
-    /// its middle. Nothing is known of the time before.
+    /// Sets the view of this node's service as of the point at which this node started to read the
+    /// log, if that is not its beginning. Nothing is known of earlier views.
     pub fn on_baseline(&mut self, now: Time, view: &View) -> Vec<Effect> {
         if self.joined {
-            // Views in between were missed, and with them perhaps moves from here and back. What
-            // this incarnation holds cannot be trusted any more.
+            // Intermediate views were missed, and possibly moves of slots from here and back. The
+            // records that this incarnation holds can no longer be trusted.
             self.expel();
-            return std::mem::take(&mut self.out);
+            return std::mem::take(&mut self.effects);
         }
-        self.learn(view);
+        self.remember_members(view);
         self.fence = Fence::default();
-        self.fence.first(now, view.number, false);
+        self.fence.on_first_view(now, view.number, false);
         self.view = Some(view.clone());
         if is_member(&view.members, self.me) {
             self.expel();
         }
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.effects)
     }
 
-    /// Takes the next view of this node's service from the log. None may be left out.
+    /// Applies the next view of this node's service from the log. No view may be skipped.
     pub fn on_view(&mut self, now: Time, view: &View) -> Vec<Effect> {
-        if !self.is_behind(view.number) {
+        if !self.lacks_view(view.number) {
             return Vec::new();
         }
-        self.learn(view);
+        self.remember_members(view);
         let old = self.view.replace(view.clone());
         match &old {
-            None => self.fence.first(now, view.number, true),
+            None => self.fence.on_first_view(now, view.number, true),
             Some(old) => {
-                self.fence.next(now, view.number, &old.members);
-                self.note_departures(now, view);
-                // The port of a process that still runs cannot be bound again.
+                self.fence.on_next_view(now, view.number, &old.members);
+                self.apply_departures(now, view);
+                // A new process cannot bind the port of one that is still running.
                 for member in &view.members {
                     if !is_member(&old.members, member.incarnation) {
-                        self.fence.joined(member, view.number);
+                        self.fence.note_joined(member, view.number);
                     }
                 }
             }
         }
         self.lease.retain(&view.members);
-        self.move_slots(now, old.as_ref(), view);
+        self.enqueue_moves(now, old.as_ref(), view);
         if is_member(&view.members, self.me) {
             self.joined = true;
-            self.next_round = Some(now);
-            self.rounds_without = 0;
-            self.lease_awaited = now + self.cfg.max_hold;
+            self.next_lease_round_at = Some(now);
+            self.rounds_without_lease = 0;
+            self.lease_wait_until = now + self.cfg.max_hold;
         } else if self.joined {
-            self.next_round = None;
-            self.expelled = Some(now).filter(|_| !self.leaving);
+            self.next_lease_round_at = None;
+            self.expelled_since = Some(now).filter(|_| !self.leaving);
         }
         self.advance(now);
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.effects)
     }
 
-    /// The log was read to its end.
+    /// Records that the log was read to its end.
     pub fn on_log_read(&mut self, now: Time) {
         let began = Time::ZERO + now.since(Time::ZERO + self.cfg.max_log_read_duration);
-        self.log_heard = self.log_heard.max(Some(began));
+        self.log_current_at = self.log_current_at.max(Some(began));
     }
 
-    /// Stops starting work and granting leases, for good. Only then may the log be told that this
-    /// node leaves: the others take that as its word that it starts nothing any more.
+    /// Permanently stops starting runs and granting leases. The departure may be written to the log
+    /// only after this call, because the other nodes take the record as proof that this node starts
+    /// nothing any more.
     pub fn leave(&mut self, _now: Time) -> Vec<Effect> {
         self.leaving = true;
         for slot in 0..SLOTS {
-            self.recall(slot);
+            self.cancel_queued(slot);
         }
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.effects)
     }
 
-    /// Does what is due. Call when [`Home::next_timer`] has come, at the latest.
+    /// Performs all due actions. Must be called no later than [`Home::next_timer`].
     pub fn tick(&mut self, now: Time) -> Vec<Effect> {
-        self.run_round(now);
-        self.expire(now);
+        self.send_due_round(now);
+        self.expire_records(now);
         self.advance(now);
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.effects)
     }
 
     /// When [`Home::tick`] is due.
     pub fn next_timer(&self) -> Option<Time> {
-        let fence = self.fence.due(&self.cfg);
+        let fence = self.fence.next_due(&self.cfg);
         let moving = self
-            .moving
+            .moving_slots
             .iter()
             .map(|slot| &self.slots[usize::from(*slot)]);
-        let moves = moving.filter_map(|slot| self.slot_due(slot));
-        let moved = self.moved.values().filter_map(|moved| moved.send_at);
-        let expulsion = self.expulsion_ends();
-        [self.next_round, fence, self.records.next_end(), expulsion]
-            .into_iter()
-            .flatten()
-            .chain(moves)
-            .chain(moved)
-            .min()
+        let moves = moving.filter_map(|slot| self.next_move_due(slot));
+        let moved = self.moved_runs.values().filter_map(|moved| moved.send_at);
+        let expulsion = self.expulsion_deadline();
+        [
+            self.next_lease_round_at,
+            fence,
+            self.records.next_expiry(),
+            expulsion,
+        ]
+        .into_iter()
+        .flatten()
+        .chain(moves)
+        .chain(moved)
+        .min()
     }
 
-    /// When a slot's next move needs attention.
-    fn slot_due(&self, slot: &Slot) -> Option<Time> {
+    /// When the next move of a slot needs attention.
+    fn next_move_due(&self, slot: &Slot) -> Option<Time> {
         match slot.moves.front()? {
-            Move::Give(give) => Some(give.send_at),
-            // After that the fence's own time counts.
-            Move::Receive(receive) => receive.lost.filter(|_| self.fence.below() >= receive.view),
+            Move::Outgoing(outgoing) => Some(outgoing.send_at),
+            // Until then, the timer of the fence applies.
+            Move::Incoming(incoming) => incoming
+                .peer_lost_at
+                .filter(|_| self.fence.fenced_below() >= incoming.view),
         }
     }
 
-    fn learn(&mut self, view: &View) {
+    fn remember_members(&mut self, view: &View) {
         for member in &view.members {
             self.service = member.service.clone();
-            self.known.insert(member.incarnation, member.clone());
+            self.known_instances
+                .insert(member.incarnation, member.clone());
         }
     }
 
     fn expel(&mut self) {
         self.leaving = true;
-        self.out.push(Effect::Expelled);
+        self.effects.push(Effect::Expelled);
     }
 
-    /// What it means for slots under way that members have gone.
-    fn note_departures(&mut self, now: Time, view: &View) {
+    /// Updates the fence and pending moves for members that departed with this view.
+    fn apply_departures(&mut self, now: Time, view: &View) {
         for (who, how) in &view.departed {
-            // A node says that it leaves only after it has stopped.
+            // A node records its departure only after it has stopped.
             if *how == Departure::Left {
-                self.fence.ended(*who);
+                self.fence.note_stopped(*who);
             }
             let lost = match how {
                 Departure::Evicted => now,
                 Departure::Left => now + self.cfg.transfer_timeout,
             };
             for slot in &mut self.slots {
-                mark_lost(slot, *who, lost);
+                mark_peer_lost(slot, *who, lost);
             }
         }
     }
 
-    /// Takes queued runs of a slot back. They are not records yet, so the next home would not know
-    /// of them; left in the queue, one could start after the slot came back and was begun anew.
-    fn recall(&mut self, slot: u16) {
-        for key in self.records.queued(slot) {
+    /// Cancels the queued runs of a slot. They are not transferred as records, so the next home
+    /// would not know of them. A run left in the queue could start after the slot came back and the
+    /// key was begun again.
+    fn cancel_queued(&mut self, slot: u16) {
+        for key in self.records.queued_keys(slot) {
             self.records.remove(key);
-            self.out.push(Effect::CancelQueued(key));
+            self.effects.push(Effect::CancelQueued(key));
         }
     }
 
-    /// Enters the moves of slots from or to this node.
-    fn move_slots(&mut self, now: Time, old: Option<&View>, view: &View) {
+    /// Enqueues the moves of slots to and from this node.
+    fn enqueue_moves(&mut self, now: Time, old: Option<&View>, view: &View) {
         for slot in 0..SLOTS {
-            let before = old.and_then(|old| slot_owner(&old.members, slot));
-            let after = slot_owner(&view.members, slot);
-            if before.map(|owner| owner.incarnation) == after.map(|owner| owner.incarnation) {
+            let old_owner = old.and_then(|old| slot_owner(&old.members, slot));
+            let new_owner = slot_owner(&view.members, slot);
+            if old_owner.map(|owner| owner.incarnation) == new_owner.map(|owner| owner.incarnation)
+            {
                 continue;
             }
-            if before.is_some_and(|owner| owner.incarnation == self.me) {
-                self.recall(slot);
-                self.moving.insert(slot);
+            if old_owner.is_some_and(|owner| owner.incarnation == self.me) {
+                self.cancel_queued(slot);
+                self.moving_slots.insert(slot);
                 let entry = &mut self.slots[usize::from(slot)];
-                entry.moves.extend(after.map(|to| {
-                    Move::Give(Give {
+                entry.moves.extend(new_owner.map(|to| {
+                    Move::Outgoing(OutgoingMove {
                         view: view.number,
                         to: to.clone(),
                         parts: Vec::new(),
                         send_at: now,
-                        lost: None,
+                        peer_lost_at: None,
                     })
                 }));
             }
-            if after.is_none_or(|owner| owner.incarnation != self.me) {
+            if new_owner.is_none_or(|owner| owner.incarnation != self.me) {
                 continue;
             }
             let entry = &mut self.slots[usize::from(slot)];
             if old.is_none() {
-                // The service's first member ever: there is nothing to know.
-                entry.held = Some(Held::CERTAIN);
+                // This is the service's first view ever, so there are no earlier records.
+                entry.held = Some(Holding::CERTAIN);
                 continue;
             }
-            self.moving.insert(slot);
-            let from = before.map(|owner| owner.incarnation);
-            entry.moves.push_back(Move::Receive(Receive {
+            self.moving_slots.insert(slot);
+            let from = old_owner.map(|owner| owner.incarnation);
+            entry.moves.push_back(Move::Incoming(IncomingMove {
                 view: view.number,
                 from,
-                since: now,
-                lost: departed_at(now, &self.cfg, view, from),
-                expected: None,
-                doubt_until: Time::ZERO,
+                started_at: now,
+                peer_lost_at: source_lost_at(now, &self.cfg, view, from),
+                expected_parts: None,
+                uncertain_until: Time::ZERO,
                 parts: IndexMap::new(),
             }));
         }
     }
 
-    /// Tells the driver once that this incarnation is over.
-    pub(crate) fn check_expelled(&mut self, now: Time) {
-        let Some(ends) = self.expulsion_ends() else {
+    /// Reports once that this incarnation is expelled, when the handover is complete or its
+    /// deadline has passed.
+    pub(crate) fn report_expulsion(&mut self, now: Time) {
+        let Some(deadline) = self.expulsion_deadline() else {
             return;
         };
-        if self.is_handed_over() || ends <= now {
-            self.expelled = None;
+        if self.is_handed_over() || deadline <= now {
+            self.expelled_since = None;
             self.expel();
         }
     }
 
-    /// How long an incarnation that is over still hands its records over.
-    fn expulsion_ends(&self) -> Option<Time> {
-        let patience = match self.moved.values().any(Moved::is_running) {
-            true => self.longest_run + self.cfg.transfer_timeout,
+    /// When an expelled incarnation stops handing over its records.
+    fn expulsion_deadline(&self) -> Option<Time> {
+        let grace_period = match self.moved_runs.values().any(MovedRun::is_running) {
+            true => self.max_run_time + self.cfg.transfer_timeout,
             false => self.cfg.transfer_timeout,
         };
-        self.expelled.map(|since| since + patience)
+        self.expelled_since.map(|since| since + grace_period)
     }
 }
 
-/// From when on the giver of a slot is not waited for any more; `None` while it is a member.
-fn departed_at(now: Time, cfg: &Config, view: &View, from: Option<Incarnation>) -> Option<Time> {
+/// When to stop waiting for the previous home of a slot; `None` while it is a member.
+fn source_lost_at(now: Time, cfg: &Config, view: &View, from: Option<Incarnation>) -> Option<Time> {
     let Some(from) = from else {
         return Some(now);
     };
@@ -370,15 +382,15 @@
     })
 }
 
-/// A slot's giver or receiver has gone.
-fn mark_lost(slot: &mut Slot, who: Incarnation, at: Time) {
+/// Marks the pending moves of a slot whose source or target is gone.
+fn mark_peer_lost(slot: &mut Slot, who: Incarnation, at: Time) {
     for step in &mut slot.moves {
         match step {
-            Move::Receive(receive) if receive.from == Some(who) => {
-                receive.lost.get_or_insert(at);
+            Move::Incoming(incoming) if incoming.from == Some(who) => {
+                incoming.peer_lost_at.get_or_insert(at);
             }
-            Move::Give(give) if give.to.incarnation == who => {
-                give.lost.get_or_insert(at);
+            Move::Outgoing(outgoing) if outgoing.to.incarnation == who => {
+                outgoing.peer_lost_at.get_or_insert(at);
             }
             _ => {}
         }
--- a/crates/once/src/votes.rs
+++ b/crates/once/src/lease_rounds.rs
@@ -1,9 +1,9 @@
-//! Rounds of lease requests, and grants.
+//! Sends rounds of lease requests, and answers the requests of other nodes.
 
+use crate::quorum::is_member;
+use crate::quorum::is_quorum;
 use crate::records::from_ms;
 use crate::records::to_ms;
-use crate::view::is_member;
-use crate::view::is_quorum;
 use crate::Effect;
 use crate::Home;
 use indexmap::IndexMap;
@@ -15,20 +15,20 @@
 use std::time::Duration;
 use stdx::Time;
 
-/// Rounds within the length of a lease.
+/// Number of rounds per lease duration.
 const ROUNDS_PER_LEASE: u32 = 3;
 
-/// Half the time between the first two rounds of a node without a lease.
-const FIRST_WAIT: Duration = Duration::from_millis(25);
+/// Half the delay between the first two rounds of a node without a lease.
+const BASE_RETRY_DELAY: Duration = Duration::from_millis(25);
 
-/// How often that time doubles at most.
+/// Maximum number of times that delay is doubled.
 const MAX_DOUBLINGS: u32 = 8;
 
-/// Members that are asked beside a quorum, so that the loss of one costs no round.
-const SPARE: usize = 1;
+/// Members that are asked in addition to a quorum, so that the loss of one does not cost a round.
+const SPARE_GRANTERS: usize = 1;
 
 impl Home {
-    /// The time for which this node may still start work by its lease; zero if it has none.
+    /// How long this node may still start runs under its lease; zero if it holds none.
     pub fn lease_left(&self, now: Time) -> Duration {
         let Some(view) = &self.view else {
             return Duration::ZERO;
@@ -38,17 +38,18 @@
         }
         let granted = self
             .lease
-            .until(now, &view.members, self.me, self.cfg.lease);
-        // Beyond this time a new home may take it that this node does not hear the log, and would
-        // not know of a newer view.
-        let heard = self
-            .log_heard
-            .map(|heard| heard + self.cfg.max_log_staleness);
-        let until = granted.min(heard).unwrap_or(Time::ZERO);
+            .expires_at(now, &view.members, self.me, self.cfg.lease);
+        // After `max_log_staleness` without reading the log, another node may take over on the
+        // assumption that this one no longer starts runs, and this one would not know of a newer
+        // view.
+        let log_valid_until = self
+            .log_current_at
+            .map(|read_at| read_at + self.cfg.max_log_staleness);
+        let until = granted.min(log_valid_until).unwrap_or(Time::ZERO);
         now.until(until).saturating_sub(self.cfg.margin)
     }
 
-    /// Handles a datagram about leases.
+    /// Handles a lease message.
     pub fn on_lease(&mut self, now: Time, from: SocketAddr, message: LeaseMessage) -> Vec<Effect> {
         match message {
             LeaseMessage::Request {
@@ -66,15 +67,15 @@
                 granted,
                 ..
             } => {
-                self.heard_view(from, view);
-                self.fence.heard_below(fenced_below);
+                self.note_peer_view(from, view);
+                self.fence.note_fenced_below(fenced_below);
                 if granted {
                     self.on_grant(now, from, view, round, from_ms(log_age_ms));
                 }
             }
         }
         self.advance(now);
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.effects)
     }
 
     fn on_request(
@@ -85,7 +86,7 @@
         view: u64,
         round: u64,
     ) {
-        self.heard_view(asker, view);
+        self.note_peer_view(asker, view);
         let Some(mine) = &self.view else {
             return;
         };
@@ -93,16 +94,17 @@
             from: self.me,
             to: asker,
             view: mine.number,
-            fenced_below: self.fence.below(),
+            fenced_below: self.fence.fenced_below(),
             round,
             log_age_ms: self
-                .log_heard
-                .map_or(u32::MAX, |heard| to_ms(now.since(heard))),
-            // A node that leaves granted its last vote before it told the log. One that is not yet
-            // a member by what it knows is behind, and has seen nothing newer than the asker.
+                .log_current_at
+                .map_or(u32::MAX, |read_at| to_ms(now.since(read_at))),
+            // A leaving node granted its last lease before its departure was written to the log. A
+            // node that is not yet a member in its own view lags behind, and has seen no view newer
+            // than that of the requester.
             granted: !self.leaving && view >= mine.number,
         };
-        self.out.push(Effect::SendLease { to: addr, message });
+        self.effects.push(Effect::SendLease { to: addr, message });
     }
 
     fn on_grant(&mut self, now: Time, from: Incarnation, view: u64, round: u64, log_age: Duration) {
@@ -110,63 +112,65 @@
         let Some(sent) = self.lease.sent_at(round) else {
             return;
         };
-        self.lease.grant(from, sent);
-        // The granter read the log up to no newer view than ours.
-        let heard = sent.since(Time::ZERO + log_age);
-        if !self.is_behind(view) && !heard.is_zero() {
-            self.log_heard = self.log_heard.max(Some(Time::ZERO + heard));
+        self.lease.record_grant(from, sent);
+        // When the granter read the log, it contained no view newer than that of this node.
+        let log_read_at = sent.since(Time::ZERO + log_age);
+        if !self.lacks_view(view) && !log_read_at.is_zero() {
+            self.log_current_at = self.log_current_at.max(Some(Time::ZERO + log_read_at));
         }
         if had_none && !self.lease_left(now).is_zero() {
-            self.rounds_without = 0;
-            self.out.push(Effect::LeaseAcquired);
+            self.rounds_without_lease = 0;
+            self.effects.push(Effect::LeaseAcquired);
         }
     }
 
-    fn heard_view(&mut self, from: Incarnation, view: u64) {
-        self.fence.heard(from, view);
-        if self.is_behind(view) {
-            self.out.push(Effect::ViewOutdated);
+    fn note_peer_view(&mut self, from: Incarnation, view: u64) {
+        self.fence.note_peer_view(from, view);
+        if self.lacks_view(view) {
+            self.effects.push(Effect::ViewOutdated);
         }
     }
 
-    /// Sends a round of requests, if one is due.
-    pub(crate) fn run_round(&mut self, now: Time) {
-        if self.next_round.is_none_or(|due| due > now) {
+    /// Sends a round of lease requests, if one is due.
+    pub(crate) fn send_due_round(&mut self, now: Time) {
+        if self.next_lease_round_at.is_none_or(|due| due > now) {
             return;
         }
         let Some(view) = self.view.take() else {
             return;
         };
-        self.next_round = Some(now + self.round_interval(now, &view.members));
+        self.next_lease_round_at = Some(now + self.round_interval(now, &view.members));
         let asked = self.choose_granters(now, &view.members);
-        let round = self.lease.next_round(now);
+        let round = self.lease.begin_round(now);
         for to in asked {
             let message = LeaseMessage::Request {
                 from: self.me,
                 view: view.number,
                 round,
             };
-            self.out.push(Effect::SendLease { to, message });
+            self.effects.push(Effect::SendLease { to, message });
         }
         self.view = Some(view);
     }
 
-    /// The time to the next round. Without a lease the first rounds follow quickly, because a
-    /// datagram may just have been lost or a member be a little behind; then ever more slowly, so
-    /// that a cut is not filled with requests.
+    /// The delay until the next round. Without a lease the first rounds follow quickly, because a
+    /// datagram may have been lost or a member may lag behind slightly. The delay then grows, so
+    /// that a network partition is not flooded with requests.
     fn round_interval(&mut self, now: Time, members: &[Instance]) -> Duration {
-        let every = self.cfg.lease / ROUNDS_PER_LEASE;
-        let leased = self.lease.until(now, members, self.me, self.cfg.lease);
+        let interval = self.cfg.lease / ROUNDS_PER_LEASE;
+        let leased = self.lease.expires_at(now, members, self.me, self.cfg.lease);
         if leased.is_some_and(|until| until > now + self.cfg.margin) {
-            return every;
+            return interval;
         }
-        self.rounds_without = self.rounds_without.saturating_add(1);
-        let wait = FIRST_WAIT * 2_u32.saturating_pow(self.rounds_without.min(MAX_DOUBLINGS));
-        wait.min(every)
+        self.rounds_without_lease = self.rounds_without_lease.saturating_add(1);
+        let delay =
+            BASE_RETRY_DELAY * 2_u32.saturating_pow(self.rounds_without_lease.min(MAX_DOUBLINGS));
+        delay.min(interval)
     }
 
-    /// The nearest members that make up a quorum, and a spare one. If these did not answer, and
-    /// while views are not fenced, everybody: only those who are asked tell what they have seen.
+    /// The nearest members that make up a quorum, plus a spare one. If too few of them answered, or
+    /// while there are unfenced views, all members and the members of these views are asked: only
+    /// nodes that are asked report which view they know.
     fn choose_granters(&self, now: Time, members: &[Instance]) -> Vec<SocketAddr> {
         let Some(mine) = members.iter().find(|member| member.incarnation == self.me) else {
             return Vec::new();
@@ -175,7 +179,7 @@
             .iter()
             .filter(|member| member.incarnation != self.me);
         let mut others: Vec<&Instance> = others.collect();
-        others.sort_by_cached_key(|other| (distance(mine, other), self.spread(other)));
+        others.sort_by_cached_key(|other| (distance(mine, other), self.tie_break(other)));
         let needed = (0..=others.len())
             .find(|count| {
                 is_quorum(members, |who| {
@@ -184,17 +188,17 @@
                 })
             })
             .unwrap_or(others.len());
-        let patience = self.cfg.lease * 2 / ROUNDS_PER_LEASE;
-        let long_ago = Time::ZERO + now.since(Time::ZERO + patience);
-        let asked = others.iter().take(needed + SPARE);
-        let silent = asked
+        let grant_timeout = self.cfg.lease * 2 / ROUNDS_PER_LEASE;
+        let cutoff = Time::ZERO + now.since(Time::ZERO + grant_timeout);
+        let asked = others.iter().take(needed + SPARE_GRANTERS);
+        let unresponsive = asked
             .clone()
-            .filter(|other| self.lease.is_silent(other.incarnation, long_ago))
+            .filter(|other| self.lease.is_unresponsive(other.incarnation, cutoff))
             .count();
-        if silent <= SPARE && !self.fence.is_open() {
+        if unresponsive <= SPARE_GRANTERS && !self.fence.has_unfenced_views() {
             return asked.map(|other| other.addr).collect();
         }
-        let past = self.fence.open_members();
+        let past = self.fence.unfenced_members();
         let past = past.filter(|member| member.incarnation != self.me);
         let all: IndexMap<SocketAddr, ()> = others
             .into_iter()
@@ -204,8 +208,8 @@
         all.into_keys().collect()
     }
 
-    /// Breaks ties among members that are equally near, so that all nodes do not ask the same.
-    fn spread(&self, other: &Instance) -> u64 {
+    /// Breaks ties between equally near members, so that not all nodes ask the same ones.
+    fn tie_break(&self, other: &Instance) -> u64 {
         hash64(&(self.me, other.incarnation))
     }
 }
--- a/crates/once/src/lib.rs
+++ b/crates/once/src/lib.rs
@@ -1,21 +1,22 @@
-//! At most once: who is home to a key, whether the home may start work, and what it remembers.
+//! At-most-once execution of keyed calls: which node is home to a key, whether that node may start
+//! runs, and the records it keeps of them.
 //!
-//! This package does no I/O and reads no clock. It knows nothing about load, HTTP or how a run is
-//! done. docs/AT_MOST_ONCE.md has the design.
+//! This crate does no I/O and reads no clock. It knows nothing about load, HTTP or how a run is
+//! executed. See docs/AT_MOST_ONCE.md for the design.
 
 mod config;
 mod effect;
 mod fence;
 mod home;
 mod lease;
-mod moved;
+mod lease_rounds;
+mod moved_run;
 mod owner;
+mod quorum;
 mod records;
 mod runs;
 mod slot;
 mod transfers;
-mod view;
-mod votes;
 
 pub use config::Config;
 pub use effect::BeginResult;
@@ -24,4 +25,4 @@
 pub use effect::RunOutcome;
 pub use home::Home;
 pub use owner::slot_owner;
-pub use view::is_quorum;
+pub use quorum::is_quorum;
--- a/crates/once/src/moved.rs
+++ b/crates/once/src/moved_run.rs
@@ -1,4 +1,4 @@
-//! Runs whose slot has moved on to another home.
+//! Runs whose slot has moved to another home.
 
 use crate::records::to_ms;
 use crate::BeginResult;
@@ -11,38 +11,37 @@
 use std::time::Duration;
 use stdx::Time;
 
-/// A run of this node whose slot has moved on, until the new home knows its end.
+/// A run on this node whose slot has moved, kept until the new home has stored its outcome.
 #[derive(Debug)]
-pub(crate) struct Moved {
+pub(crate) struct MovedRun {
     pub(crate) fingerprint: Fingerprint,
-    /// `None` while it runs.
-    pub(crate) end: Option<RunOutcome>,
-    /// When to tell the new home, again.
+    /// `None` while the run is in flight.
+    pub(crate) outcome: Option<RunOutcome>,
+    /// When to send the outcome to the new home, or to send it again.
     pub(crate) send_at: Option<Time>,
-    /// When to stop telling.
-    pub(crate) give_up: Option<Time>,
+    /// When to stop sending the outcome.
+    pub(crate) give_up_at: Option<Time>,
 }
 
-impl Moved {
+impl MovedRun {
     pub(crate) fn running(fingerprint: Fingerprint) -> Self {
         Self {
             fingerprint,
-            end: None,
+            outcome: None,
             send_at: None,
-            give_up: None,
+            give_up_at: None,
         }
     }
 
-    /// Whether the run has not ended yet.
     pub(crate) fn is_running(&self) -> bool {
-        self.end.is_none()
+        self.outcome.is_none()
     }
 
-    pub(crate) fn begin(&self, fingerprint: Fingerprint) -> BeginResult {
+    pub(crate) fn begin_result(&self, fingerprint: Fingerprint) -> BeginResult {
         if self.fingerprint != fingerprint {
             return BeginResult::NotRun(Reason::KeyMismatch);
         }
-        match &self.end {
+        match &self.outcome {
             None => BeginResult::Attach,
             Some(RunOutcome::Done(response)) => BeginResult::Done(response.clone()),
             Some(RunOutcome::Unknown) => BeginResult::Unknown,
@@ -51,7 +50,7 @@
     }
 
     pub(crate) fn to_message(&self, key: KeyHash, retention: Duration) -> Option<KeyRecord> {
-        let state = match self.end.as_ref()? {
+        let state = match self.outcome.as_ref()? {
             RunOutcome::Done(response) => RecordState::Done(response.clone()),
             RunOutcome::NotRun => RecordState::NotRun,
             RunOutcome::Unknown => RecordState::Unknown,
--- a/crates/once/src/owner.rs
+++ b/crates/once/src/owner.rs
@@ -1,10 +1,10 @@
-//! Rendezvous hashing of slots over the members of a view (Thaler and Ravishankar, 1998).
+//! Assigns slots to the members of a view by rendezvous hashing (Thaler and Ravishankar, 1998).
 
 use proto::hash64;
 use proto::Incarnation;
 use proto::Instance;
 
-/// The member that is home to a slot; `None` if there are no members.
+/// Returns the member that is home to a slot, or `None` if there are no members.
 ///
 /// # Examples
 ///
--- a/crates/once/src/records.rs
+++ b/crates/once/src/records.rs
@@ -1,4 +1,4 @@
-//! The records of keys, by slot, with their bytes and their ends counted.
+//! The records of keys, grouped by slot, with their total size and expiry times.
 
 use indexmap::IndexMap;
 use proto::Fingerprint;
@@ -12,43 +12,45 @@
 use std::time::Duration;
 use stdx::Time;
 
-/// Bytes that a record takes up beside its response, roughly: key, fingerprint, state, its place in
-/// the maps and in the order of ends.
-pub(crate) const RECORD_BYTES: usize = 192;
+/// Approximate size of a record without its response: key, fingerprint, state, and its entries in
+/// the maps and in the expiry order.
+pub(crate) const RECORD_OVERHEAD_BYTES: usize = 192;
 
-/// What is remembered of a key.
+/// The record of a key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Record {
     pub(crate) fingerprint: Fingerprint,
-    pub(crate) state: State,
-    /// When the record may be forgotten; for a run elsewhere, when its end counts as unknown.
-    pub(crate) ends: Option<Time>,
+    pub(crate) state: RunState,
+    /// When the record may be dropped; for a run at an earlier home, when its outcome counts as
+    /// unknown.
+    pub(crate) expires_at: Option<Time>,
 }
 
-/// How far the run of a key is. It only ever moves down this list.
+/// The state of a key's run. A run only ever moves down this list.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) enum State {
-    /// It waits here for its start. Such a record never moves: its run can still be refused.
+pub(crate) enum RunState {
+    /// Waiting here to be started. Such a record is never transferred, because its run can still be
+    /// refused.
     Queued,
-    /// It is under way here.
+    /// In flight here.
     Running,
-    /// It is under way at an earlier home.
+    /// In flight at an earlier home.
     RunningAt(Incarnation),
-    /// It may have run.
+    /// The run may have taken place.
     Unknown,
-    /// It ended with this response.
+    /// The run has ended with this response.
     Done(Response),
 }
 
-impl State {
-    /// As in messages; a queued run is no record yet.
+impl RunState {
+    /// The state as sent to other homes; `None` for a queued run, which is not transferred.
     fn to_message(&self, me: Incarnation) -> Option<RecordState> {
         match self {
-            State::Queued => None,
-            State::Running => Some(RecordState::Running(me)),
-            State::RunningAt(at) => Some(RecordState::Running(*at)),
-            State::Unknown => Some(RecordState::Unknown),
-            State::Done(response) => Some(RecordState::Done(response.clone())),
+            RunState::Queued => None,
+            RunState::Running => Some(RecordState::Running(me)),
+            RunState::RunningAt(at) => Some(RecordState::Running(*at)),
+            RunState::Unknown => Some(RecordState::Unknown),
+            RunState::Done(response) => Some(RecordState::Done(response.clone())),
         }
     }
 }
@@ -57,58 +59,58 @@
 #[derive(Debug)]
 pub(crate) struct Records {
     slots: Vec<IndexMap<KeyHash, Record>>,
-    ends: BTreeSet<(Time, KeyHash)>,
-    /// Kept free for the response of each run here.
-    reserve: usize,
+    expiries: BTreeSet<(Time, KeyHash)>,
+    /// Space reserved for the response of each run on this node.
+    reserve_bytes: usize,
     bytes: usize,
 }
 
 impl Records {
-    /// An empty table that keeps `reserve` bytes free for the response of each run here.
-    pub(crate) fn new(reserve: usize) -> Self {
+    /// Creates an empty table that reserves `reserve_bytes` bytes for the response of each run on
+    /// this node.
+    pub(crate) fn new(reserve_bytes: usize) -> Self {
         Self {
             slots: vec![IndexMap::new(); usize::from(SLOTS)],
-            ends: BTreeSet::new(),
-            reserve,
+            expiries: BTreeSet::new(),
+            reserve_bytes,
             bytes: 0,
         }
     }
 
     fn size(&self, record: &Record) -> usize {
-        RECORD_BYTES
+        RECORD_OVERHEAD_BYTES
             + match &record.state {
-                State::Queued | State::Running => self.reserve,
-                State::RunningAt(_) | State::Unknown => 0,
-                State::Done(response) => response.size(),
+                RunState::Queued | RunState::Running => self.reserve_bytes,
+                RunState::RunningAt(_) | RunState::Unknown => 0,
+                RunState::Done(response) => response.size(),
             }
     }
 
-    /// The record of a key.
     pub(crate) fn get(&self, key: KeyHash) -> Option<&Record> {
         self.slots[usize::from(key.slot())].get(&key)
     }
 
-    /// Puts a record in place of whatever was there.
+    /// Inserts a record, replacing any existing one.
     pub(crate) fn put(&mut self, key: KeyHash, record: Record) {
         self.remove(key);
         self.bytes += self.size(&record);
-        if let Some(ends) = record.ends {
-            self.ends.insert((ends, key));
+        if let Some(ends) = record.expires_at {
+            self.expiries.insert((ends, key));
         }
         self.slots[usize::from(key.slot())].insert(key, record);
     }
 
-    /// Takes a record out.
+    /// Removes and returns a record.
     pub(crate) fn remove(&mut self, key: KeyHash) -> Option<Record> {
         let record = self.slots[usize::from(key.slot())].swap_remove(&key)?;
         self.bytes -= self.size(&record);
-        if let Some(ends) = record.ends {
-            self.ends.remove(&(ends, key));
+        if let Some(ends) = record.expires_at {
+            self.expiries.remove(&(ends, key));
         }
         Some(record)
     }
 
-    /// Takes all records of a slot out.
+    /// Removes and returns all records of a slot.
     pub(crate) fn take_slot(&mut self, slot: u16) -> Vec<(KeyHash, Record)> {
         let keys: Vec<KeyHash> = self.slots[usize::from(slot)].keys().copied().collect();
         keys.into_iter()
@@ -116,42 +118,41 @@
             .collect()
     }
 
-    /// The records of a slot.
     pub(crate) fn of_slot(&self, slot: u16) -> impl Iterator<Item = (&KeyHash, &Record)> {
         self.slots[usize::from(slot)].iter()
     }
 
-    /// Keys of a slot whose runs wait here for their start.
-    pub(crate) fn queued(&self, slot: u16) -> Vec<KeyHash> {
+    /// Keys of a slot whose runs are queued here.
+    pub(crate) fn queued_keys(&self, slot: u16) -> Vec<KeyHash> {
         self.of_slot(slot)
-            .filter(|(_, record)| record.state == State::Queued)
+            .filter(|(_, record)| record.state == RunState::Queued)
             .map(|(key, _)| *key)
             .collect()
     }
 
-    /// A key whose record's end has come.
-    pub(crate) fn ended(&self, now: Time) -> Option<KeyHash> {
-        let (ends, key) = self.ends.first()?;
+    /// A key whose record has expired.
+    pub(crate) fn next_expired(&self, now: Time) -> Option<KeyHash> {
+        let (ends, key) = self.expiries.first()?;
         (*ends <= now).then_some(*key)
     }
 
-    /// The next end.
-    pub(crate) fn next_end(&self) -> Option<Time> {
-        self.ends.first().map(|(ends, _)| *ends)
+    /// When the next record expires.
+    pub(crate) fn next_expiry(&self) -> Option<Time> {
+        self.expiries.first().map(|(ends, _)| *ends)
     }
 
-    /// Bytes in use.
+    /// Total size of all records in bytes.
     pub(crate) fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// How many records there are.
+    /// Number of records.
     pub(crate) fn len(&self) -> usize {
         self.slots.iter().map(IndexMap::len).sum()
     }
 }
 
-/// A record as it goes to another home; `None` if there is nothing to tell.
+/// Converts a record to the form sent to another home; `None` if it is not transferred.
 pub(crate) fn to_message(
     now: Time,
     me: Incarnation,
@@ -160,8 +161,8 @@
     retention: Duration,
 ) -> Option<KeyRecord> {
     let left = match record.state {
-        State::Running | State::RunningAt(_) => retention,
-        _ => record.ends.map_or(retention, |ends| now.until(ends)),
+        RunState::Running | RunState::RunningAt(_) => retention,
+        _ => record.expires_at.map_or(retention, |ends| now.until(ends)),
     };
     Some(KeyRecord {
         key,
@@ -171,12 +172,11 @@
     })
 }
 
-/// Whole milliseconds, rounded up.
+/// Converts to milliseconds, rounded up.
 pub(crate) fn to_ms(time: Duration) -> u32 {
     u32::try_from(time.as_micros().div_ceil(1000)).unwrap_or(u32::MAX)
 }
 
-/// The time in milliseconds of a message.
 pub(crate) fn from_ms(ms: u32) -> Duration {
     Duration::from_millis(u64::from(ms))
 }
--- a/crates/once/src/runs.rs
+++ b/crates/once/src/runs.rs
@@ -1,12 +1,12 @@
-//! Calls with a key and their runs.
+//! Calls with a key, and the runs they start or attach to.
 
-use crate::moved::Moved;
+use crate::moved_run::MovedRun;
+use crate::quorum::is_member;
 use crate::records::Record;
-use crate::records::State;
-use crate::records::RECORD_BYTES;
+use crate::records::RunState;
+use crate::records::RECORD_OVERHEAD_BYTES;
+use crate::slot::IncomingMove;
 use crate::slot::Move;
-use crate::slot::Receive;
-use crate::view::is_member;
 use crate::BeginResult;
 use crate::Effect;
 use crate::Home;
@@ -21,54 +21,59 @@
 use stdx::Time;
 
 impl Home {
-    /// Begins a call with a key. `fresh` says that no attempt with it can have been made before.
+    /// Begins a call with a key. `is_first_attempt` means that no earlier attempt with this key can
+    /// have been made.
     pub fn begin(
         &mut self,
         now: Time,
         key: KeyHash,
         fingerprint: Fingerprint,
-        fresh: bool,
+        is_first_attempt: bool,
     ) -> BeginResult {
-        if let Some(moved) = self.moved.get(&key) {
-            return moved.begin(fingerprint);
+        if let Some(moved) = self.moved_runs.get(&key) {
+            return moved.begin_result(fingerprint);
         }
         if let Some(record) = self.records.get(key) {
-            return known(record, fingerprint);
+            return begin_result(record, fingerprint);
         }
-        if let Some(begin) = self.check_slot(now, key.slot(), fresh) {
+        if let Some(begin) = self.check_slot(now, key.slot(), is_first_attempt) {
             return begin;
         }
         if self.lease_left(now).is_zero() {
-            return self.await_lease(now);
+            return self.lease_wait_result(now);
         }
-        if self.records.bytes() + RECORD_BYTES + self.cfg.reserve_bytes > self.cfg.max_bytes {
+        if self.records.bytes() + RECORD_OVERHEAD_BYTES + self.cfg.reserve_bytes
+            > self.cfg.max_bytes
+        {
             return BeginResult::NotRun(Reason::TableFull);
         }
         let record = Record {
             fingerprint,
-            state: State::Queued,
-            ends: None,
+            state: RunState::Queued,
+            expires_at: None,
         };
         self.records.put(key, record);
         BeginResult::Start
     }
 
-    /// What is known of a key, for whoever waited for the end of its run.
+    /// Looks up the state of a key, for callers that waited for the end of its run.
     pub fn lookup(&self, key: KeyHash) -> BeginResult {
         match self.records.get(key) {
-            Some(record) => known(record, record.fingerprint),
+            Some(record) => begin_result(record, record.fingerprint),
             None => BeginResult::NotRun(Reason::Moving),
         }
     }
 
-    /// Whether a queued run may start now, and within what time; it counts as started from here on.
+    /// Checks whether a queued run may start now, and returns how long it may take to reach the
+    /// backend server. From here on the run counts as started.
     ///
     /// # Errors
     ///
-    /// Why it may not start. It did not run; [`Home::finish`] has to say so.
+    /// Returns why the run may not start. It did not run, and [`Home::finish`] must be called with
+    /// that outcome.
     pub fn start(&mut self, now: Time, key: KeyHash) -> Result<Duration, Reason> {
-        // The slot may have moved on, or the lease have run out, while the run was queued. Without
-        // this check a run here and one at the new home would both go ahead.
+        // The slot may have moved, or the lease may have expired, while the run was queued. Without
+        // this check a run here and one at the new home could both start.
         let left = self.lease_left(now);
         if !self.slots[usize::from(key.slot())].is_ready() {
             return Err(Reason::Moving);
@@ -77,9 +82,9 @@
             return Err(Reason::NoLease);
         }
         match self.records.get(key) {
-            Some(record) if record.state == State::Queued => {
+            Some(record) if record.state == RunState::Queued => {
                 let record = Record {
-                    state: State::Running,
+                    state: RunState::Running,
                     ..record.clone()
                 };
                 self.records.put(key, record);
@@ -87,202 +92,209 @@
             }
             _ => {
                 debug_assert!(false, "a run starts once, from the queue");
-                self.fault(InvariantViolation::RunNotInFlight(key));
+                self.report_violation(InvariantViolation::RunNotInFlight(key));
                 Err(Reason::RecordLost)
             }
         }
     }
 
-    /// Ends the run of a key, started or not.
-    pub fn finish(&mut self, now: Time, key: KeyHash, end: RunOutcome) -> Vec<Effect> {
-        if let Some(moved) = self.moved.get_mut(&key) {
-            moved.end = Some(end);
+    /// Records the outcome of a key's run, whether it was started or not.
+    pub fn finish(&mut self, now: Time, key: KeyHash, outcome: RunOutcome) -> Vec<Effect> {
+        if let Some(moved) = self.moved_runs.get_mut(&key) {
+            moved.outcome = Some(outcome);
             moved.send_at = Some(now);
-            moved.give_up = Some(now + self.longest_run);
+            moved.give_up_at = Some(now + self.max_run_time);
             self.advance(now);
-            return std::mem::take(&mut self.out);
+            return std::mem::take(&mut self.effects);
         }
         match self.records.get(key).map(|record| &record.state) {
-            Some(State::Queued | State::Running) => self.end(now, key, end),
-            // A queued run that was recalled.
-            None if end == RunOutcome::NotRun => {}
-            _ => self.fault(InvariantViolation::RunNotInFlight(key)),
+            Some(RunState::Queued | RunState::Running) => self.end_run(now, key, outcome),
+            // A queued run that was cancelled.
+            None if outcome == RunOutcome::NotRun => {}
+            _ => self.report_violation(InvariantViolation::RunNotInFlight(key)),
         }
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.effects)
     }
 
-    /// A run at an earlier home has ended. It may be told more than once.
+    /// Handles the outcome of a run at an earlier home. It may arrive more than once.
     pub fn on_finished(&mut self, now: Time, from: Incarnation, record: KeyRecord) -> Vec<Effect> {
         let key = record.key;
-        // Without the slot there is nothing to put it into yet: the sender tells again.
+        // Without the slot the record cannot be stored yet; the sender will send it again.
         if self.slots[usize::from(key.slot())].is_ready() {
-            self.import(now, record);
-            let to = self.known.get(&from).cloned();
-            self.out
+            self.merge_record(now, record);
+            let to = self.known_instances.get(&from).cloned();
+            self.effects
                 .extend(to.map(|to| Effect::AckFinished { to, key }));
-            self.out.push(Effect::RemoteRunEnded(key));
+            self.effects.push(Effect::RemoteRunEnded(key));
         }
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.effects)
     }
 
-    /// The new home knows the end of a run.
+    /// Handles the acknowledgement that the new home has stored the outcome of a run.
     pub fn on_finished_ack(&mut self, now: Time, key: KeyHash) -> Vec<Effect> {
         if self
-            .moved
+            .moved_runs
             .get(&key)
-            .is_some_and(|moved| moved.end.is_some())
+            .is_some_and(|moved| moved.outcome.is_some())
         {
-            self.moved.swap_remove(&key);
+            self.moved_runs.swap_remove(&key);
         }
         self.advance(now);
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.effects)
     }
 
-    /// What becomes of a call because of the slot's state; `None` if it is ready and certain.
-    fn check_slot(&self, now: Time, slot: u16, fresh: bool) -> Option<BeginResult> {
+    /// How to answer a call by the state of its slot; `None` if the slot is ready and its records
+    /// are complete.
+    fn check_slot(&self, now: Time, slot: u16, is_first_attempt: bool) -> Option<BeginResult> {
         let entry = &self.slots[usize::from(slot)];
         let listed = self
             .view
             .as_ref()
             .is_some_and(|view| is_member(&view.members, self.me));
         match (entry.moves.front(), entry.held) {
-            (Some(Move::Receive(receive)), _) => Some(self.await_slot(now, receive)),
-            (Some(Move::Give(_)), _) => Some(BeginResult::Wait),
+            (Some(Move::Incoming(incoming)), _) => Some(self.slot_wait_result(now, incoming)),
+            (Some(Move::Outgoing(_)), _) => Some(BeginResult::Wait),
             (None, None) => Some(BeginResult::NotRun(Reason::Moving)),
-            // The view that moves the slot is on its way.
+            // The view that moves the slot will follow.
             (None, Some(_)) if self.leaving && listed => Some(BeginResult::Wait),
             (None, Some(held)) => {
-                (now < held.doubt_until && !fresh).then_some(BeginResult::Unknown)
+                (now < held.uncertain_until && !is_first_attempt).then_some(BeginResult::Unknown)
             }
         }
     }
 
-    /// After a change of view, grants are some milliseconds away.
-    fn await_lease(&self, now: Time) -> BeginResult {
-        if now < self.lease_awaited && !self.leaving {
+    /// After a change of view, grants arrive within milliseconds.
+    fn lease_wait_result(&self, now: Time) -> BeginResult {
+        if now < self.lease_wait_until && !self.leaving {
             BeginResult::Wait
         } else {
             BeginResult::NotRun(Reason::NoLease)
         }
     }
 
-    fn await_slot(&self, now: Time, receive: &Receive) -> BeginResult {
-        if receive.lost.is_some_and(|lost| lost <= now) {
+    fn slot_wait_result(&self, now: Time, incoming: &IncomingMove) -> BeginResult {
+        if incoming.peer_lost_at.is_some_and(|lost| lost <= now) {
             BeginResult::NotRun(Reason::NoLease)
-        } else if now < receive.since + self.cfg.max_hold {
+        } else if now < incoming.started_at + self.cfg.max_hold {
             BeginResult::Wait
         } else {
             BeginResult::NotRun(Reason::Moving)
         }
     }
 
-    fn end(&mut self, now: Time, key: KeyHash, end: RunOutcome) {
+    fn end_run(&mut self, now: Time, key: KeyHash, outcome: RunOutcome) {
         let Some(record) = self.records.remove(key) else {
             return;
         };
-        let state = match end {
+        let state = match outcome {
             RunOutcome::NotRun => return,
-            RunOutcome::Unknown => State::Unknown,
-            RunOutcome::Done(response) if self.fits(response.size()) => State::Done(response),
-            // It ran and its answer goes out, but a re-send can only be told that it ran.
-            RunOutcome::Done(_) => State::Unknown,
+            RunOutcome::Unknown => RunState::Unknown,
+            RunOutcome::Done(response) if self.response_fits(response.size()) => {
+                RunState::Done(response)
+            }
+            // The run took place and its response is delivered, but a re-send can only be told that
+            // it ran.
+            RunOutcome::Done(_) => RunState::Unknown,
         };
         let record = Record {
             state,
-            ends: Some(now + self.retention),
+            expires_at: Some(now + self.retention),
             ..record
         };
         self.records.put(key, record);
     }
 
-    fn fits(&self, size: usize) -> bool {
+    fn response_fits(&self, size: usize) -> bool {
         size <= self.cfg.max_response_bytes
-            && self.records.bytes() + RECORD_BYTES + size <= self.cfg.max_bytes
+            && self.records.bytes() + RECORD_OVERHEAD_BYTES + size <= self.cfg.max_bytes
     }
 
-    /// A slot is here again: its runs that are still under way here, or just ended, are records
-    /// again.
-    pub(crate) fn reclaim(&mut self, now: Time, slot: u16) {
-        let keys = self.moved.keys().copied();
+    /// Restores the records of runs on this node that are in flight or just ended, after their slot
+    /// has come back.
+    pub(crate) fn restore_moved_runs(&mut self, now: Time, slot: u16) {
+        let keys = self.moved_runs.keys().copied();
         let keys: Vec<KeyHash> = keys.filter(|key| key.slot() == slot).collect();
         for key in keys {
-            let Some(moved) = self.moved.swap_remove(&key) else {
+            let Some(moved) = self.moved_runs.swap_remove(&key) else {
                 continue;
             };
             let state = self.records.get(key).map(|record| &record.state);
             match state {
-                Some(State::Done(_)) if moved.end.is_some() => {}
-                Some(State::Done(_)) => self.fault(InvariantViolation::RecordRegressed(key)),
-                _ => self.put_back(now, key, moved),
+                Some(RunState::Done(_)) if moved.outcome.is_some() => {}
+                Some(RunState::Done(_)) => {
+                    self.report_violation(InvariantViolation::RecordRegressed(key))
+                }
+                _ => self.restore_run(now, key, moved),
             }
         }
     }
 
-    /// The slot of a run has come back here.
-    fn put_back(&mut self, now: Time, key: KeyHash, moved: Moved) {
+    /// Restores the record of a run whose slot has come back.
+    fn restore_run(&mut self, now: Time, key: KeyHash, moved: MovedRun) {
         let record = Record {
             fingerprint: moved.fingerprint,
-            state: State::Running,
-            ends: None,
+            state: RunState::Running,
+            expires_at: None,
         };
         self.records.put(key, record);
-        if let Some(end) = moved.end {
-            self.end(now, key, end);
+        if let Some(outcome) = moved.outcome {
+            self.end_run(now, key, outcome);
         }
     }
 
-    /// Tells new homes of runs that ended here.
+    /// Sends the outcomes of runs that ended here to the new homes of their slots.
     pub(crate) fn send_finished(&mut self, now: Time) {
         let due: Vec<KeyHash> = self
-            .moved
+            .moved_runs
             .iter()
             .filter(|(_, moved)| moved.send_at.is_some_and(|at| at <= now))
             .map(|(key, _)| *key)
             .collect();
         for key in due {
-            let to = self.home_elsewhere(key);
-            let Some(moved) = self.moved.get_mut(&key) else {
+            let to = self.remote_home(key);
+            let Some(moved) = self.moved_runs.get_mut(&key) else {
                 continue;
             };
-            if moved.give_up.is_some_and(|at| at <= now) {
-                self.moved.swap_remove(&key);
+            if moved.give_up_at.is_some_and(|at| at <= now) {
+                self.moved_runs.swap_remove(&key);
                 continue;
             }
             moved.send_at = Some(now + self.cfg.resend_interval);
             let record = moved.to_message(key, self.retention);
             let effect = to.zip(record);
-            self.out
+            self.effects
                 .extend(effect.map(|(to, record)| Effect::SendFinished { to, record }));
         }
     }
 
-    /// Forgets records whose time is over, and gives up runs elsewhere that nobody tells of.
-    pub(crate) fn expire(&mut self, now: Time) {
-        while let Some(key) = self.records.ended(now) {
+    /// Drops expired records, and marks runs at earlier homes as unknown if no outcome arrived in
+    /// time.
+    pub(crate) fn expire_records(&mut self, now: Time) {
+        while let Some(key) = self.records.next_expired(now) {
             let Some(record) = self.records.remove(key) else {
                 return;
             };
-            if matches!(record.state, State::RunningAt(_)) {
+            if matches!(record.state, RunState::RunningAt(_)) {
                 let record = Record {
-                    state: State::Unknown,
-                    ends: Some(now + self.retention),
+                    state: RunState::Unknown,
+                    expires_at: Some(now + self.retention),
                     ..record
                 };
                 self.records.put(key, record);
-                self.out.push(Effect::RemoteRunEnded(key));
+                self.effects.push(Effect::RemoteRunEnded(key));
             }
         }
     }
 }
 
-/// What the record of a key says to a call.
-fn known(record: &Record, fingerprint: Fingerprint) -> BeginResult {
+/// How to answer a call for a key that has this record.
+fn begin_result(record: &Record, fingerprint: Fingerprint) -> BeginResult {
     if record.fingerprint != fingerprint {
         return BeginResult::NotRun(Reason::KeyMismatch);
     }
     match &record.state {
-        State::Queued | State::Running | State::RunningAt(_) => BeginResult::Attach,
-        State::Done(response) => BeginResult::Done(response.clone()),
-        State::Unknown => BeginResult::Unknown,
+        RunState::Queued | RunState::Running | RunState::RunningAt(_) => BeginResult::Attach,
+        RunState::Done(response) => BeginResult::Done(response.clone()),
+        RunState::Unknown => BeginResult::Unknown,
     }
 }
--- a/crates/once/src/slot.rs
+++ b/crates/once/src/slot.rs
@@ -1,4 +1,4 @@
-//! One slot's way from home to home.
+//! State of one slot as it moves between homes.
 
 use indexmap::IndexMap;
 use proto::Incarnation;
@@ -8,88 +8,89 @@
 use std::collections::VecDeque;
 use stdx::Time;
 
-/// What this node holds of a slot, and what has to happen before anyone else may.
+/// What this node holds of a slot, and the moves that must end before the slot is ready.
 #[derive(Debug, Default)]
 pub(crate) struct Slot {
-    /// Set while this node has all that is known of the slot's keys.
-    pub(crate) held: Option<Held>,
-    /// Moves of the slot from or to this node that are not over, in the order of views.
+    /// Set while this node holds all that is known of the slot's keys.
+    pub(crate) held: Option<Holding>,
+    /// Pending moves of the slot to or from this node, in the order of their views.
     pub(crate) moves: VecDeque<Move>,
 }
 
-/// How much of the slot's past is known.
+/// How complete the records of a held slot are.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct Held {
-    /// Until then, keys without a record may have run all the same.
-    pub(crate) doubt_until: Time,
-    /// The view whose move ended in doubt. The records may still come late.
-    pub(crate) doubted: Option<u64>,
+pub(crate) struct Holding {
+    /// Until this time, keys without a record may have run nevertheless.
+    pub(crate) uncertain_until: Time,
+    /// The view in which the slot was taken over without its records. They may still arrive late.
+    pub(crate) takeover_view: Option<u64>,
 }
 
-impl Held {
-    /// All is known.
-    pub(crate) const CERTAIN: Held = Held {
-        doubt_until: Time::ZERO,
-        doubted: None,
+impl Holding {
+    /// The records are complete.
+    pub(crate) const CERTAIN: Holding = Holding {
+        uncertain_until: Time::ZERO,
+        takeover_view: None,
     };
 }
 
-/// A view moves the slot.
+/// A move of the slot caused by a change of view.
 #[derive(Debug)]
 pub(crate) enum Move {
     /// To this node.
-    Receive(Receive),
+    Incoming(IncomingMove),
     /// From this node.
-    Give(Give),
+    Outgoing(OutgoingMove),
 }
 
-/// A slot that this node waits for.
+/// A move of a slot to this node.
 #[derive(Debug)]
-pub(crate) struct Receive {
+pub(crate) struct IncomingMove {
     pub(crate) view: u64,
-    /// Who gives it; nobody after an empty view.
+    /// The previous home; `None` after a view without members.
     pub(crate) from: Option<Incarnation>,
-    pub(crate) since: Time,
-    /// From then on a fence is as good as the transfer.
-    pub(crate) lost: Option<Time>,
-    /// How many parts there are.
-    pub(crate) expected: Option<u16>,
-    /// Until when the giver is in doubt itself.
-    pub(crate) doubt_until: Time,
-    /// What has come, by part.
+    pub(crate) started_at: Time,
+    /// From this time on, the slot is taken over without a transfer once all earlier views are
+    /// fenced.
+    pub(crate) peer_lost_at: Option<Time>,
+    /// Total number of parts, once known.
+    pub(crate) expected_parts: Option<u16>,
+    /// Until when the records of the previous home are incomplete.
+    pub(crate) uncertain_until: Time,
+    /// The parts received so far, by number.
     pub(crate) parts: IndexMap<u16, Vec<KeyRecord>>,
 }
 
-/// A slot that this node has to pass on.
+/// A move of a slot away from this node.
 #[derive(Debug)]
-pub(crate) struct Give {
+pub(crate) struct OutgoingMove {
     pub(crate) view: u64,
     pub(crate) to: Instance,
-    /// The transfer, made once all before it is over.
+    /// The parts of the transfer, built once all earlier moves have ended.
     pub(crate) parts: Vec<SlotTransfer>,
     pub(crate) send_at: Time,
-    /// When to give up, because the receiver has gone.
-    pub(crate) lost: Option<Time>,
+    /// When to give up, because the new home is gone.
+    pub(crate) peer_lost_at: Option<Time>,
 }
 
 impl Slot {
-    /// Whether work may start in the slot, as far as its way is concerned.
+    /// Whether runs may start as far as the slot is concerned: it is held and no move is pending.
     pub(crate) fn is_ready(&self) -> bool {
         self.held.is_some() && self.moves.is_empty()
     }
 
-    /// The move to this node by `view`, while it is not over.
-    pub(crate) fn receive(&mut self, view: u64) -> Option<&mut Receive> {
+    /// The pending move to this node by `view`.
+    pub(crate) fn incoming(&mut self, view: u64) -> Option<&mut IncomingMove> {
         self.moves.iter_mut().find_map(|step| match step {
-            Move::Receive(receive) if receive.view == view => Some(receive),
+            Move::Incoming(incoming) if incoming.view == view => Some(incoming),
             _ => None,
         })
     }
 
-    /// The move from this node that is next, if all before it is over.
-    pub(crate) fn giving(&mut self) -> Option<&mut Give> {
+    /// The pending move from this node, if it is the next one.
+    pub(crate) fn next_outgoing(&mut self) -> Option<&mut OutgoingMove> {
         match self.moves.front_mut() {
-            Some(Move::Give(give)) => Some(give),
+            Some(Move::Outgoing(outgoing)) => Some(outgoing),
             _ => None,
         }
     }
--- a/crates/once/src/transfers.rs
+++ b/crates/once/src/transfers.rs
@@ -1,14 +1,14 @@
-//! Slots on their way from home to home.
+//! Transfers of slots between homes.
 
-use crate::moved::Moved;
+use crate::moved_run::MovedRun;
 use crate::records::from_ms;
 use crate::records::to_message;
 use crate::records::to_ms;
 use crate::records::Record;
-use crate::records::State;
-use crate::slot::Held;
+use crate::records::RunState;
+use crate::slot::Holding;
+use crate::slot::IncomingMove;
 use crate::slot::Move;
-use crate::slot::Receive;
 use crate::Effect;
 use crate::Home;
 use crate::InvariantViolation;
@@ -21,31 +21,32 @@
 use stdx::Time;
 
 impl Home {
-    /// Takes a part of a slot that moves here. It may come more than once, late, or never.
+    /// Handles a part of a slot that moves to this node. Parts may arrive more than once, late, or
+    /// never.
     pub fn on_transfer(&mut self, now: Time, transfer: SlotTransfer) -> Vec<Effect> {
         let slot = usize::from(transfer.slot);
-        // A view that is not known here yet: the giver sends again.
-        if slot >= self.slots.len() || self.is_behind(transfer.view) {
-            self.out.push(Effect::ViewOutdated);
-            return std::mem::take(&mut self.out);
+        // The view is not known here yet; the sender will send the part again.
+        if slot >= self.slots.len() || self.lacks_view(transfer.view) {
+            self.effects.push(Effect::ViewOutdated);
+            return std::mem::take(&mut self.effects);
         }
         let (number, view, from) = (transfer.slot, transfer.view, transfer.from);
-        let complete = match self.slots[slot].receive(view) {
-            Some(receive) if receive.from != Some(from) => return Vec::new(),
-            Some(receive) => take_part(now, receive, transfer),
+        let complete = match self.slots[slot].incoming(view) {
+            Some(incoming) if incoming.from != Some(from) => return Vec::new(),
+            Some(incoming) => add_part(now, incoming, transfer),
             None => {
-                self.take_late(now, transfer);
+                self.apply_late_transfer(now, transfer);
                 true
             }
         };
         if complete {
-            self.thank(from, number, view);
+            self.ack_transfer(from, number, view);
         }
         self.advance(now);
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.effects)
     }
 
-    /// The receiver of a slot has it.
+    /// Handles the acknowledgement that the new home has received a slot.
     pub fn on_transfer_ack(
         &mut self,
         now: Time,
@@ -56,169 +57,184 @@
         let Some(entry) = self.slots.get_mut(usize::from(slot)) else {
             return Vec::new();
         };
-        let given = entry.giving().is_some_and(|give| {
-            give.view == view && give.to.incarnation == from && !give.parts.is_empty()
+        let acked = entry.next_outgoing().is_some_and(|outgoing| {
+            outgoing.view == view && outgoing.to.incarnation == from && !outgoing.parts.is_empty()
         });
-        if given {
+        if acked {
             entry.moves.pop_front();
-            self.release(slot);
-            self.out.push(Effect::MoveEnded(slot));
+            self.release_slot(slot);
+            self.effects.push(Effect::MoveEnded(slot));
         }
         self.advance(now);
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.effects)
     }
 
-    /// Moves on whatever can be moved on.
+    /// Advances all pending moves as far as possible.
     pub(crate) fn advance(&mut self, now: Time) {
         self.fence.poll(now, &self.cfg, self.me);
-        let moving: Vec<u16> = self.moving.iter().copied().collect();
+        let moving: Vec<u16> = self.moving_slots.iter().copied().collect();
         for slot in moving {
             while self.advance_slot(now, slot) {}
             if self.slots[usize::from(slot)].moves.is_empty() {
-                self.moving.remove(&slot);
+                self.moving_slots.remove(&slot);
             }
         }
         self.send_finished(now);
-        self.check_expelled(now);
+        self.report_expulsion(now);
     }
 
-    /// Does one step; whether another may follow.
+    /// Advances the next move of a slot by one step. Returns whether another step may follow.
     fn advance_slot(&mut self, now: Time, slot: u16) -> bool {
-        let below = self.fence.below();
+        let below = self.fence.fenced_below();
         match self.slots[usize::from(slot)].moves.front() {
             None => false,
-            Some(Move::Receive(receive)) if receive.is_complete() => self.accept(now, slot),
-            Some(Move::Receive(receive)) => {
-                let fenced = receive.lost.is_some_and(|lost| lost <= now) && below >= receive.view;
+            Some(Move::Incoming(incoming)) if incoming.is_complete() => {
+                self.complete_incoming(now, slot)
+            }
+            Some(Move::Incoming(incoming)) => {
+                let fenced =
+                    incoming.peer_lost_at.is_some_and(|lost| lost <= now) && below >= incoming.view;
                 if fenced {
                     self.take_over(now, slot);
                 }
                 fenced
             }
-            Some(Move::Give(give)) if give.lost.is_some_and(|lost| lost <= now) => {
-                self.abandon(slot);
+            Some(Move::Outgoing(outgoing))
+                if outgoing.peer_lost_at.is_some_and(|lost| lost <= now) =>
+            {
+                self.abandon_outgoing(slot);
                 true
             }
-            Some(Move::Give(give)) => {
-                if give.send_at <= now {
-                    self.give(now, slot);
+            Some(Move::Outgoing(outgoing)) => {
+                if outgoing.send_at <= now {
+                    self.send_transfer(now, slot);
                 }
                 false
             }
         }
     }
 
-    /// All parts are here.
-    fn accept(&mut self, now: Time, slot: u16) -> bool {
+    /// Completes a move to this node of which all parts have arrived.
+    fn complete_incoming(&mut self, now: Time, slot: u16) -> bool {
         let entry = &mut self.slots[usize::from(slot)];
-        let Some(Move::Receive(receive)) = entry.moves.pop_front() else {
+        let Some(Move::Incoming(incoming)) = entry.moves.pop_front() else {
             return false;
         };
-        entry.held = Some(Held {
-            doubt_until: receive.doubt_until,
-            doubted: None,
+        entry.held = Some(Holding {
+            uncertain_until: incoming.uncertain_until,
+            takeover_view: None,
         });
-        for record in receive.parts.into_values().flatten() {
-            self.import(now, record);
+        for record in incoming.parts.into_values().flatten() {
+            self.merge_record(now, record);
         }
-        self.reclaim(now, slot);
-        self.out.push(Effect::MoveEnded(slot));
+        self.restore_moved_runs(now, slot);
+        self.effects.push(Effect::MoveEnded(slot));
         true
     }
 
-    /// The giver is gone and can start nothing any more; what it ran is not known. Whoever asks
-    /// with a key that it may have seen is told so, until no record of it could be alive.
+    /// Takes over a slot whose previous home is gone and can start nothing any more. The runs of
+    /// that home are not known: a call whose key it may have seen is answered with "unknown" until
+    /// no record of that key could still be retained.
     fn take_over(&mut self, now: Time, slot: u16) {
         let entry = &mut self.slots[usize::from(slot)];
-        let Some(Move::Receive(receive)) = entry.moves.pop_front() else {
+        let Some(Move::Incoming(incoming)) = entry.moves.pop_front() else {
             return;
         };
-        entry.held = Some(Held {
-            doubt_until: now + self.retention + self.longest_run,
-            doubted: Some(receive.view),
+        entry.held = Some(Holding {
+            uncertain_until: now + self.retention + self.max_run_time,
+            takeover_view: Some(incoming.view),
         });
-        self.reclaim(now, slot);
-        self.out.push(Effect::MoveEnded(slot));
+        self.restore_moved_runs(now, slot);
+        self.effects.push(Effect::MoveEnded(slot));
     }
 
-    /// The records of a slot that was taken over in doubt come after all.
-    fn take_late(&mut self, now: Time, transfer: SlotTransfer) {
+    /// Handles records that arrive after their slot was taken over without them.
+    fn apply_late_transfer(&mut self, now: Time, transfer: SlotTransfer) {
         let entry = &mut self.slots[usize::from(transfer.slot)];
         let Some(held) = &mut entry.held else {
             return;
         };
-        if held.doubted != Some(transfer.view) || !entry.moves.is_empty() {
+        if held.takeover_view != Some(transfer.view) || !entry.moves.is_empty() {
             return;
         }
         if transfer.parts == 1 {
-            // All is known that the giver knew, and it had stopped.
-            held.doubt_until = now + from_ms(transfer.doubt_ms);
-            held.doubted = None;
+            // The transfer is complete, and its sender had stopped: all that it knew is known here
+            // now.
+            held.uncertain_until = now + from_ms(transfer.doubt_ms);
+            held.takeover_view = None;
         }
         for record in transfer.records {
-            self.import(now, record);
+            self.merge_record(now, record);
         }
     }
 
-    /// The receiver has gone, and nobody can tell whether it got the slot.
-    fn abandon(&mut self, slot: u16) {
+    /// Abandons a move whose target is gone; it is not known whether the slot arrived there.
+    fn abandon_outgoing(&mut self, slot: u16) {
         let entry = &mut self.slots[usize::from(slot)];
         entry.moves.pop_front();
         entry.held = None;
         if entry.moves.is_empty() {
             self.records.take_slot(slot);
-            self.out.push(Effect::MoveEnded(slot));
+            self.effects.push(Effect::MoveEnded(slot));
         }
     }
 
-    /// The next home has the slot.
-    fn release(&mut self, slot: u16) {
+    /// Drops a slot that the next home has received.
+    fn release_slot(&mut self, slot: u16) {
         self.slots[usize::from(slot)].held = None;
         self.records.take_slot(slot);
     }
 
-    /// Sends the slot, or sends it again.
-    fn give(&mut self, now: Time, slot: u16) {
+    /// Sends a slot's transfer, or sends it again.
+    fn send_transfer(&mut self, now: Time, slot: u16) {
         let Some(held) = self.slots[usize::from(slot)].held else {
-            self.fault(InvariantViolation::SlotNotHeld(slot));
-            return self.abandon(slot);
+            self.report_violation(InvariantViolation::SlotNotHeld(slot));
+            return self.abandon_outgoing(slot);
+        };
+        let view_to_build = |outgoing: &mut crate::slot::OutgoingMove| {
+            outgoing.parts.is_empty().then_some(outgoing.view)
         };
-        let unprepared = |give: &mut crate::slot::Give| give.parts.is_empty().then_some(give.view);
         let entry = &mut self.slots[usize::from(slot)];
-        if let Some(view) = entry.giving().and_then(unprepared) {
-            let parts = self.prepare(now, slot, view, held);
-            if let Some(give) = self.slots[usize::from(slot)].giving() {
-                give.parts = parts;
+        if let Some(view) = entry.next_outgoing().and_then(view_to_build) {
+            let parts = self.build_transfer(now, slot, view, held);
+            if let Some(outgoing) = self.slots[usize::from(slot)].next_outgoing() {
+                outgoing.parts = parts;
             }
         }
         let resend = self.cfg.resend_interval;
-        let Some(give) = self.slots[usize::from(slot)].giving() else {
+        let Some(outgoing) = self.slots[usize::from(slot)].next_outgoing() else {
             return;
         };
-        give.send_at = now + resend;
-        let sends = give.parts.iter().map(|part| Effect::SendTransfer {
-            to: give.to.clone(),
+        outgoing.send_at = now + resend;
+        let sends = outgoing.parts.iter().map(|part| Effect::SendTransfer {
+            to: outgoing.to.clone(),
             transfer: part.clone(),
         });
-        self.out.extend(sends);
+        self.effects.extend(sends);
     }
 
-    /// Makes a slot's transfer. From here on its records do not change.
-    fn prepare(&mut self, now: Time, slot: u16, view: u64, held: Held) -> Vec<SlotTransfer> {
+    /// Builds a slot's transfer. From here on the slot's records do not change.
+    fn build_transfer(
+        &mut self,
+        now: Time,
+        slot: u16,
+        view: u64,
+        held: Holding,
+    ) -> Vec<SlotTransfer> {
         let mut records = Vec::new();
         let mut running = Vec::new();
         for (key, record) in self.records.of_slot(slot) {
             records.extend(to_message(now, self.me, *key, record, self.retention));
-            if record.state == State::Running {
+            if record.state == RunState::Running {
                 running.push((*key, record.fingerprint));
             }
         }
         for (key, fingerprint) in running {
-            self.moved.insert(key, Moved::running(fingerprint));
+            self.moved_runs.insert(key, MovedRun::running(fingerprint));
         }
-        let parts = split(records, self.cfg.max_part_bytes);
+        let parts = split_into_parts(records, self.cfg.max_part_bytes);
         let count = u16::try_from(parts.len()).unwrap_or(u16::MAX);
-        let doubt_ms = to_ms(now.until(held.doubt_until));
+        let doubt_ms = to_ms(now.until(held.uncertain_until));
         let parts = parts.into_iter().zip(0..count);
         parts
             .map(|(records, part)| SlotTransfer {
@@ -234,30 +250,34 @@
             .collect()
     }
 
-    /// Puts a record of another home among the own ones. The one that is further on stays.
-    pub(crate) fn import(&mut self, now: Time, record: KeyRecord) {
+    /// Merges a record from another home into the table. The one in the later state is kept.
+    pub(crate) fn merge_record(&mut self, now: Time, record: KeyRecord) {
         let key = record.key;
         let mine = self.records.get(key).map(|mine| &mine.state);
-        let keep = match (mine, &record.state) {
-            (None | Some(State::RunningAt(_)), _) => false,
-            (Some(State::Unknown), RecordState::Done(_)) => false,
-            (Some(State::Unknown | State::Done(_)), _) => true,
-            (Some(State::Queued | State::Running), _) => {
-                self.fault(InvariantViolation::RecordRegressed(key));
+        let keep_existing = match (mine, &record.state) {
+            (None | Some(RunState::RunningAt(_)), _) => false,
+            (Some(RunState::Unknown), RecordState::Done(_)) => false,
+            (Some(RunState::Unknown | RunState::Done(_)), _) => true,
+            (Some(RunState::Queued | RunState::Running), _) => {
+                self.report_violation(InvariantViolation::RecordRegressed(key));
                 true
             }
         };
-        if keep {
+        if keep_existing {
             return;
         }
         let left = from_ms(record.retention_ms);
         let (state, left) = match record.state {
-            // The slot has come back before its end; what is still known of it is put back below.
-            RecordState::Running(at) if at == self.me => (State::Unknown, left),
-            // The run has a deadline; when that has passed nobody will tell any more.
-            RecordState::Running(at) => (State::RunningAt(at), self.longest_run + self.longest_run),
-            RecordState::Done(response) => (State::Done(response), left),
-            RecordState::Unknown => (State::Unknown, left),
+            // The slot came back while the run is in flight. `restore_moved_runs` then restores
+            // what is still known of it.
+            RecordState::Running(at) if at == self.me => (RunState::Unknown, left),
+            // The run has a deadline; well after that, no outcome will arrive any more.
+            RecordState::Running(at) => (
+                RunState::RunningAt(at),
+                self.max_run_time + self.max_run_time,
+            ),
+            RecordState::Done(response) => (RunState::Done(response), left),
+            RecordState::Unknown => (RunState::Unknown, left),
             RecordState::NotRun => {
                 self.records.remove(key);
                 return;
@@ -266,53 +286,54 @@
         let record = Record {
             fingerprint: record.fingerprint,
             state,
-            ends: Some(now + left),
+            expires_at: Some(now + left),
         };
         self.records.put(key, record);
     }
 
-    fn thank(&mut self, giver: Incarnation, slot: u16, view: u64) {
-        let to: Option<Instance> = self.known.get(&giver).cloned();
-        self.out
+    fn ack_transfer(&mut self, source: Incarnation, slot: u16, view: u64) {
+        let to: Option<Instance> = self.known_instances.get(&source).cloned();
+        self.effects
             .extend(to.map(|to| Effect::AckTransfer { to, slot, view }));
     }
 
-    /// The home of a key in the newest view, if that is another node.
-    pub(crate) fn home_elsewhere(&self, key: KeyHash) -> Option<Instance> {
+    /// The home of a key in the newest view, if it is another node.
+    pub(crate) fn remote_home(&self, key: KeyHash) -> Option<Instance> {
         let view = self.view.as_ref()?;
         let home = crate::slot_owner(&view.members, key.slot())?;
         (home.incarnation != self.me).then(|| home.clone())
     }
 
-    pub(crate) fn fault(&mut self, fault: InvariantViolation) {
-        self.out.push(Effect::InvariantViolation(fault));
+    pub(crate) fn report_violation(&mut self, violation: InvariantViolation) {
+        self.effects.push(Effect::InvariantViolation(violation));
     }
 }
 
-impl Receive {
+impl IncomingMove {
     fn is_complete(&self) -> bool {
-        self.expected
+        self.expected_parts
             .is_some_and(|parts| self.parts.len() == usize::from(parts))
     }
 }
 
-/// Takes a part; whether all are there.
-fn take_part(now: Time, receive: &mut Receive, transfer: SlotTransfer) -> bool {
-    receive.expected = Some(transfer.parts);
-    receive.doubt_until = now + from_ms(transfer.doubt_ms);
-    receive.parts.insert(transfer.part, transfer.records);
-    receive.is_complete()
+/// Adds a received part. Returns whether all parts have arrived.
+fn add_part(now: Time, incoming: &mut IncomingMove, transfer: SlotTransfer) -> bool {
+    incoming.expected_parts = Some(transfer.parts);
+    incoming.uncertain_until = now + from_ms(transfer.doubt_ms);
+    incoming.parts.insert(transfer.part, transfer.records);
+    incoming.is_complete()
 }
 
-/// Cuts records into parts of at most `max` bytes, or a single record each; at least one part.
-fn split(records: Vec<KeyRecord>, max: usize) -> Vec<Vec<KeyRecord>> {
+/// Splits records into parts of at most `max` bytes, or a single larger record each. Returns at
+/// least one part.
+fn split_into_parts(records: Vec<KeyRecord>, max: usize) -> Vec<Vec<KeyRecord>> {
     let mut parts = vec![Vec::new()];
     let mut bytes = 0;
     for record in records {
         let size = match &record.state {
             RecordState::Done(response) => response.size(),
             _ => 0,
-        } + crate::records::RECORD_BYTES;
+        } + crate::records::RECORD_OVERHEAD_BYTES;
         if bytes + size > max && bytes > 0 {
             parts.push(Vec::new());
             bytes = 0;
--- a/crates/once/tests/common/mod.rs
+++ b/crates/once/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Several homes on a clock of their own, with a fake for the log and one for the network.
+//! Simulates several homes with a virtual clock, a fake log and a fake network.
 
 #![allow(dead_code, reason = "each test file uses a part")]
 
@@ -41,27 +41,28 @@
     pub home: Home,
     pub instance: Instance,
     pub paused: bool,
-    pub sees_log: bool,
-    pub views: usize,
-    /// Effects for the driver.
-    pub seen: Vec<Effect>,
+    pub reads_log: bool,
+    pub views_read: usize,
+    /// Effects that are not messages.
+    pub driver_effects: Vec<Effect>,
 }
 
-/// What the network does to a packet: `None` loses it, else each time is the delay of a copy.
-pub type Fate = Box<dyn FnMut(u64, u64, &Packet) -> Vec<Duration>>;
+/// Decides how the network delivers a packet from one node to another: one copy per returned delay;
+/// an empty list loses the packet.
+pub type DelayFn = Box<dyn FnMut(u64, u64, &Packet) -> Vec<Duration>>;
 
 pub struct Cluster {
     pub now: Time,
     pub nodes: IndexMap<u64, Node>,
     pub log: Vec<View>,
-    pub fate: Fate,
-    pub run: Duration,
-    /// Runs started, by key.
+    pub delays: DelayFn,
+    pub run_time: Duration,
+    /// Number of runs started, by key.
     pub starts: IndexMap<KeyHash, u32>,
-    wire: BTreeMap<(Time, u64), (u64, u64, Packet)>,
+    in_flight: BTreeMap<(Time, u64), (u64, u64, Packet)>,
     sent: u64,
     pub cfg: Config,
-    /// Bytes of lease datagrams, by sender.
+    /// Bytes of lease datagrams sent, by sender.
     pub lease_bytes: IndexMap<u64, usize>,
 }
 
@@ -88,16 +89,16 @@
 }
 
 impl Cluster {
-    /// A service whose members joined one after the other, everything settled.
+    /// Creates a service whose members joined one after the other, and lets all moves finish.
     pub fn new(members: u64) -> Self {
         let mut cluster = Self {
             now: Time::ZERO + ms(100_000),
             nodes: IndexMap::new(),
             log: Vec::new(),
-            fate: Box::new(|_, _, _| vec![ms(1)]),
-            run: ms(50),
+            delays: Box::new(|_, _, _| vec![ms(1)]),
+            run_time: ms(50),
             starts: IndexMap::new(),
-            wire: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             sent: 0,
             cfg: Config::default(),
             lease_bytes: IndexMap::new(),
@@ -118,16 +119,17 @@
         &mut self.nodes[&number].home
     }
 
-    /// Starts a node and lets it join; a member at the same address has gone with that.
+    /// Starts a node and lets it join. An existing member at the same address is evicted by the
+    /// same view.
     pub fn join(&mut self, number: u64, port: u16) {
         let instance = instance(number, port);
         let node = Node {
             home: Home::new(self.cfg.clone(), instance.incarnation),
             instance: instance.clone(),
             paused: false,
-            sees_log: true,
-            views: 0,
-            seen: Vec::new(),
+            reads_log: true,
+            views_read: 0,
+            driver_effects: Vec::new(),
         };
         self.nodes.insert(number, node);
         let mut members = self.members();
@@ -150,7 +152,7 @@
         self.append(members, vec![(Incarnation(number), how)]);
     }
 
-    /// A planned leave, up to the log's record.
+    /// A planned departure, up to and including its record in the log.
     pub fn leave(&mut self, number: u64) {
         let now = self.now;
         let effects = self.home(number).leave(now);
@@ -173,16 +175,16 @@
         self.read_log();
     }
 
-    /// Lets all nodes that see the log read it.
+    /// Lets all nodes that have access to the log read it.
     pub fn read_log(&mut self) {
         let all = self.log.len();
         let numbers: Vec<u64> = self.nodes.keys().copied().collect();
         for number in numbers {
             let node = &mut self.nodes[&number];
-            if !node.sees_log || node.paused {
+            if !node.reads_log || node.paused {
                 continue;
             }
-            let from = std::mem::replace(&mut node.views, all);
+            let from = std::mem::replace(&mut node.views_read, all);
             for view in from..all {
                 let view = self.log[view].clone();
                 let now = self.now;
@@ -194,10 +196,12 @@
         }
     }
 
-    /// A call with a key at a node. A run that starts ends whole after `self.run`.
-    pub fn call(&mut self, number: u64, key: KeyHash, fresh: bool) -> BeginResult {
+    /// Makes a call with a key at a node. A run that starts completes after `self.run_time`.
+    pub fn call(&mut self, number: u64, key: KeyHash, is_first_attempt: bool) -> BeginResult {
         let now = self.now;
-        let begin = self.home(number).begin(now, key, FINGERPRINT, fresh);
+        let begin = self
+            .home(number)
+            .begin(now, key, FINGERPRINT, is_first_attempt);
         if begin != BeginResult::Start {
             return begin;
         }
@@ -208,14 +212,14 @@
             }
             Err(_) => RunOutcome::NotRun,
         };
-        self.put(number, number, self.run, Packet::RunEnds(key, end));
+        self.enqueue(number, number, self.run_time, Packet::RunEnds(key, end));
         begin
     }
 
     pub fn advance(&mut self, time: Duration) {
         let until = self.now + time;
         loop {
-            let packet = self.wire.keys().next().map(|(at, _)| *at);
+            let packet = self.in_flight.keys().next().map(|(at, _)| *at);
             let awake = self.nodes.values().filter(|node| !node.paused);
             let timer = awake.filter_map(|node| node.home.next_timer()).min();
             let Some(next) = packet
@@ -228,7 +232,7 @@
             };
             self.now = self.now.max(next);
             if packet.is_some_and(|at| at <= self.now) {
-                let (_, (from, to, packet)) = self.wire.pop_first().unwrap();
+                let (_, (from, to, packet)) = self.in_flight.pop_first().unwrap();
                 self.deliver(from, to, packet);
             } else {
                 self.tick();
@@ -255,16 +259,16 @@
             return;
         };
         if node.paused {
-            // It waits in the socket's buffer.
-            return self.put(from, to, ms(500), packet);
+            // The packet waits in the socket's buffer.
+            return self.enqueue(from, to, ms(500), packet);
         }
-        let giver = Incarnation(from);
+        let sender = Incarnation(from);
         let home = &mut node.home;
         let effects = match packet {
             Packet::Lease(addr, message) => home.on_lease(now, addr, message),
             Packet::Transfer(transfer) => home.on_transfer(now, transfer),
-            Packet::TransferDone(slot, view) => home.on_transfer_ack(now, giver, slot, view),
-            Packet::Finished(record) => home.on_finished(now, giver, record),
+            Packet::TransferDone(slot, view) => home.on_transfer_ack(now, sender, slot, view),
+            Packet::Finished(record) => home.on_finished(now, sender, record),
             Packet::FinishedDone(key) => home.on_finished_ack(now, key),
             Packet::RunEnds(key, end) => home.finish(now, key, end),
             Packet::View(_) => Vec::new(),
@@ -299,26 +303,26 @@
                 }
                 Effect::InvariantViolation(fault) => panic!("node {number}: {fault:?}"),
                 _ => {
-                    self.nodes[&number].seen.push(effect);
+                    self.nodes[&number].driver_effects.push(effect);
                     continue;
                 }
             };
             let Some(to) = to else {
                 continue;
             };
-            for delay in (self.fate)(number, to.0, &packet) {
-                self.put(number, to.0, delay, packet.clone());
+            for delay in (self.delays)(number, to.0, &packet) {
+                self.enqueue(number, to.0, delay, packet.clone());
             }
         }
     }
 
-    fn put(&mut self, from: u64, to: u64, delay: Duration, packet: Packet) {
+    fn enqueue(&mut self, from: u64, to: u64, delay: Duration, packet: Packet) {
         self.sent += 1;
         let at = (self.now + delay, self.sent);
-        self.wire.insert(at, (from, to, packet));
+        self.in_flight.insert(at, (from, to, packet));
     }
 
-    /// Some key whose slot `number` owns in the newest view, different for each `nth`.
+    /// The `nth` key whose slot `number` owns in the newest view.
     pub fn key_of(&self, number: u64, nth: usize) -> KeyHash {
         let members = self.members();
         let owned = |key: &KeyHash| {
--- a/crates/once/tests/homes.rs
+++ b/crates/once/tests/homes.rs
@@ -1,4 +1,4 @@
-//! Homes, leases and moves, one failure at a time.
+//! Scenario tests of homes, leases and moves, with one failure each.
 
 mod common;
 
@@ -14,7 +14,7 @@
 use proto::LeaseMessage;
 use proto::Reason;
 
-/// What each of `calls` gets, in order.
+/// Makes each of `calls` in order and checks its result.
 fn check(cluster: &mut Cluster, calls: &[(u64, KeyHash, BeginResult)]) {
     for (number, key, expected) in calls {
         assert_eq!(
@@ -29,7 +29,7 @@
 const MOVING: BeginResult = BeginResult::NotRun(Reason::Moving);
 
 #[test]
-fn a_key_runs_once_and_is_replayed() {
+fn key_runs_once_and_response_is_replayed() {
     let mut cluster = Cluster::new(6);
     assert!(cluster.all_ready(), "{:?}", cluster.ready());
     let key = cluster.key_of(3, 0);
@@ -50,11 +50,11 @@
     assert_eq!(other, BeginResult::NotRun(Reason::KeyMismatch));
 }
 
-/// A node is paused for longer than its lease, between the check of a call and the start of its
-/// run. Meanwhile it is evicted and another has started the same key. The customer would get two
-/// orders.
+/// A node is paused for longer than its lease between accepting a call and starting its run.
+/// Meanwhile it is evicted, and its successor starts the same key. A second start would give the
+/// customer a duplicate order.
 #[test]
-fn a_home_that_was_paused_past_its_lease_starts_nothing() {
+fn paused_home_with_expired_lease_starts_no_run() {
     let mut cluster = Cluster::new(6);
     let key = cluster.key_of(3, 0);
     let now = cluster.now;
@@ -65,31 +65,31 @@
     cluster.nodes[&3].paused = true;
     cluster.depart(3, Departure::Evicted);
     cluster.advance(ms(10_000));
-    let heir = bilberry_once::slot_owner(&cluster.members(), key.slot())
+    let new_home = bilberry_once::slot_owner(&cluster.members(), key.slot())
         .unwrap()
         .incarnation
         .0;
-    assert_eq!(cluster.call(heir, key, true), BeginResult::Start);
+    assert_eq!(cluster.call(new_home, key, true), BeginResult::Start);
     let now = cluster.now;
     assert_eq!(cluster.home(3).start(now, key), Err(Reason::NoLease));
 }
 
-/// A node is taken for dead but lives on, cut off from the log. Until its lease has run out it may
-/// start work, so the next home has to wait for that.
+/// A node is evicted as dead but is alive, without access to the log. It may start runs until its
+/// lease has expired, so the next home has to wait for that.
 #[test]
-fn an_evicted_home_that_lives_on_has_no_lease_before_its_successor_starts() {
+fn evicted_live_home_loses_lease_before_successor_starts() {
     let mut cluster = Cluster::new(6);
     let key = cluster.key_of(3, 0);
-    cluster.nodes[&3].sees_log = false;
+    cluster.nodes[&3].reads_log = false;
     cluster.depart(3, Departure::Evicted);
-    let heir = bilberry_once::slot_owner(&cluster.members(), key.slot())
+    let new_home = bilberry_once::slot_owner(&cluster.members(), key.slot())
         .unwrap()
         .incarnation
         .0;
     for _ in 0..80 {
         cluster.advance(ms(100));
         let now = cluster.now;
-        let slot_taken = cluster.call(heir, key, true) == BeginResult::Start;
+        let slot_taken = cluster.call(new_home, key, true) == BeginResult::Start;
         let lease = cluster.home(3).lease_left(now);
         assert!(!slot_taken || lease.is_zero(), "{lease:?}");
         if slot_taken {
@@ -99,13 +99,13 @@
     panic!("the successor never started");
 }
 
-/// A node goes by an old view, in which enough of its fellows are as old-fashioned. The newer view
-/// must be closed to it as well before a successor starts, or both hold a lease.
+/// A node uses an old view in which enough other members lag behind as well to form a quorum. Newer
+/// views must be fenced for it too before its successor starts, or both hold a lease.
 #[test]
-fn members_that_lag_behind_several_views_keep_successors_waiting() {
+fn successor_waits_for_members_lagging_several_views() {
     let mut cluster = Cluster::new(3);
     for lagging in [2, 3] {
-        cluster.nodes[&lagging].sees_log = false;
+        cluster.nodes[&lagging].reads_log = false;
     }
     cluster.join(4, 4);
     let key = cluster.key_of(3, 0);
@@ -113,19 +113,19 @@
     cluster.advance(ms(20_000));
     let now = cluster.now;
     assert!(!cluster.home(3).lease_left(now).is_zero());
-    let heir = bilberry_once::slot_owner(&cluster.members(), key.slot())
+    let new_home = bilberry_once::slot_owner(&cluster.members(), key.slot())
         .unwrap()
         .incarnation
         .0;
-    assert_ne!(cluster.call(heir, key, true), BeginResult::Start);
+    assert_ne!(cluster.call(new_home, key, true), BeginResult::Start);
 }
 
-/// A grant is under way for longer than the lease. Counted from when it came, it would keep a home
-/// going that its granters have long given up.
+/// Grants are delayed beyond the usable part of the lease. Counted from their arrival, they would keep
+/// alive a lease that the granters consider expired.
 #[test]
-fn a_late_grant_counts_from_when_it_was_asked_for() {
+fn delayed_grant_counts_from_request_time() {
     let mut cluster = Cluster::new(2);
-    cluster.fate = Box::new(|_, _, packet| match packet {
+    cluster.delays = Box::new(|_, _, packet| match packet {
         Packet::Lease(_, LeaseMessage::Grant { .. }) => vec![ms(2_900)],
         _ => vec![ms(1)],
     });
@@ -134,10 +134,10 @@
     assert!(cluster.home(1).lease_left(now).is_zero());
 }
 
-/// A node is killed and another starts at its address. A grant that was meant for the first reaches
-/// the second, whose rounds have the same numbers.
+/// A node is killed and another one starts at its address. A grant for the first one reaches the
+/// second, whose rounds have the same numbers.
 #[test]
-fn a_grant_to_a_predecessor_at_the_same_address_is_no_grant() {
+fn grant_to_previous_incarnation_at_same_address_is_ignored() {
     let mut cluster = Cluster::new(3);
     cluster.join(9, 3);
     let now = cluster.now;
@@ -153,7 +153,7 @@
     };
     let addr = ([127, 0, 0, 1], 1).into();
     let effects = cluster.home(9).tick(now);
-    cluster.fate = Box::new(|_, _, _| Vec::new());
+    cluster.delays = Box::new(|_, _, _| Vec::new());
     cluster.apply(9, effects);
     cluster.home(9).on_lease(now, addr, grant(1, 3));
     cluster.home(9).on_lease(now, addr, grant(2, 3));
@@ -163,10 +163,10 @@
     assert!(!cluster.home(9).lease_left(now).is_zero());
 }
 
-/// A node is killed and restarted at once, at the same address. It has forgotten what it ran, so a
-/// re-send must not be taken for new.
+/// A node is killed and restarted at once at the same address, without its records. A re-send must
+/// not be treated as a new call.
 #[test]
-fn a_restart_at_the_same_address_answers_unknown_for_the_retention() {
+fn restart_at_same_address_answers_unknown_until_retention_ends() {
     let mut cluster = Cluster::new(3);
     let keys: Vec<KeyHash> = (0..8).map(|nth| cluster.key_of(3, nth)).collect();
     for key in &keys {
@@ -193,10 +193,10 @@
     check(&mut cluster, &[(home(&key), key, BeginResult::Start)]);
 }
 
-/// The answer to a transfer is lost, and the transfer comes twice and out of order. The giver must
-/// not take the slot for its own again, and no record may be lost or doubled.
+/// Acknowledgements of a transfer are lost, and the transfer arrives twice and out of order. The
+/// sender must not treat the slot as its own again, and no record may be lost or duplicated.
 #[test]
-fn transfers_that_are_lost_doubled_and_reordered_move_each_record_once() {
+fn lost_duplicated_and_reordered_transfers_move_each_record_once() {
     let mut cluster = Cluster::new(4);
     cluster.cfg.max_part_bytes = 300;
     let keys: Vec<KeyHash> = (0..40).map(|nth| cluster.key_of(4, nth)).collect();
@@ -205,7 +205,7 @@
     }
     cluster.advance(ms(100));
     let mut sent = 0;
-    cluster.fate = Box::new(move |_, _, packet| {
+    cluster.delays = Box::new(move |_, _, packet| {
         sent += 1;
         match packet {
             Packet::TransferDone(..) if sent % 4 != 0 => Vec::new(),
@@ -234,47 +234,50 @@
     }
 }
 
-/// A planned leave while a run is in flight. A re-send goes to the new home, has to wait for the
-/// old one's answer and must not start a second run.
+/// A node leaves as planned while a run is in flight. A re-send goes to the new home, must wait for
+/// the outcome from the old one and must not start a second run.
 #[test]
-fn a_run_in_flight_when_its_slot_moves_is_attached_to_and_its_end_moves_too() {
+fn run_in_flight_during_move_is_attached_to_and_its_outcome_is_forwarded() {
     let mut cluster = Cluster::new(4);
-    cluster.run = ms(2_000);
+    cluster.run_time = ms(2_000);
     let key = cluster.key_of(4, 0);
     check(&mut cluster, &[(4, key, BeginResult::Start)]);
     cluster.leave(4);
-    let heir = bilberry_once::slot_owner(&cluster.members(), key.slot())
+    let new_home = bilberry_once::slot_owner(&cluster.members(), key.slot())
         .unwrap()
         .incarnation
         .0;
-    check(&mut cluster, &[(heir, key, BeginResult::Wait)]);
+    check(&mut cluster, &[(new_home, key, BeginResult::Wait)]);
     cluster.advance(ms(100));
     check(
         &mut cluster,
         &[
-            (heir, key, BeginResult::Attach),
+            (new_home, key, BeginResult::Attach),
             (4, key, BeginResult::Attach),
         ],
     );
     assert!(!cluster.home(4).is_handed_over());
     cluster.advance(ms(3_000));
     assert!(cluster
-        .node(heir)
-        .seen
+        .node(new_home)
+        .driver_effects
         .contains(&bilberry_once::Effect::RemoteRunEnded(key)));
-    check(&mut cluster, &[(heir, key, BeginResult::Done(response()))]);
+    check(
+        &mut cluster,
+        &[(new_home, key, BeginResult::Done(response()))],
+    );
     assert!(cluster.home(4).is_handed_over());
 }
 
-/// A slot moves on twice before its first transfer came. The node in the middle owns it in no view
-/// any more, and would keep the records for ever.
+/// A slot moves again before its first transfer has arrived. The intermediate node owns it in no
+/// current view, and would keep the records forever if it did not forward them.
 #[test]
-fn a_slot_that_moved_on_is_passed_on() {
+fn slot_that_moves_twice_is_forwarded() {
     let mut cluster = Cluster::new(3);
     let key = cluster.key_of(3, 0);
     check(&mut cluster, &[(3, key, BeginResult::Start)]);
     cluster.advance(ms(100));
-    cluster.nodes[&3].sees_log = false;
+    cluster.nodes[&3].reads_log = false;
     let mut joined = 4;
     while bilberry_once::slot_owner(&cluster.members(), key.slot())
         .unwrap()
@@ -291,20 +294,24 @@
         .0;
     cluster.leave(middle);
     assert!(!cluster.home(middle).is_handed_over());
-    cluster.nodes[&3].sees_log = true;
+    cluster.nodes[&3].reads_log = true;
     cluster.read_log();
     cluster.advance(ms(2_000));
-    let heir = bilberry_once::slot_owner(&cluster.members(), key.slot())
+    let new_home = bilberry_once::slot_owner(&cluster.members(), key.slot())
         .unwrap()
         .incarnation
         .0;
-    check(&mut cluster, &[(heir, key, BeginResult::Done(response()))]);
+    check(
+        &mut cluster,
+        &[(new_home, key, BeginResult::Done(response()))],
+    );
     assert!(cluster.home(middle).is_handed_over());
 }
 
-/// The log is down for an hour while all instances are up. Orders must go on.
+/// The log is unavailable for an hour while all instances are up. Runs must still start. After two
+/// hours without the log they must not.
 #[test]
-fn leases_go_on_through_an_hour_without_the_log_but_not_for_ever() {
+fn leases_survive_one_hour_without_the_log_but_not_two() {
     let mut cluster = Cluster::new(6);
     cluster.read_log();
     let key = cluster.key_of(3, 0);
@@ -315,11 +322,11 @@
     check(&mut cluster, &[(3, key, NO_LEASE)]);
 }
 
-/// Two of three members crash at once. Nobody is left who could say that they hold no lease, and
-/// the third would wait for ever. It waits a hundredth longer than the two could go on without the
-/// log, because their clocks may run that much slower than its own.
+/// Two of three members crash at once. No quorum is left that could confirm that they hold no
+/// lease, so the third one would wait forever. It waits 1% longer than the two could continue
+/// without the log, because their clocks may be that much slower than its own.
 #[test]
-fn a_view_whose_quorum_is_gone_is_fenced_by_silence() {
+fn view_without_quorum_is_fenced_after_max_log_staleness() {
     let mut cluster = Cluster::new(3);
     let key = cluster.key_of(1, 0);
     for dead in [1, 2] {
@@ -342,11 +349,11 @@
     }
 }
 
-/// Regions lose each other, and each holds half of a service. One of them must go on, never both.
+/// Two groups of regions lose contact, and each has half of a service. Exactly one half must go on.
 #[test]
-fn an_even_split_leaves_one_side_with_leases() {
+fn even_split_leaves_leases_on_one_side_only() {
     let mut cluster = Cluster::new(6);
-    cluster.fate = Box::new(|from, to, _| match (from <= 3) == (to <= 3) {
+    cluster.delays = Box::new(|from, to, _| match (from <= 3) == (to <= 3) {
         true => vec![ms(1)],
         false => Vec::new(),
     });
@@ -358,32 +365,35 @@
     assert_eq!(leased, [1, 2, 3]);
 }
 
-/// A node is evicted by mistake, sees it, and has everything still. Its records must reach the new
-/// homes, and then it has to come back as another incarnation.
+/// A live node is evicted by mistake and reads of it. Its records must reach the new homes, and
+/// then it must be told to restart as a new incarnation.
 #[test]
-fn an_evicted_node_hands_over_and_is_told_to_start_anew() {
+fn evicted_node_hands_over_records_and_is_expelled() {
     let mut cluster = Cluster::new(6);
     let key = cluster.key_of(3, 0);
     check(&mut cluster, &[(3, key, BeginResult::Start)]);
     cluster.advance(ms(100));
     cluster.depart(3, Departure::Evicted);
     cluster.advance(ms(1_000));
-    let heir = bilberry_once::slot_owner(&cluster.members(), key.slot())
+    let new_home = bilberry_once::slot_owner(&cluster.members(), key.slot())
         .unwrap()
         .incarnation
         .0;
-    check(&mut cluster, &[(heir, key, BeginResult::Done(response()))]);
+    check(
+        &mut cluster,
+        &[(new_home, key, BeginResult::Done(response()))],
+    );
     assert!(cluster
         .node(3)
-        .seen
+        .driver_effects
         .contains(&bilberry_once::Effect::Expelled));
 }
 
-/// A node is started while it reaches the store but none of the others, and they evict it. It holds
-/// nothing and waits for nothing that comes, so nothing wakes it; left running it would be in no view
-/// for good, and its part of the service would be missing until an operator noticed.
+/// A node starts that reaches the store but no other node, and the others evict it. It holds no
+/// slot and expects no message, so only a timer can wake it up. Left running, it would never be in
+/// a view again, and the service would be short of one instance until an operator noticed.
 #[test]
-fn an_evicted_node_that_never_got_anything_ends() {
+fn evicted_node_that_never_received_a_slot_is_expelled() {
     let cluster = Cluster::new(6);
     let newcomer = common::instance(9, cluster.node(3).instance.addr.port());
     let mut members = cluster.members();
@@ -410,9 +420,10 @@
     assert!(seen.contains(&bilberry_once::Effect::Expelled));
 }
 
-/// A response larger than the table, and more keys than it has room for. Live records must stay.
+/// A response is larger than the table, and there are more keys than fit. Retained records must
+/// stay.
 #[test]
-fn a_full_table_refuses_new_keys_and_keeps_the_old() {
+fn full_table_refuses_new_keys_and_keeps_existing_records() {
     let mut cluster = Cluster::new(1);
     let kept = cluster.key_of(1, 0);
     check(&mut cluster, &[(1, kept, BeginResult::Start)]);
--- a/crates/once/tests/random.rs
+++ b/crates/once/tests/random.rs
@@ -1,4 +1,4 @@
-//! Homes under random calls, pauses, kills, evictions and losses: no key is ever started twice.
+//! Random calls, pauses, kills, evictions and packet losses: no key is ever started twice.
 
 mod common;
 
@@ -8,33 +8,33 @@
 use proptest::prelude::*;
 use proto::KeyHash;
 
-/// One thing that happens. Numbers choose among the members there are.
+/// A random event. The numbers select one of the current members.
 #[derive(Debug, Clone)]
 enum Event {
-    /// A call with a key reaches all nodes, wherever their callers think its home is.
+    /// A call with a key is made at all nodes, as if each caller assumed a different home.
     Call(u8),
     /// Time passes, in milliseconds.
-    Pass(u16),
-    /// A node is frozen, or goes on.
-    Pause(u8),
-    /// A node stops reading the log, or reads on.
-    Blind(u8),
-    /// A node is killed, and evicted perhaps.
+    Advance(u16),
+    /// A node is paused or resumed.
+    TogglePause(u8),
+    /// A node loses or regains access to the log.
+    ToggleLogAccess(u8),
+    /// A node is killed, and also evicted if the flag is set.
     Kill(u8, bool),
-    /// A node is evicted while it lives.
+    /// A live node is evicted.
     Evict(u8),
     /// A node leaves as planned.
     Leave(u8),
-    /// A new node joins, at an address of its own or at that of a member, which is killed.
+    /// A new node joins, at a new address or at that of a member, which is killed.
     Join(Option<u8>),
 }
 
 fn event() -> impl Strategy<Value = Event> {
     prop_oneof![
         6 => (0..12_u8).prop_map(Event::Call),
-        4 => (1..6_000_u16).prop_map(Event::Pass),
-        2 => any::<u8>().prop_map(Event::Pause),
-        2 => any::<u8>().prop_map(Event::Blind),
+        4 => (1..6_000_u16).prop_map(Event::Advance),
+        2 => any::<u8>().prop_map(Event::TogglePause),
+        2 => any::<u8>().prop_map(Event::ToggleLogAccess),
         1 => any::<(u8, bool)>().prop_map(|(n, evict)| Event::Kill(n, evict)),
         1 => any::<u8>().prop_map(Event::Evict),
         1 => any::<u8>().prop_map(Event::Leave),
@@ -48,28 +48,33 @@
     Some(member.incarnation.0)
 }
 
-fn apply(cluster: &mut Cluster, joined: &mut u64, event: Event) {
+fn apply(cluster: &mut Cluster, last_number: &mut u64, event: Event) {
     match event {
         Event::Call(n) => {
             let key = KeyHash(u128::from(n) * 1_000_003);
-            let fresh = !cluster.starts.contains_key(&key);
+            let is_new_key = !cluster.starts.contains_key(&key);
             let numbers: Vec<u64> = cluster.nodes.keys().copied().collect();
             for number in numbers {
                 if !cluster.node(number).paused {
-                    // Only the very first attempt is new; a caller cannot know that it ran.
-                    cluster.call(number, key, fresh && !cluster.starts.contains_key(&key));
+                    // Only the very first attempt is marked as such; a caller cannot know whether
+                    // an attempt ran.
+                    cluster.call(
+                        number,
+                        key,
+                        is_new_key && !cluster.starts.contains_key(&key),
+                    );
                 }
             }
         }
-        Event::Pass(time) => cluster.advance(ms(u64::from(time))),
-        Event::Pause(n) => {
+        Event::Advance(time) => cluster.advance(ms(u64::from(time))),
+        Event::TogglePause(n) => {
             if let Some(node) = member(cluster, n).and_then(|n| cluster.nodes.get_mut(&n)) {
                 node.paused = !node.paused;
             }
         }
-        Event::Blind(n) => {
+        Event::ToggleLogAccess(n) => {
             if let Some(node) = member(cluster, n).and_then(|n| cluster.nodes.get_mut(&n)) {
-                node.sees_log = !node.sees_log;
+                node.reads_log = !node.reads_log;
             }
             cluster.read_log();
         }
@@ -92,23 +97,23 @@
             }
         }
         Event::Join(at) => {
-            *joined += 1;
+            *last_number += 1;
             let replaced = at.and_then(|n| member(cluster, n));
             let port = replaced.and_then(|number| cluster.nodes.get(&number));
-            let port = port.map_or(*joined as u16, |node| node.instance.addr.port());
+            let port = port.map_or(*last_number as u16, |node| node.instance.addr.port());
             if let Some(number) = replaced {
                 cluster.crash(number);
             }
-            cluster.join(*joined, port);
+            cluster.join(*last_number, port);
         }
     }
 }
 
-/// Runs the events on a network that loses, doubles and delays by `seed`.
+/// Applies the events on a network that loses, duplicates and delays packets by `seed`.
 fn check(seed: u64, events: Vec<Event>) {
     let mut cluster = Cluster::new(4);
     let mut state = seed;
-    cluster.fate = Box::new(move |_, _, _| {
+    cluster.delays = Box::new(move |_, _, _| {
         state = proto::hash64(&state);
         match state % 10 {
             0 => Vec::new(),
@@ -117,9 +122,9 @@
             _ => vec![ms(1 + state / 16 % 20)],
         }
     });
-    let mut joined = 100;
+    let mut last_number = 100;
     for event in events {
-        apply(&mut cluster, &mut joined, event);
+        apply(&mut cluster, &mut last_number, event);
         if let Some((key, starts)) = cluster.starts.iter().find(|(_, starts)| **starts > 1) {
             panic!("{key:?} was started {starts} times");
         }
@@ -134,10 +139,10 @@
         ..ProptestConfig::default()
     })]
 
-    /// Nodes are killed, frozen, evicted and replaced while datagrams and transfers are lost, late
-    /// and doubled. Whatever the order, a customer must not get two of one order.
+    /// Nodes are killed, paused, evicted and replaced while datagrams and transfers are lost,
+    /// delayed and duplicated. In no order of events may a customer get a duplicate order.
     #[test]
-    fn no_key_is_started_twice(seed: u64, events in proptest::collection::vec(event(), 1..40)) {
+    fn each_key_is_started_at_most_once(seed: u64, events in proptest::collection::vec(event(), 1..40)) {
         check(seed, events);
     }
 }
