--- a/crates/membership/src/config.rs
+++ b/crates/membership/src/config.rs
@@ -1,40 +1,42 @@
-//! Times and bounds.
+//! Intervals and limits of a [`Membership`](crate::Membership).
 
 use std::time::Duration;
 
-/// Times and bounds; filled once and passed down.
+/// Intervals and limits of a [`Membership`](crate::Membership).
 #[derive(Debug, Clone)]
 pub struct Config {
-    /// The time between two probes of this node.
+    /// Time between two probes by this node.
     pub probe_interval: Duration,
-    /// How long an ack may take before others are asked to probe. They have the rest of the probe
-    /// interval.
+    /// How long an ack may take before other nodes are asked to probe the peer. They have the rest
+    /// of the probe interval.
     pub ack_timeout: Duration,
-    /// How long a suspect has to refute before it counts as dead.
+    /// How long a suspect may refute before it is considered dead.
     pub suspicion_timeout: Duration,
-    /// How many others are asked to probe a peer that did not ack.
+    /// Number of nodes that are asked to probe a peer that did not ack.
     pub indirect_probes: usize,
-    /// One in so many probes and pieces of gossip goes to another region, where bytes are billed.
+    /// One in this many probes and gossip messages goes to another region, because traffic between
+    /// regions is billed.
     pub cross_region_every: u32,
-    /// The time between two rounds of gossip while there is news.
+    /// Time between two rounds of gossip while there are updates to send.
     pub gossip_interval: Duration,
-    /// To how many peers a round of gossip goes.
+    /// Number of peers that a round of gossip is sent to.
     pub gossip_fanout: usize,
-    /// Each piece of news is sent so many times the binary logarithm of the fleet's size.
+    /// Each update is sent this many times the binary logarithm of the fleet size.
     pub retransmit_mult: u32,
-    /// The time between two comparisons of whole tables by this node.
+    /// Time between two comparisons of the whole table by this node.
     pub sync_interval: Duration,
-    /// How long a peer that the log lists may be dead before it is evicted.
+    /// How long a listed peer may be dead before it is evicted.
     pub evict_after: Duration,
-    /// How much later the next member evicts, if the one before has not.
+    /// Additional delay for each further member, in case the one before has not evicted the peer.
     pub evict_stagger: Duration,
-    /// The most evictions by this node within a minute.
+    /// Maximum number of evictions that this node requests per minute.
     pub evictions_per_minute: usize,
-    /// How long a dead peer that the log does not list is remembered.
+    /// How long a dead peer that is not listed is remembered.
     pub forget_after: Duration,
-    /// The most peers in the table; the log's roster goes beyond it, rumours do not.
+    /// Maximum number of peers in the table. Peers on the log's roster are added beyond it, peers
+    /// known only from updates are not.
     pub max_peers: usize,
-    /// Seed for the choice of whom to probe.
+    /// Seed of the random choice of peers.
     pub seed: u64,
 }
 
--- a/crates/membership/src/digest.rs
+++ b/crates/membership/src/digest.rs
@@ -1,12 +1,13 @@
-//! Digests of the table, by which two nodes find out cheaply that they differ, and where.
+//! Digests of the peer table, which let two nodes detect cheaply that their tables differ, and
+//! where.
 //!
-//! Rumours are sent a limited number of times, so a node that was cut off, or that joined on the
-//! other side of a cut, would never be heard of again. Every probe carries a digest; nodes that
-//! differ exchange only the buckets that do.
+//! Updates are sent a limited number of times, so without digests a node that was partitioned, or
+//! that joined on the other side of a partition, would never become known. Every probe carries a
+//! digest, and nodes whose digests differ exchange only the buckets that differ.
 
 use crate::members::Membership;
-use crate::rumours::Packet;
-use crate::table::Entry;
+use crate::peer::PeerEntry;
+use crate::update_queue::UpdateBatch;
 use crate::Effect;
 use proto::hash64;
 use proto::Incarnation;
@@ -16,13 +17,13 @@
 use std::net::SocketAddr;
 use stdx::Time;
 
-/// At 700 nodes a bucket fills about one datagram.
+/// With 700 nodes, a bucket fills about one datagram.
 const BUCKETS: usize = 32;
 
-/// The most datagrams that answer one pull.
-const MAX_NEWS: usize = 8;
+/// Maximum number of datagrams in response to one pull.
+const MAX_PULL_REPLIES: usize = 8;
 
-/// Digests of the buckets; rebuilt when the table has changed.
+/// Digests of the buckets, recomputed after the table has changed.
 #[derive(Debug, Default)]
 pub(crate) struct Digests {
     buckets: Option<[u32; BUCKETS]>,
@@ -36,7 +37,7 @@
 }
 
 impl Membership {
-    /// The digest that goes on every probe.
+    /// The digest that is sent with every probe.
     pub(crate) fn digest(&mut self) -> u64 {
         hash64(&self.buckets())
     }
@@ -51,9 +52,10 @@
             buckets[bucket(incarnation)] ^= hash64(&(incarnation, leaving)) as u32;
         };
         add(self.me.incarnation, self.my_state());
-        // The dead are forgotten at different times and stay out; so do suspicions, which pass.
+        // Dead peers are left out because nodes forget them at different times, and suspicions
+        // because they are temporary.
         for (incarnation, entry) in &self.peers {
-            if !entry.gone && !entry.is_dead() {
+            if !entry.retired && !entry.is_dead() {
                 add(*incarnation, entry.peer.state);
             }
         }
@@ -61,8 +63,8 @@
         buckets
     }
 
-    /// Asks for the difference, not more often than is due.
-    pub(crate) fn compare(&mut self, now: Time, with: SocketAddr, digest: u64) {
+    /// Asks for the differing buckets if a pull is due.
+    pub(crate) fn pull_if_different(&mut self, now: Time, with: SocketAddr, digest: u64) {
         if now < self.digests.next_pull || digest == self.digest() {
             return;
         }
@@ -77,31 +79,34 @@
             let bucket = bucket(incarnation);
             digests.get(bucket) != Some(&mine[bucket])
         };
-        let about_me = Some(self.my_rumour()).filter(|_| differs(self.me.incarnation));
+        let own_update = Some(self.my_update()).filter(|_| differs(self.me.incarnation));
         let peers = self.peers.iter().filter(|(id, _)| differs(**id));
-        let mut rumours: Vec<Rumour> = peers.map(|(_, entry)| Entry::rumour(entry)).collect();
-        // Whole buckets first, so that a pull that is cut short by the bound still makes some equal.
-        rumours.sort_by_key(|rumour| bucket(rumour.instance.incarnation));
-        let mut packets = vec![Packet::default()];
-        for rumour in about_me.into_iter().chain(rumours) {
-            let last = packets.len() - 1;
-            if !packets[last].add(rumour.clone()) {
-                if packets.len() == MAX_NEWS {
+        let mut updates: Vec<Rumour> = peers
+            .map(|(_, entry)| PeerEntry::to_update(entry))
+            .collect();
+        // Sorted by bucket, so that even a pull truncated by the limit makes some buckets equal.
+        updates.sort_by_key(|update| bucket(update.instance.incarnation));
+        let mut batches = vec![UpdateBatch::default()];
+        for update in own_update.into_iter().chain(updates) {
+            let last = batches.len() - 1;
+            if !batches[last].add(update.clone()) {
+                if batches.len() == MAX_PULL_REPLIES {
                     break;
                 }
-                packets.push(Packet::default());
-                packets[last + 1].add(rumour);
+                batches.push(UpdateBatch::default());
+                batches[last + 1].add(update);
             }
         }
-        for Packet { rumours, .. } in packets {
-            self.send(from, MemberMessage::News { rumours });
+        for UpdateBatch { updates, .. } in batches {
+            self.send(from, MemberMessage::News { rumours: updates });
         }
     }
 
-    /// Takes what a pull brought. There may be more: the next difference is asked for soon.
-    pub(crate) fn on_news(&mut self, now: Time, rumours: &[Rumour]) {
+    /// Applies the response to a pull. If it contained news, there may be more, so the next pull is
+    /// allowed soon.
+    pub(crate) fn on_pull_reply(&mut self, now: Time, updates: &[Rumour]) {
         let before = self.effects.len();
-        self.hear_all(now, rumours);
+        self.apply_updates(now, updates);
         let learned = self.effects[before..]
             .iter()
             .any(|effect| matches!(effect, Effect::PeerChanged { .. }));
--- /dev/null
+++ b/crates/membership/src/domain.rs
@@ -0,0 +1,74 @@
+//! Selects the nodes that read the store on behalf of their failure domain.
+//!
+//! Each call to the store is billed. If every node read it, a new configuration would cost one call
+//! per machine of the fleet. If a few nodes of each failure domain read it and tell the others, it
+//! costs one call for each of those. A domain that is partitioned from the others but not from the
+//! store still has readers of its own.
+
+use crate::Membership;
+use crate::Peer;
+use proto::Instance;
+use proto::PeerState;
+use std::time::Duration;
+use stdx::Time;
+
+/// Nodes of a failure domain that read the store. With only one, its loss would leave the domain
+/// dependent on other domains until the loss is detected.
+const STORE_READERS_PER_DOMAIN: usize = 2;
+
+/// A node that has received no message from another node for this long reads the store itself,
+/// because it may be partitioned from the others but not from the store. Each node probes one other
+/// node per second, and is probed about as often.
+const ISOLATED_AFTER: Duration = Duration::from_millis(1500);
+
+/// A node that has just started knows few others yet. If it decided by those, nearly all nodes of a
+/// fleet that starts at once would read the store.
+const STARTUP_GRACE: Duration = Duration::from_secs(2);
+
+impl Membership {
+    /// Whether this node reads the store, as far as it knows. Nodes that know different peers may
+    /// decide differently; until they agree, more or fewer nodes read the store.
+    pub fn is_store_reader(&self, now: Time) -> bool {
+        let started = self.started_at.unwrap_or(now);
+        if now.since(started) < STARTUP_GRACE {
+            return false;
+        }
+        let isolated = self
+            .last_message_at
+            .is_none_or(|at| now.since(at) >= ISOLATED_AFTER);
+        isolated || (!self.leaving && self.lower_live_in_domain() < STORE_READERS_PER_DOMAIN)
+    }
+
+    /// Whether this node queries the store on behalf of its failure domain. One node per domain
+    /// does, so that the number of queries grows with the number of failure domains rather than
+    /// nodes.
+    pub fn is_domain_leader(&self, now: Time) -> bool {
+        let is_settled = self
+            .started_at
+            .is_some_and(|started| now.since(started) >= STARTUP_GRACE);
+        is_settled && !self.leaving && self.lower_live_in_domain() == 0
+    }
+
+    /// The `nth` live peer of this node's failure domain, ordered by incarnation.
+    pub fn domain_leader_candidate(&self, nth: usize) -> Option<&Instance> {
+        let mut peers: Vec<&Instance> = self
+            .peers()
+            .filter(|peer| self.is_live_in_own_domain(peer))
+            .map(|peer| &peer.instance)
+            .collect();
+        peers.sort_unstable_by_key(|peer| peer.incarnation);
+        peers.get(nth).copied()
+    }
+
+    fn is_live_in_own_domain(&self, peer: &Peer) -> bool {
+        peer.state == PeerState::Alive && peer.instance.failure_domain == self.me.failure_domain
+    }
+
+    /// Number of live peers of this node's failure domain that have a lower incarnation.
+    fn lower_live_in_domain(&self) -> usize {
+        let peers = self.peers().filter(|peer| {
+            self.is_live_in_own_domain(peer) && peer.instance.incarnation < self.me.incarnation
+        });
+        peers.count()
+    }
+}
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,26 +1,26 @@
-//! Which instances are there, as far as this one can tell: soft state, by SWIM-style probes.
+//! Tracks which instances are alive, as soft state, with SWIM-style failure detection.
 //!
-//! Each node probes one peer a period, directly and then through others, spreads what it learns on
-//! the messages that it sends anyway, and compares digests so that news that was lost is caught up
-//! with (Das, Gupta and Motivala, "SWIM", DSN 2002). docs/MEMBERSHIP.md has the reasons.
+//! Each node probes one peer per period, directly and then through others, piggybacks state changes
+//! on the messages that it sends anyway, and compares digests so that lost updates are recovered
+//! (Das, Gupta and Motivala, "SWIM", DSN 2002). See docs/MEMBERSHIP.md for the reasons.
 //!
-//! This package does no I/O and reads no clock. It knows nothing about calls, keys or the log; the
-//! log's views reach it as a roster.
+//! This crate does no I/O and reads no clock. It knows nothing about calls, keys or the log; the
+//! views in the log are passed to it as a roster.
 
+mod apply_updates;
 mod config;
 mod digest;
+mod domain;
 mod evict;
-mod hear;
 mod members;
+mod peer;
 mod pick;
 mod probe;
 mod roster;
-mod rumours;
 mod suspects;
-mod table;
-mod watch;
+mod update_queue;
 
 pub use config::Config;
 pub use members::Effect;
 pub use members::Membership;
-pub use table::Peer;
+pub use peer::Peer;
--- a/crates/membership/src/members.rs
+++ b/crates/membership/src/members.rs
@@ -1,10 +1,10 @@
-//! The table of peers, and what others ask of it.
+//! The peer table and its public interface.
 
 use crate::digest::Digests;
 use crate::evict::Evictions;
+use crate::peer::PeerEntry;
 use crate::probe::Probes;
-use crate::rumours::RumourQueue;
-use crate::table::Entry;
+use crate::update_queue::UpdateQueue;
 use crate::Config;
 use crate::Peer;
 use indexmap::IndexMap;
@@ -23,91 +23,94 @@
 use stdx::Bounded;
 use stdx::Time;
 
-/// Incarnations that never come back, remembered beyond their entries, because old rumours about
-/// them may still be under way.
-const MAX_BURIED: usize = 4096;
+/// Maximum number of tombstones of incarnations that will not come back. They are kept longer than
+/// the entries, because old updates about these incarnations may still be in flight.
+const MAX_TOMBSTONES: usize = 4096;
 
-/// A peer that was heard within this time is told directly when this node leaves.
-const IN_TOUCH: Duration = Duration::from_secs(30);
+/// A peer that was heard within this time is notified directly when this node leaves.
+const DIRECT_NOTIFY_WINDOW: Duration = Duration::from_secs(30);
 
-/// The most peers that are told directly; the others hear it by gossip.
-const MAX_TOLD: usize = 64;
+/// Maximum number of peers that are notified directly; the others learn it by gossip.
+const MAX_DIRECT_NOTIFICATIONS: usize = 64;
 
-/// The most addresses that are kept as hints.
+/// Maximum number of contact addresses.
 const MAX_CONTACTS: usize = 1024;
 
-/// The most addresses that are asked at once. They answer with digests of what they know, so a few
-/// that are alive are enough to hear of everybody.
-const MAX_MET: usize = 32;
+/// Maximum number of contacts that are pinged at once. They answer with digests of what they know,
+/// so a few live ones are enough to discover all peers.
+const MAX_CONTACT_PINGS: usize = 32;
 
-/// For how long after a start the addresses count at which nobody has been heard of. Some are out of date.
-const UNSEEN_COUNT: Duration = Duration::from_secs(60);
+/// How long after the start contacts count as nodes although no node was heard of there. Some
+/// contact addresses are out of date.
+const UNSEEN_CONTACT_WINDOW: Duration = Duration::from_secs(60);
 
-/// What the driver has to do.
+/// An action for the driver to perform.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Effect {
     /// Send a datagram.
     Send {
-        /// Where to.
+        /// Address of the receiver.
         to: SocketAddr,
-        /// What.
+        /// The message.
         message: MemberMessage,
     },
-    /// A peer's state is not what it was.
+    /// The state of a peer changed, or whether it accepts work.
     PeerChanged {
-        /// Whose.
+        /// The peer.
         incarnation: Incarnation,
-        /// The new one.
+        /// Its current state.
         state: PeerState,
     },
-    /// Ask the log to take out a peer.
+    /// Ask the log to remove a peer.
     Evict(Incarnation),
-    /// The table is full: a peer that only rumours tell of was left out.
+    /// The table is full: a peer known only from updates was left out.
     TableFull,
 }
 
-/// The table of peers, and the probes that keep it.
+/// The peer table and the probes that maintain it.
 #[derive(Debug)]
 pub struct Membership {
     pub(crate) cfg: Config,
     pub(crate) me: Instance,
     pub(crate) rng: StdRng,
-    pub(crate) peers: IndexMap<Incarnation, Entry>,
-    /// Who was last known to be at an address.
-    pub(crate) occupants: IndexMap<SocketAddr, Incarnation>,
+    pub(crate) peers: IndexMap<Incarnation, PeerEntry>,
+    /// The incarnation last known to be at each address.
+    pub(crate) incarnation_by_addr: IndexMap<SocketAddr, Incarnation>,
     pub(crate) contacts: Vec<SocketAddr>,
     pub(crate) load: LoadReport,
     pub(crate) probes: Probes,
     pub(crate) digests: Digests,
     pub(crate) evictions: Evictions,
-    /// The log's views name this node.
+    /// Whether the views in the log contain this node.
     pub(crate) listed: bool,
     pub(crate) leaving: bool,
-    /// The own backend server takes new work.
-    open: bool,
+    /// Whether this node's backend server accepts new work.
+    accepts_work: bool,
     pub(crate) effects: Vec<Effect>,
-    pub(crate) beat: u32,
-    /// When this node first looked at the time.
-    pub(crate) started: Option<Time>,
-    /// When another node was last heard.
-    pub(crate) heard_at: Option<Time>,
-    rumours: RumourQueue,
-    gossip_at: Time,
-    /// When suspects count as dead.
+    pub(crate) revision: u32,
+    /// Time of the first tick.
+    pub(crate) started_at: Option<Time>,
+    /// When the last message from another node arrived.
+    pub(crate) last_message_at: Option<Time>,
+    update_queue: UpdateQueue,
+    next_gossip_at: Time,
+    /// Suspects, by the time at which they are considered dead.
     pub(crate) suspects: BTreeSet<(Time, Incarnation)>,
-    /// `true` while it holds; the log may list one again.
-    pub(crate) buried: Bounded<Incarnation, bool>,
+    /// `true` while the tombstone is in force; `false` after the log has listed the incarnation
+    /// again.
+    pub(crate) tombstones: Bounded<Incarnation, bool>,
 }
 
 impl Membership {
-    /// A table that knows only this instance, and contact addresses that are hints.
+    /// Creates a table that contains only this instance. `contacts` are addresses at which other
+    /// nodes may be found.
     pub fn new(cfg: Config, me: Instance, contacts: Vec<SocketAddr>) -> Self {
         Self {
             rng: StdRng::seed_from_u64(cfg.seed),
             cfg,
             me,
             peers: IndexMap::new(),
-            occupants: IndexMap::new(),
+            incarnation_by_addr: IndexMap::new(),
             contacts,
             load: LoadReport::default(),
             probes: Probes::new(),
@@ -115,15 +118,15 @@
             evictions: Evictions::default(),
             listed: false,
             leaving: false,
-            open: true,
+            accepts_work: true,
             effects: Vec::new(),
-            beat: 0,
-            started: None,
-            heard_at: None,
-            rumours: RumourQueue::default(),
-            gossip_at: Time::ZERO,
+            revision: 0,
+            started_at: None,
+            last_message_at: None,
+            update_queue: UpdateQueue::default(),
+            next_gossip_at: Time::ZERO,
             suspects: BTreeSet::new(),
-            buried: Bounded::new(MAX_BURIED),
+            tombstones: Bounded::new(MAX_TOMBSTONES),
         }
     }
 
@@ -135,7 +138,7 @@
         message: MemberMessage,
     ) -> Vec<Effect> {
         if from != self.me.addr {
-            self.heard_at = Some(now);
+            self.last_message_at = Some(now);
         }
         match message {
             MemberMessage::Ping {
@@ -145,10 +148,10 @@
                 load,
                 rumours,
             } => {
-                self.hear_sender(now, &sender, load);
-                self.hear_all(now, &rumours);
+                self.apply_sender(now, &sender, load);
+                self.apply_updates(now, &rumours);
                 self.on_ping(from, &sender, seq);
-                self.compare(now, from, digest);
+                self.pull_if_different(now, from, digest);
             }
             MemberMessage::Ack {
                 from: sender,
@@ -158,35 +161,35 @@
                 rumours,
             } => {
                 self.on_ack(now, &sender, seq, digest, load);
-                self.hear_sender(now, &sender, load);
-                self.hear_all(now, &rumours);
-                self.compare(now, sender.instance.addr, digest);
+                self.apply_sender(now, &sender, load);
+                self.apply_updates(now, &rumours);
+                self.pull_if_different(now, sender.instance.addr, digest);
             }
             MemberMessage::PingReq { seq, target } => self.on_ping_req(from, seq, target),
-            MemberMessage::Gossip { rumours } => self.hear_all(now, &rumours),
+            MemberMessage::Gossip { rumours } => self.apply_updates(now, &rumours),
             MemberMessage::Pull { digests } => self.on_pull(from, &digests),
-            MemberMessage::News { rumours } => self.on_news(now, &rumours),
+            MemberMessage::News { rumours } => self.on_pull_reply(now, &rumours),
         }
         std::mem::take(&mut self.effects)
     }
 
-    /// Does what is due. Call when [`Membership::next_timer`] has come.
+    /// Performs all due actions. Must be called when [`Membership::next_timer`] has passed.
     pub fn tick(&mut self, now: Time) -> Vec<Effect> {
-        self.started.get_or_insert(now);
+        self.started_at.get_or_insert(now);
         if self.next_timer().is_some_and(|at| now < at) {
             return Vec::new();
         }
-        self.excuse_pause(now);
+        self.restart_timers_after_pause(now);
         self.tick_probes(now);
-        self.tick_evictions(now);
-        self.tick_suspects(now);
+        self.finish_eviction_check(now);
+        self.expire_suspicions(now);
         self.tick_gossip(now);
         std::mem::take(&mut self.effects)
     }
 
     /// When [`Membership::tick`] is due.
     pub fn next_timer(&self) -> Option<Time> {
-        let gossip = Some(self.gossip_at).filter(|_| !self.rumours.is_empty());
+        let gossip = Some(self.next_gossip_at).filter(|_| !self.update_queue.is_empty());
         let suspect = self.suspects.first().map(|(at, _)| *at);
         [
             Some(self.probes.next_timer()),
@@ -199,103 +202,110 @@
         .min()
     }
 
-    /// Tells the others that this instance is leaving: those that it is in touch with at once, the
-    /// rest by gossip.
+    /// Announces that this instance is leaving: directly to recently heard peers, to the others by
+    /// gossip.
     pub fn leave(&mut self, now: Time) -> Vec<Effect> {
         if !self.leaving {
             self.leaving = true;
             self.load.draining = true;
-            self.raise_beat(self.beat);
-            let recent = |entry: &&Entry| {
-                let heard = entry.heard.is_some_and(|at| now.since(at) < IN_TOUCH);
-                heard && !entry.is_dead()
+            self.bump_revision(self.revision);
+            let is_recent = |entry: &&PeerEntry| {
+                let heard_recently = entry
+                    .last_heard
+                    .is_some_and(|at| now.since(at) < DIRECT_NOTIFY_WINDOW);
+                heard_recently && !entry.is_dead()
             };
-            let told = self.peers.values().filter(recent).take(MAX_TOLD);
-            let told: Vec<SocketAddr> = told.map(|entry| entry.peer.instance.addr).collect();
-            for to in told {
-                let rumours = vec![self.my_rumour()];
+            let recipients = self
+                .peers
+                .values()
+                .filter(is_recent)
+                .take(MAX_DIRECT_NOTIFICATIONS);
+            let recipients: Vec<SocketAddr> =
+                recipients.map(|entry| entry.peer.instance.addr).collect();
+            for to in recipients {
+                let rumours = vec![self.my_update()];
                 self.send(to, MemberMessage::Gossip { rumours });
             }
         }
         std::mem::take(&mut self.effects)
     }
 
-    /// Says to all others whether the own backend server takes new work. It goes by gossip, which
-    /// reaches a large fleet in a few rounds; a load report would reach most nodes only with the
-    /// next probe between the two.
-    /// Gives whether that is news.
-    pub fn set_accepting_work(&mut self, open: bool) -> bool {
-        let news = self.open != open;
-        if news {
-            self.open = open;
-            self.raise_beat(self.beat);
+    /// Announces by gossip whether this node's backend server accepts new work. Gossip reaches a
+    /// large fleet in a few rounds, while a load report would reach most nodes only with the next
+    /// probe between the two. Returns whether the value changed.
+    pub fn set_accepting_work(&mut self, accepts_work: bool) -> bool {
+        let changed = self.accepts_work != accepts_work;
+        if changed {
+            self.accepts_work = accepts_work;
+            self.bump_revision(self.revision);
         }
-        news
+        changed
     }
 
-    /// Asks the nodes at these addresses who they are, and keeps the addresses as hints. Some may
-    /// be gone; who answers tells of the rest.
+    /// Pings the nodes at these addresses and keeps the addresses as contacts. Some may be gone;
+    /// those that answer tell of the other nodes.
     pub fn add_contacts(&mut self, addrs: &[SocketAddr]) -> Vec<Effect> {
-        let strangers = addrs.iter().filter(|addr| **addr != self.me.addr);
-        let mut strangers: Vec<SocketAddr> = strangers.copied().collect();
-        strangers.shuffle(&mut self.rng);
-        self.contacts.extend(&strangers);
+        let others = addrs.iter().filter(|addr| **addr != self.me.addr);
+        let mut others: Vec<SocketAddr> = others.copied().collect();
+        others.shuffle(&mut self.rng);
+        self.contacts.extend(&others);
         self.contacts.sort_unstable();
         self.contacts.dedup();
         self.contacts.truncate(MAX_CONTACTS);
-        for addr in strangers.into_iter().take(MAX_MET) {
+        for addr in others.into_iter().take(MAX_CONTACT_PINGS) {
             self.ping(addr);
         }
         std::mem::take(&mut self.effects)
     }
 
-    pub(crate) fn set_peer_accepts_work(&mut self, incarnation: Incarnation, open: bool) {
+    pub(crate) fn set_peer_accepts_work(&mut self, incarnation: Incarnation, accepts_work: bool) {
         if let Some(entry) = self.peers.get_mut(&incarnation) {
-            entry.peer.accepts_work = open;
+            entry.peer.accepts_work = accepts_work;
         }
     }
 
-    /// What this node says of its own load from now on.
+    /// Sets the load that this node reports from now on.
     pub fn set_load(&mut self, load: LoadReport) {
         self.load = load;
     }
 
-    /// Takes a report that came with an answer.
+    /// Records a load report that came with an answer.
     pub fn on_load_report(&mut self, now: Time, from: Incarnation, load: LoadReport) {
         if let Some(entry) = self.peers.get_mut(&from) {
             entry.peer.load = load;
-            entry.heard = Some(now);
+            entry.last_heard = Some(now);
         }
     }
 
-    /// A peer by its incarnation.
+    /// Returns a peer by its incarnation.
     pub fn get(&self, incarnation: Incarnation) -> Option<&Peer> {
         self.peers.get(&incarnation).map(|entry| &entry.peer)
     }
 
-    /// How many machines the fleet has, this one included, as far as this one knows. Those that are taken
-    /// for dead count: the two sides of a cut would otherwise each take themselves for the whole.
+    /// Number of machines in the fleet, including this one, as far as this node knows. Dead ones
+    /// count: otherwise each side of a partition would consider itself the whole fleet.
     pub fn fleet_size(&self) -> usize {
-        self.occupants.len() + 1
+        self.incarnation_by_addr.len() + 1
     }
 
-    /// How many nodes may be at work, this one included. Unlike [`Membership::fleet_size`] it leaves out
-    /// nodes that have said that they leave, and counts addresses that nobody has been heard of at yet: a
-    /// node that starts in a small part of a fleet that is cut apart must not take it for the whole.
+    /// Number of nodes that may be operating, including this one. Unlike [`Membership::fleet_size`]
+    /// it excludes nodes that have announced their leave, and includes contact addresses at which
+    /// no node was heard of yet: a node that starts in a small part of a partitioned fleet must not
+    /// consider that part the whole fleet.
     pub fn voter_count(&self, now: Time) -> usize {
-        let peers = self.occupants.iter().filter(|(addr, occupant)| {
+        let peers = self.incarnation_by_addr.iter().filter(|(addr, occupant)| {
             let entry = self.peers.get(*occupant);
             **addr != self.me.addr && entry.is_none_or(|entry| !entry.has_left())
         });
-        let started = self.started.unwrap_or(now);
-        let counts_unseen = now.since(started) < UNSEEN_COUNT;
+        let started = self.started_at.unwrap_or(now);
+        let counts_unseen = now.since(started) < UNSEEN_CONTACT_WINDOW;
         let unseen = self.contacts.iter().filter(|addr| {
-            counts_unseen && **addr != self.me.addr && !self.occupants.contains_key(*addr)
+            counts_unseen && **addr != self.me.addr && !self.incarnation_by_addr.contains_key(*addr)
         });
         1 + peers.count() + unseen.count()
     }
 
-    /// Every peer that is remembered, the dead included.
+    /// All remembered peers, including dead ones.
     pub fn peers(&self) -> impl Iterator<Item = &Peer> {
         self.peers.values().map(|entry| &entry.peer)
     }
@@ -314,9 +324,9 @@
         self.effects.push(Effect::Send { to, message });
     }
 
-    /// Who was last known to be at an address.
+    /// Returns the peer last known to be at an address.
     pub fn peer_at(&self, addr: SocketAddr) -> Option<&Peer> {
-        self.get(*self.occupants.get(&addr)?)
+        self.get(*self.incarnation_by_addr.get(&addr)?)
     }
 
     pub(crate) fn my_state(&self) -> PeerState {
@@ -327,46 +337,48 @@
         }
     }
 
-    pub(crate) fn my_rumour(&self) -> Rumour {
+    pub(crate) fn my_update(&self) -> Rumour {
         Rumour {
             instance: self.me.clone(),
             state: self.my_state(),
-            beat: self.beat,
-            open: self.open,
+            beat: self.revision,
+            open: self.accepts_work,
         }
     }
 
-    /// The rumours for one datagram.
-    pub(crate) fn take_rumours(&mut self, first: Option<Rumour>) -> Vec<Rumour> {
-        let mine = self.my_rumour();
-        self.rumours.take(first, |about| {
-            if about == mine.instance.incarnation {
+    /// The updates for one datagram, with `first` at the front.
+    pub(crate) fn take_updates(&mut self, first: Option<Rumour>) -> Vec<Rumour> {
+        let mine = self.my_update();
+        self.update_queue.take(first, |peer| {
+            if peer == mine.instance.incarnation {
                 return Some(mine.clone());
             }
-            self.peers.get(&about).map(Entry::rumour)
+            self.peers.get(&peer).map(PeerEntry::to_update)
         })
     }
 
-    pub(crate) fn spread(&mut self, about: Incarnation) {
+    pub(crate) fn enqueue_update(&mut self, peer: Incarnation) {
         let size = self.peers.len() as u32 + 2;
         let times = self.cfg.retransmit_mult * (size.ilog2() + 1);
-        self.rumours.push(about, times);
+        self.update_queue.push(peer, times);
     }
 
     fn tick_gossip(&mut self, now: Time) {
-        if now < self.gossip_at || self.rumours.is_empty() {
+        if now < self.next_gossip_at || self.update_queue.is_empty() {
             return;
         }
-        self.gossip_at = now + self.cfg.gossip_interval;
-        for to in self.pick_helpers(self.cfg.gossip_fanout, None) {
-            let rumours = self.take_rumours(None);
+        self.next_gossip_at = now + self.cfg.gossip_interval;
+        for to in self.pick_live_peers(self.cfg.gossip_fanout, None) {
+            let rumours = self.take_updates(None);
             if !rumours.is_empty() {
                 self.send(to, MemberMessage::Gossip { rumours });
             }
         }
     }
 
-    pub(crate) fn is_buried(&self, incarnation: Incarnation) -> bool {
-        self.buried.get(&incarnation).is_some_and(|buried| *buried)
+    pub(crate) fn has_tombstone(&self, incarnation: Incarnation) -> bool {
+        self.tombstones
+            .get(&incarnation)
+            .is_some_and(|is_active| *is_active)
     }
 }
--- /dev/null
+++ b/crates/membership/src/peer.rs
@@ -0,0 +1,89 @@
+//! Entries of the peer table.
+
+use proto::Instance;
+use proto::LoadReport;
+use proto::PeerState;
+use proto::Rumour;
+use stdx::Time;
+
+/// What is known of a peer.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct Peer {
+    /// The peer.
+    pub instance: Instance,
+    /// Its state.
+    pub state: PeerState,
+    /// The load it last reported.
+    pub load: LoadReport,
+    /// Whether its backend server accepts new work.
+    pub accepts_work: bool,
+}
+
+#[derive(Debug)]
+pub(crate) struct PeerEntry {
+    pub(crate) peer: Peer,
+    pub(crate) revision: u32,
+    /// Whether the views in the log contain the peer.
+    pub(crate) listed: bool,
+    /// Whether the peer announced that it was leaving before it was considered dead.
+    pub(crate) was_leaving: bool,
+    /// Whether the peer will not come back: the log removed it, or another incarnation answered at
+    /// its address. Only a new listing can reinstate it.
+    pub(crate) retired: bool,
+    /// When the peer entered its current state.
+    pub(crate) state_since: Time,
+    /// When this node last received a message from the peer itself.
+    pub(crate) last_heard: Option<Time>,
+    /// When the peer is considered dead unless it refutes.
+    pub(crate) suspicion_deadline: Option<Time>,
+    /// When this node last requested the eviction of the peer.
+    pub(crate) eviction_requested_at: Option<Time>,
+}
+
+impl PeerEntry {
+    pub(crate) fn new(now: Time, update: Rumour) -> Self {
+        let state = update.state;
+        Self {
+            peer: Peer {
+                instance: update.instance,
+                state: update.state,
+                load: LoadReport::default(),
+                accepts_work: update.open,
+            },
+            revision: update.beat,
+            was_leaving: state == PeerState::Leaving,
+            listed: false,
+            retired: false,
+            state_since: now,
+            last_heard: None,
+            suspicion_deadline: None,
+            eviction_requested_at: None,
+        }
+    }
+
+    /// Whether the process has ended after announcing that it was leaving.
+    pub(crate) fn has_left(&self) -> bool {
+        self.was_leaving && self.is_dead()
+    }
+
+    pub(crate) fn is_dead(&self) -> bool {
+        self.peer.state == PeerState::Dead
+    }
+
+    /// Whether an update is newer than this entry.
+    pub(crate) fn is_newer(&self, update: &Rumour) -> bool {
+        if self.retired {
+            return update.state == PeerState::Dead && !self.is_dead();
+        }
+        (update.beat, update.state) > (self.revision, self.peer.state)
+    }
+
+    pub(crate) fn to_update(&self) -> Rumour {
+        Rumour {
+            instance: self.peer.instance.clone(),
+            state: self.peer.state,
+            beat: self.revision,
+            open: self.peer.accepts_work,
+        }
+    }
+}
--- a/crates/membership/src/probe.rs
+++ b/crates/membership/src/probe.rs
@@ -1,7 +1,8 @@
-//! One probe a period: a ping, then pings through others, then suspicion.
+//! Failure detection: one probe per period, consisting of a ping, then indirect pings, then
+//! suspicion.
 
 use crate::members::Membership;
-use crate::table::Entry;
+use crate::peer::PeerEntry;
 use proto::Incarnation;
 use proto::LoadReport;
 use proto::MemberMessage;
@@ -14,106 +15,108 @@
 use stdx::Bounded;
 use stdx::Time;
 
-/// Pings of which the ack is still of interest.
-const MAX_ASKED: usize = 64;
+/// Maximum number of pings whose acks are still processed.
+const MAX_RECENT_PINGS: usize = 64;
 
-/// Pings on behalf of others, of which the ack is passed on.
-const MAX_RELAYED: usize = 256;
+/// Maximum number of pings sent on behalf of others, whose acks are forwarded.
+const MAX_RELAYED_PINGS: usize = 256;
 
-/// Addresses where another incarnation may have started.
-const MAX_DOUBTS: usize = 64;
+/// Maximum number of addresses waiting to be checked for a new incarnation.
+const MAX_ADDR_CHECKS: usize = 64;
 
-/// In one of so many periods a dead peer and a contact are pinged as well.
+/// In one of this many periods, a dead peer and a contact are pinged as well.
 const RECONNECT_EVERY: u64 = 8;
 
-/// A probe whose ack is awaited.
+/// A probe that waits for its ack.
 #[derive(Debug)]
 struct Probe {
     target: Incarnation,
     addr: SocketAddr,
     seq: u64,
-    /// When others are asked, if they have not been yet.
+    /// When to ask other nodes to probe the target; `None` once they have been asked.
     indirect_at: Option<Time>,
 }
 
-/// The probes of a node, and whom it asks next.
+/// The probes of a node, and the peers to probe next.
 #[derive(Debug)]
 pub(crate) struct Probes {
-    next_at: Time,
+    next_probe_at: Time,
     periods: u64,
     seq: u64,
     current: Option<Probe>,
-    /// The rest of the present rounds, shuffled.
-    near: Vec<Incarnation>,
-    far: Vec<Incarnation>,
-    /// Where each ping went that may tell who is at an address now.
-    asked: Bounded<u64, SocketAddr>,
-    /// Who asked for a ping, and under which number.
-    relayed: Bounded<u64, (SocketAddr, u64)>,
-    /// Addresses at which a rumour tells of another incarnation than the table does.
-    doubts: VecDeque<SocketAddr>,
+    /// The remaining targets of the current rounds, in random order.
+    same_region: Vec<Incarnation>,
+    other_regions: Vec<Incarnation>,
+    /// The address that each recent ping was sent to. An ack from there tells who is at that
+    /// address now.
+    recent_pings: Bounded<u64, SocketAddr>,
+    /// The requester of each relayed ping, and the sequence number it used.
+    relayed_pings: Bounded<u64, (SocketAddr, u64)>,
+    /// Addresses for which an update names another incarnation than the table does.
+    addr_checks: VecDeque<SocketAddr>,
 }
 
 impl Probes {
     pub(crate) fn new() -> Self {
         Self {
-            next_at: Time::ZERO,
+            next_probe_at: Time::ZERO,
             periods: 0,
             seq: 0,
             current: None,
-            near: Vec::new(),
-            far: Vec::new(),
-            asked: Bounded::new(MAX_ASKED),
-            relayed: Bounded::new(MAX_RELAYED),
-            doubts: VecDeque::new(),
+            same_region: Vec::new(),
+            other_regions: Vec::new(),
+            recent_pings: Bounded::new(MAX_RECENT_PINGS),
+            relayed_pings: Bounded::new(MAX_RELAYED_PINGS),
+            addr_checks: VecDeque::new(),
         }
     }
 
     pub(crate) fn next_timer(&self) -> Time {
         let indirect = self.current.as_ref().and_then(|probe| probe.indirect_at);
-        indirect.map_or(self.next_at, |at| at.min(self.next_at))
+        indirect.map_or(self.next_probe_at, |at| at.min(self.next_probe_at))
     }
 
-    /// Notes that it has to be found out who is at `addr`.
-    pub(crate) fn doubt(&mut self, addr: SocketAddr) {
-        if self.doubts.len() < MAX_DOUBTS && !self.doubts.contains(&addr) {
-            self.doubts.push_back(addr);
+    /// Queues a ping to find out which incarnation is at `addr`.
+    pub(crate) fn queue_addr_check(&mut self, addr: SocketAddr) {
+        if self.addr_checks.len() < MAX_ADDR_CHECKS && !self.addr_checks.contains(&addr) {
+            self.addr_checks.push_back(addr);
         }
     }
 
-    /// Gives up the probe under way without a verdict.
-    pub(crate) fn abandon(&mut self) {
+    /// Cancels the current probe without changing the state of its target.
+    pub(crate) fn cancel_current(&mut self) {
         self.current = None;
     }
 }
 
 impl Membership {
     pub(crate) fn tick_probes(&mut self, now: Time) {
-        self.ask_others(now);
-        if now < self.probes.next_at {
+        self.send_indirect_probes(now);
+        if now < self.probes.next_probe_at {
             return;
         }
-        self.judge_probe(now);
+        self.conclude_probe(now);
         self.probes.periods += 1;
-        // Nodes that started together would otherwise probe together for ever.
+        // Without jitter, nodes that started together would keep probing at the same time.
         let jitter = self.rng.random_range(0.9..1.1);
         let first = self.probes.periods == 1;
         let interval = self.cfg.probe_interval.mul_f64(jitter);
-        self.probes.next_at = now
+        self.probes.next_probe_at = now
             + if first {
                 interval.mul_f64(0.5)
             } else {
                 interval
             };
         self.start_probe(now);
-        self.ask_contacts();
-        self.ask_dead();
-        self.forget(now);
-        self.check_evictions(now);
+        self.ping_contact();
+        self.ping_dead_peer();
+        self.forget_dead_peers(now);
+        self.start_eviction_check(now);
     }
 
-    /// The ack is late: others may have a path that this node has not.
-    fn ask_others(&mut self, now: Time) {
+    /// Asks other nodes to probe the target once its ack is late: they may have a working path to
+    /// it.
+    fn send_indirect_probes(&mut self, now: Time) {
         let Some(probe) = &mut self.probes.current else {
             return;
         };
@@ -122,12 +125,12 @@
         }
         probe.indirect_at = None;
         let (seq, addr, target) = (probe.seq, probe.addr, probe.target);
-        for helper in self.pick_helpers(self.cfg.indirect_probes, Some(target)) {
-            self.send(helper, MemberMessage::PingReq { seq, target: addr });
+        for relay in self.pick_live_peers(self.cfg.indirect_probes, Some(target)) {
+            self.send(relay, MemberMessage::PingReq { seq, target: addr });
         }
     }
 
-    fn judge_probe(&mut self, now: Time) {
+    fn conclude_probe(&mut self, now: Time) {
         let Some(probe) = self.probes.current.take() else {
             return;
         };
@@ -136,8 +139,8 @@
         };
         match entry.peer.state {
             PeerState::Alive => {
-                let beat = entry.beat;
-                self.set_state(now, probe.target, PeerState::Suspect, beat);
+                let revision = entry.revision;
+                self.set_state_and_gossip(now, probe.target, PeerState::Suspect, revision);
             }
             PeerState::Suspect | PeerState::Leaving => self.start_suspicion(now, probe.target),
             PeerState::Dead => {}
@@ -145,7 +148,7 @@
     }
 
     fn start_probe(&mut self, now: Time) {
-        if let Some(addr) = self.probes.doubts.pop_front() {
+        if let Some(addr) = self.probes.addr_checks.pop_front() {
             self.ping(addr);
         }
         let Some(target) = self.next_target() else {
@@ -161,20 +164,21 @@
         });
     }
 
-    /// The next peer of the round: each is probed once before any is probed again, which bounds
-    /// the time to find out about it.
+    /// The next target of the round. Each peer is probed once before any is probed again, which
+    /// bounds the detection time.
     fn next_target(&mut self) -> Option<Incarnation> {
-        let far = self.probes.periods % u64::from(self.cfg.cross_region_every.max(1)) == 0;
-        self.next_of_round(far).or_else(|| self.next_of_round(!far))
+        let cross_region = self.probes.periods % u64::from(self.cfg.cross_region_every.max(1)) == 0;
+        self.next_of_round(cross_region)
+            .or_else(|| self.next_of_round(!cross_region))
     }
 
-    fn next_of_round(&mut self, far: bool) -> Option<Incarnation> {
+    fn next_of_round(&mut self, cross_region: bool) -> Option<Incarnation> {
         for _ in 0..2 {
             loop {
-                let round = if far {
-                    &mut self.probes.far
+                let round = if cross_region {
+                    &mut self.probes.other_regions
                 } else {
-                    &mut self.probes.near
+                    &mut self.probes.same_region
                 };
                 let Some(target) = round.pop() else { break };
                 if self
@@ -187,86 +191,87 @@
             }
             let live = self.peers.iter().filter(|(_, entry)| !entry.is_dead());
             let mut round: Vec<Incarnation> = live
-                .filter(|(_, entry)| self.is_near(&entry.peer.instance) != far)
+                .filter(|(_, entry)| self.is_same_region(&entry.peer.instance) != cross_region)
                 .map(|(incarnation, _)| *incarnation)
                 .collect();
             round.shuffle(&mut self.rng);
-            *(if far {
-                &mut self.probes.far
+            *(if cross_region {
+                &mut self.probes.other_regions
             } else {
-                &mut self.probes.near
+                &mut self.probes.same_region
             }) = round;
         }
         None
     }
 
-    /// While nobody is known the contacts are asked, one a period; later now and then, so that
-    /// groups that started apart find each other.
-    fn ask_contacts(&mut self) {
-        let alone = self.probes.current.is_none();
+    /// Pings a contact: in every period while there is no peer to probe, and occasionally later, so
+    /// that groups that started separately discover each other.
+    fn ping_contact(&mut self) {
+        let has_no_target = self.probes.current.is_none();
         let len = self.contacts.len() as u64;
-        if len == 0 || !(alone || self.probes.periods % RECONNECT_EVERY == 0) {
+        if len == 0 || !(has_no_target || self.probes.periods % RECONNECT_EVERY == 0) {
             return;
         }
-        let turn = if alone {
+        let index = if has_no_target {
             self.probes.periods
         } else {
             self.probes.periods / RECONNECT_EVERY
         };
-        let contact = self.contacts[(turn % len) as usize];
+        let contact = self.contacts[(index % len) as usize];
         if contact != self.me.addr {
             self.ping(contact);
         }
     }
 
-    /// A verdict may be wrong, and after a long cut nobody probes the dead any more: without this
-    /// the two sides would hold each other for dead for ever.
-    fn ask_dead(&mut self) {
+    /// Pings a dead peer occasionally. A peer may have been declared dead wrongly, and after a long
+    /// partition no node probes the dead any more: without this ping the two sides would consider
+    /// each other dead forever.
+    fn ping_dead_peer(&mut self) {
         let offset = RECONNECT_EVERY / 2;
         if self.probes.periods % RECONNECT_EVERY != offset {
             return;
         }
-        if let Some(addr) = self.pick(|entry| entry.is_dead() && !entry.gone) {
+        if let Some(addr) = self.pick_peer(|entry| entry.is_dead() && !entry.retired) {
             self.ping(addr);
         }
     }
 
-    /// Pings whoever is at `addr`.
+    /// Pings whichever node is at `addr`.
     pub(crate) fn ping(&mut self, addr: SocketAddr) -> u64 {
         self.probes.seq += 1;
         let seq = self.probes.seq;
-        self.probes.asked.insert(seq, addr);
-        let about = self.view_of(addr);
+        self.probes.recent_pings.insert(seq, addr);
+        let update = self.update_to_refute(addr);
         let message = MemberMessage::Ping {
-            from: self.my_rumour(),
+            from: self.my_update(),
             seq,
             digest: self.digest(),
             load: self.load,
-            rumours: self.take_rumours(about),
+            rumours: self.take_updates(update),
         };
         self.send(addr, message);
         seq
     }
 
     pub(crate) fn on_ping(&mut self, from: SocketAddr, sender: &Rumour, seq: u64) {
-        let about = self.peers.get(&sender.instance.incarnation);
-        let about = about.map(Entry::rumour).filter(needs_refuting);
+        let entry = self.peers.get(&sender.instance.incarnation);
+        let update = entry.map(PeerEntry::to_update).filter(needs_refuting);
         let message = MemberMessage::Ack {
-            from: self.my_rumour(),
+            from: self.my_update(),
             seq,
             digest: self.digest(),
             load: self.load,
-            rumours: self.take_rumours(about),
+            rumours: self.take_updates(update),
         };
         self.send(from, message);
     }
 
     pub(crate) fn on_ping_req(&mut self, from: SocketAddr, seq: u64, target: SocketAddr) {
         let relayed = self.ping(target);
-        self.probes.relayed.insert(relayed, (from, seq));
+        self.probes.relayed_pings.insert(relayed, (from, seq));
     }
 
-    /// Takes an ack to a ping of this node, and passes it on if it was asked for by another.
+    /// Handles an ack to a ping from this node, and forwards it if another node requested the ping.
     pub(crate) fn on_ack(
         &mut self,
         now: Time,
@@ -275,10 +280,10 @@
         digest: u64,
         load: LoadReport,
     ) {
-        let Some(addr) = self.probes.asked.get(&seq).copied() else {
+        let Some(addr) = self.probes.recent_pings.get(&seq).copied() else {
             return;
         };
-        if let Some((to, seq)) = self.probes.relayed.get(&seq).copied() {
+        if let Some((to, seq)) = self.probes.relayed_pings.get(&seq).copied() {
             let ack = MemberMessage::Ack {
                 from: sender.clone(),
                 seq,
@@ -289,7 +294,7 @@
             self.send(to, ack);
         }
         if addr == sender.instance.addr {
-            self.settle_address(now, sender);
+            self.resolve_addr(now, sender);
         }
         if self
             .probes
@@ -302,14 +307,14 @@
         self.on_check_ack(now, seq);
     }
 
-    /// What this node says to a peer about itself, so that it can refute.
-    fn view_of(&self, addr: SocketAddr) -> Option<Rumour> {
-        let occupant = self.occupants.get(&addr)?;
+    /// What this node tells a peer about that peer's own state, if the peer should refute it.
+    fn update_to_refute(&self, addr: SocketAddr) -> Option<Rumour> {
+        let occupant = self.incarnation_by_addr.get(&addr)?;
         let entry = self.peers.get(occupant)?;
-        Some(entry.rumour()).filter(needs_refuting)
+        Some(entry.to_update()).filter(needs_refuting)
     }
 }
 
-fn needs_refuting(rumour: &Rumour) -> bool {
-    matches!(rumour.state, PeerState::Suspect | PeerState::Dead)
+fn needs_refuting(update: &Rumour) -> bool {
+    matches!(update.state, PeerState::Suspect | PeerState::Dead)
 }
--- a/crates/membership/src/roster.rs
+++ b/crates/membership/src/roster.rs
@@ -1,4 +1,4 @@
-//! What ends or lists a peer for good: the log's roster, and who answers at an address.
+//! Lists and retires peers, by the log's roster and by which incarnation answers at an address.
 
 use crate::members::Membership;
 use crate::Effect;
@@ -10,10 +10,10 @@
 use stdx::Time;
 
 impl Membership {
-    /// Takes the log's word on who is there. Who was listed and is not any more is gone for good,
-    /// unless the log lists it again; it is not taken for dead before it is silent, because it may
-    /// still be finishing what it has in flight. None of this is passed on: the others read the same
-    /// log, and who cannot finds the difference by digests.
+    /// Applies the log's roster. A peer that was listed and no longer is will not come back, unless
+    /// the log lists it again. It is not considered dead before it stops answering, because it may
+    /// still be finishing its work in flight. These changes are not gossiped: the other nodes read
+    /// the same log, and those that cannot find the difference by digests.
     pub fn set_roster<'a>(
         &mut self,
         now: Time,
@@ -33,134 +33,137 @@
             }
         }
         for (incarnation, ()) in unlisted {
-            self.set_gone(now, incarnation);
+            self.on_unlisted(now, incarnation);
         }
         for instance in listed {
-            self.list(now, instance);
+            self.on_listed(now, instance);
         }
         std::mem::take(&mut self.effects)
     }
 
-    /// An earlier incarnation at this node's own address has ended; nobody knows that better.
-    pub(crate) fn disown(&mut self, now: Time, rumour: &Rumour) {
-        let incarnation = rumour.instance.incarnation;
+    /// Retires an earlier incarnation at this node's own address. It has certainly ended, because
+    /// this node has its address now.
+    pub(crate) fn retire_predecessor(&mut self, now: Time, update: &Rumour) {
+        let incarnation = update.instance.incarnation;
         if !self.peers.contains_key(&incarnation) {
             let dead = Rumour {
                 state: PeerState::Dead,
-                ..rumour.clone()
+                ..update.clone()
             };
-            self.enter(now, dead);
-            self.spread(incarnation);
+            self.insert_peer(now, dead);
+            self.enqueue_update(incarnation);
         }
-        self.bury(now, incarnation);
+        self.retire(now, incarnation);
     }
 
-    /// `sender` has just answered at its address: whoever else is known there has ended.
-    pub(crate) fn settle_address(&mut self, now: Time, sender: &Rumour) {
+    /// Retires all other incarnations known at the sender's address, which it has just answered
+    /// from.
+    pub(crate) fn resolve_addr(&mut self, now: Time, sender: &Rumour) {
         let (addr, incarnation) = (sender.instance.addr, sender.instance.incarnation);
-        if incarnation == self.me.incarnation || self.is_buried(incarnation) {
+        if incarnation == self.me.incarnation || self.has_tombstone(incarnation) {
             return;
         }
         let others = self.peers.iter().filter(|(other, entry)| {
-            let there = entry.peer.instance.addr == addr && **other != incarnation;
-            there && !(entry.gone && entry.is_dead())
+            let is_at_addr = entry.peer.instance.addr == addr && **other != incarnation;
+            is_at_addr && !(entry.retired && entry.is_dead())
         });
         let others: Vec<Incarnation> = others.map(|(other, _)| *other).collect();
         for other in others {
-            self.bury(now, other);
+            self.retire(now, other);
         }
     }
 
-    /// Takes a peer for dead without a way back.
-    fn bury(&mut self, now: Time, incarnation: Incarnation) {
-        self.buried.insert(incarnation, true);
+    /// Marks a peer as dead and never to come back.
+    fn retire(&mut self, now: Time, incarnation: Incarnation) {
+        self.tombstones.insert(incarnation, true);
         if let Some(entry) = self.peers.get_mut(&incarnation) {
-            entry.gone = true;
-            let (beat, dead) = (entry.beat, entry.is_dead());
-            if !dead {
-                self.set_state(now, incarnation, PeerState::Dead, beat);
+            entry.retired = true;
+            let (revision, is_dead) = (entry.revision, entry.is_dead());
+            if !is_dead {
+                self.set_state_and_gossip(now, incarnation, PeerState::Dead, revision);
             }
         }
     }
 
-    /// The log has dropped a peer.
-    fn set_gone(&mut self, now: Time, incarnation: Incarnation) {
-        self.buried.insert(incarnation, true);
+    /// Handles the removal of a peer from the log's roster.
+    fn on_unlisted(&mut self, now: Time, incarnation: Incarnation) {
+        self.tombstones.insert(incarnation, true);
         self.digests.invalidate();
         let Some(entry) = self.peers.get_mut(&incarnation) else {
             return;
         };
         entry.listed = false;
-        entry.gone = true;
-        let (state, beat) = (entry.peer.state, entry.beat);
+        entry.retired = true;
+        let (state, revision) = (entry.peer.state, entry.revision);
         if matches!(state, PeerState::Alive | PeerState::Suspect) {
-            self.change(now, incarnation, PeerState::Leaving, beat);
+            self.apply_state(now, incarnation, PeerState::Leaving, revision);
             if state == PeerState::Suspect {
                 self.start_suspicion(now, incarnation);
             }
         }
     }
 
-    /// The log lists a peer that it did not list before.
-    fn list(&mut self, now: Time, instance: &Instance) {
+    /// Handles a peer that is newly listed in the log's roster.
+    fn on_listed(&mut self, now: Time, instance: &Instance) {
         let incarnation = instance.incarnation;
         if incarnation == self.me.incarnation {
             self.listed = true;
             return;
         }
-        let occupant = self.occupants.get(&instance.addr).copied();
+        let occupant = self.incarnation_by_addr.get(&instance.addr).copied();
         let other = occupant.filter(|other| *other != incarnation);
-        let other_lives = other
+        let other_is_live = other
             .and_then(|other| self.peers.get(&other))
-            .is_some_and(|entry| !entry.gone && !entry.is_dead());
+            .is_some_and(|entry| !entry.retired && !entry.is_dead());
         let known = self.peers.get(&incarnation);
-        let buried = self.is_buried(incarnation);
-        if known.is_none() && (other_lives || buried) {
-            // Either may be the older one. It counts as a suspect until somebody answers there.
-            self.enter(now, listed_as(instance, PeerState::Suspect));
-            self.probes.doubt(instance.addr);
+        let has_tombstone = self.has_tombstone(incarnation);
+        if known.is_none() && (other_is_live || has_tombstone) {
+            // Either incarnation may be the older one. This one counts as a suspect until a node
+            // answers at the address.
+            self.insert_peer(now, initial_update(instance, PeerState::Suspect));
+            self.probes.queue_addr_check(instance.addr);
         } else if known.is_none() {
-            self.enter(now, listed_as(instance, PeerState::Alive));
-        } else if known.is_some_and(|entry| entry.gone) && other.is_none() {
-            self.revive(now, incarnation);
+            self.insert_peer(now, initial_update(instance, PeerState::Alive));
+        } else if known.is_some_and(|entry| entry.retired) && other.is_none() {
+            self.reinstate(now, incarnation);
         }
         if let Some(entry) = self.peers.get_mut(&incarnation) {
             entry.listed = true;
         }
-        if let Some(other) = other.filter(|_| !other_lives) {
-            self.bury(now, other);
+        if let Some(other) = other.filter(|_| !other_is_live) {
+            self.retire(now, other);
         }
     }
 
-    /// The log has taken a peer back that it had dropped.
-    fn revive(&mut self, now: Time, incarnation: Incarnation) {
-        if let Some(buried) = self.buried.get_mut(&incarnation) {
-            *buried = false;
+    /// Reinstates a peer that the log had removed and lists again.
+    fn reinstate(&mut self, now: Time, incarnation: Incarnation) {
+        if let Some(is_active) = self.tombstones.get_mut(&incarnation) {
+            *is_active = false;
         }
         if let Some(entry) = self.peers.get_mut(&incarnation) {
-            entry.gone = false;
-            let beat = entry.beat;
-            self.change(now, incarnation, PeerState::Alive, beat);
+            entry.retired = false;
+            let revision = entry.revision;
+            self.apply_state(now, incarnation, PeerState::Alive, revision);
         }
     }
 
-    /// Drops entries of peers that are dead for long and that the log does not list.
-    pub(crate) fn forget(&mut self, now: Time) {
+    /// Removes entries of peers that have been dead for long and are not listed.
+    pub(crate) fn forget_dead_peers(&mut self, now: Time) {
         let after = self.cfg.forget_after;
-        let occupants = &mut self.occupants;
+        let incarnation_by_addr = &mut self.incarnation_by_addr;
         self.peers.retain(|incarnation, entry| {
-            let old = now.since(entry.since) >= after;
-            let keep = !entry.is_dead() || entry.listed || !old;
-            if !keep && occupants.get(&entry.peer.instance.addr) == Some(incarnation) {
-                occupants.swap_remove(&entry.peer.instance.addr);
+            let is_old = now.since(entry.state_since) >= after;
+            let keep = !entry.is_dead() || entry.listed || !is_old;
+            if !keep && incarnation_by_addr.get(&entry.peer.instance.addr) == Some(incarnation) {
+                incarnation_by_addr.swap_remove(&entry.peer.instance.addr);
             }
             keep
         });
     }
 }
 
-/// What a listed peer is taken for before it has said anything itself.
-fn listed_as(instance: &Instance, state: PeerState) -> Rumour {
+/// The state assumed for a listed peer before it was heard.
+fn initial_update(instance: &Instance, state: PeerState) -> Rumour {
     Rumour {
         instance: instance.clone(),
         state,
--- a/crates/membership/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Many tables in one process, on a clock and a network of their own: datagrams take a while, and
-//! some are lost or cut.
+//! Simulates a fleet in one process with a virtual clock and network. Datagrams are delayed, and
+//! some are lost or blocked.
 
 #![allow(dead_code, reason = "each test file uses a part")]
 
@@ -26,23 +26,23 @@
     pub members: Membership,
     pub up: bool,
     pub evictions: Vec<Incarnation>,
-    /// Verdicts that this node came to or heard of.
+    /// Number of times that this node suspected a peer or learned of a suspicion.
     pub suspected: u32,
     pub died: u32,
     pub last_ping: u64,
     pub sent: u64,
     pub sent_bytes: u64,
-    pub far_bytes: u64,
-    pub largest: usize,
+    pub cross_region_bytes: u64,
+    pub largest_datagram: usize,
 }
 
 pub struct Fleet {
     pub now: Time,
     pub nodes: Vec<Node>,
-    /// The part of all datagrams that is lost.
-    pub loss: f64,
-    /// Whether a datagram from the first node to the second is lost.
-    pub cut: Box<dyn Fn(usize, usize) -> bool>,
+    /// The fraction of all datagrams that is lost.
+    pub loss_rate: f64,
+    /// Whether datagrams from the first node to the second are dropped.
+    pub drops: Box<dyn Fn(usize, usize) -> bool>,
     queue: BinaryHeap<Reverse<(Time, u64, usize)>>,
     messages: Vec<Option<(SocketAddr, SocketAddr, MemberMessage)>>,
     rng: StdRng,
@@ -67,15 +67,15 @@
         Self {
             now: Time::from_micros(1),
             nodes: Vec::new(),
-            loss: 0.0,
-            cut: Box::new(|_, _| false),
+            loss_rate: 0.0,
+            drops: Box::new(|_, _| false),
             queue: BinaryHeap::new(),
             messages: Vec::new(),
             rng: StdRng::seed_from_u64(seed),
         }
     }
 
-    /// `count` nodes in two regions and two services, all known to the log.
+    /// `count` nodes in two regions and two services, all listed in the log.
     pub fn listed(seed: u64, count: usize) -> Self {
         let mut fleet = Self::new(seed);
         for number in 0..count {
@@ -101,13 +101,13 @@
             last_ping: 0,
             sent: 0,
             sent_bytes: 0,
-            far_bytes: 0,
-            largest: 0,
+            cross_region_bytes: 0,
+            largest_datagram: 0,
         });
         self.nodes.len() - 1
     }
 
-    /// Every node reads a roster with all nodes on it that are up.
+    /// All nodes read a roster that lists every node that is up.
     pub fn list_all(&mut self) {
         let up = self.nodes.iter().filter(|node| node.up);
         let roster: Vec<Instance> = up.map(|node| node.instance.clone()).collect();
@@ -128,13 +128,13 @@
         self.perform(number, effects);
     }
 
-    /// Has a node ask who is at these addresses.
+    /// Makes a node ping these addresses and keep them as contacts.
     pub fn add_contacts(&mut self, number: usize, addrs: &[SocketAddr]) {
         let effects = self.nodes[number].members.add_contacts(addrs);
         self.perform(number, effects);
     }
 
-    /// Gives a node a message at once.
+    /// Delivers a message to a node without delay.
     pub fn deliver(&mut self, to: usize, from: SocketAddr, message: MemberMessage) {
         let effects = self.nodes[to].members.on_message(self.now, from, message);
         self.perform(to, effects);
@@ -203,7 +203,7 @@
             .nodes
             .iter()
             .position(|node| node.up && node.instance.addr == to);
-        let far = receiver
+        let is_cross_region = receiver
             .is_some_and(|to| self.nodes[to].instance.region != self.nodes[from].instance.region);
         let node = &mut self.nodes[from];
         if let MemberMessage::Ping { seq, .. } = &message {
@@ -211,10 +211,14 @@
         }
         node.sent += 1;
         node.sent_bytes += bytes.len() as u64;
-        node.far_bytes += if far { bytes.len() as u64 } else { 0 };
-        node.largest = node.largest.max(bytes.len());
-        let lost = self.rng.random_bool(self.loss);
-        if lost || receiver.is_none_or(|to| (self.cut)(from, to)) {
+        node.cross_region_bytes += if is_cross_region {
+            bytes.len() as u64
+        } else {
+            0
+        };
+        node.largest_datagram = node.largest_datagram.max(bytes.len());
+        let lost = self.rng.random_bool(self.loss_rate);
+        if lost || receiver.is_none_or(|to| (self.drops)(from, to)) {
             return;
         }
         let delay = Duration::from_micros(self.rng.random_range(500..25_000));
@@ -225,22 +229,22 @@
             .push(Reverse((self.now + delay, index as u64, index)));
     }
 
-    pub fn state(&self, at: usize, about: usize) -> Option<PeerState> {
-        let incarnation = self.nodes[about].instance.incarnation;
-        let peer = self.nodes[at].members.get(incarnation)?;
+    pub fn state(&self, observer: usize, subject: usize) -> Option<PeerState> {
+        let incarnation = self.nodes[subject].instance.incarnation;
+        let peer = self.nodes[observer].members.get(incarnation)?;
         Some(peer.state)
     }
 
-    /// The states in which the nodes that are up hold `about`, each once.
-    pub fn states(&self, about: usize) -> Vec<Option<PeerState>> {
-        let others = (0..self.nodes.len()).filter(|at| *at != about && self.nodes[*at].up);
-        let mut states: Vec<_> = others.map(|at| self.state(at, about)).collect();
+    /// The distinct states in which the nodes that are up have `subject`.
+    pub fn states(&self, subject: usize) -> Vec<Option<PeerState>> {
+        let observers = (0..self.nodes.len()).filter(|at| *at != subject && self.nodes[*at].up);
+        let mut states: Vec<_> = observers.map(|at| self.state(at, subject)).collect();
         states.sort();
         states.dedup();
         states
     }
 
-    /// All that were asked to be evicted, each once.
+    /// The distinct incarnations whose eviction was requested.
     pub fn evicted(&self) -> Vec<Incarnation> {
         let evictions = self.nodes.iter().flat_map(|node| &node.evictions);
         let mut evictions: Vec<Incarnation> = evictions.copied().collect();
--- a/crates/membership/tests/evict.rs
+++ b/crates/membership/tests/evict.rs
@@ -1,4 +1,4 @@
-//! Who asks for whose eviction, and when nobody does.
+//! Which nodes request evictions, and when none may.
 
 mod common;
 
@@ -18,7 +18,7 @@
     all
 }
 
-/// Runs a fleet with these nodes down, and checks who the others had evicted by then.
+/// Runs a fleet with these nodes down, and checks which evictions were requested by then.
 fn check(seed: u64, down: &[usize], time: u64, expected: &[usize]) -> Fleet {
     let mut fleet = Fleet::listed(seed, 12);
     fleet.run(secs(5));
@@ -32,16 +32,17 @@
 }
 
 #[test]
-fn a_dead_instance_is_evicted_by_one_member_of_its_service() {
-    // The log goes on listing an instance that was killed: its share of the keys has no home until
-    // somebody has it taken out. If all asked at once, the log would get one append from each.
+fn dead_instance_is_evicted_by_one_member_of_its_service() {
+    // The log still lists an instance that was killed: its share of the keys has no home until
+    // another node has it removed. If all nodes requested this at once, the log would get an append
+    // from each.
     let mut fleet = Fleet::listed(1, 12);
     fleet.run(secs(5));
     fleet.nodes[5].up = false;
     while fleet.evicted().is_empty() {
         fleet.run(Duration::from_millis(100));
     }
-    // The log takes a while; then the roster does not name the dead instance any more.
+    // The log takes some time; then the roster no longer contains the dead instance.
     fleet.run(Duration::from_millis(900));
     fleet.list_all();
     fleet.run(secs(30));
@@ -56,19 +57,20 @@
 }
 
 #[test]
-fn the_next_member_evicts_if_the_first_does_not_get_through() {
-    // The member whose turn it is may be unable to reach the log.
+fn next_member_evicts_if_first_cannot_reach_log() {
+    // The member that is first in order may be unable to reach the log.
     let fleet = check(1, &[5], 40, &[5]);
     let asked = fleet.nodes.iter().filter(|node| !node.evictions.is_empty());
     assert!(asked.count() > 1);
 }
 
 #[test]
-fn a_service_that_is_all_dead_is_evicted_by_the_others() {
+fn dead_service_is_evicted_by_other_services() {
     check(3, &[1, 5], 20, &[1, 5]);
     let mut fleet = Fleet::listed(3, 12);
     fleet.run(secs(5));
-    // Service 1 has the odd nodes; one member of the other service takes its place each time.
+    // Service 1 has the odd nodes. For each of them, one member of the other service requests the
+    // eviction.
     for number in [1, 3, 5, 7, 9] {
         fleet.nodes[number].up = false;
     }
@@ -80,24 +82,24 @@
 }
 
 #[test]
-fn a_minority_that_was_cut_off_evicts_nobody() {
-    // Four of twelve instances lose the others but still reach the log. Each holds eight for dead;
-    // evicting them would take the live part of the service away.
+fn partitioned_minority_evicts_nobody() {
+    // Four of twelve instances are partitioned from the others but still reach the log. Each
+    // considers eight dead; evicting them would remove the live part of the service.
     let mut fleet = Fleet::listed(4, 12);
     fleet.run(secs(5));
-    fleet.cut = Box::new(|from, to| (from < 4) != (to < 4));
+    fleet.drops = Box::new(|from, to| (from < 4) != (to < 4));
     fleet.run(secs(120));
     let minority = incarnations(&fleet, 0..4);
     assert_eq!(fleet.evicted(), minority);
 }
 
 #[test]
-fn a_small_minority_evicts_nobody_before_it_has_found_out() {
-    // Six of sixty instances are cut off. They find the others dead one by one, and for a while
-    // hold most of them for alive: going by its table alone each would evict the first ones.
+fn small_minority_evicts_nobody_before_detecting_partition() {
+    // Six of sixty instances are partitioned. They detect the others as dead one by one, and for a
+    // while consider most of them alive: by its table alone, each would evict the first ones.
     let mut fleet = Fleet::listed(7, 60);
     fleet.run(secs(5));
-    fleet.cut = Box::new(|from, to| (from < 6) != (to < 6));
+    fleet.drops = Box::new(|from, to| (from < 6) != (to < 6));
     fleet.run(secs(60));
     for node in &fleet.nodes[..6] {
         assert_eq!(node.evictions, []);
@@ -105,18 +107,18 @@
 }
 
 #[test]
-fn two_halves_evict_nobody() {
+fn equal_halves_evict_nobody() {
     let mut fleet = Fleet::listed(5, 12);
     fleet.run(secs(5));
-    fleet.cut = Box::new(|from, to| from % 2 != to % 2);
+    fleet.drops = Box::new(|from, to| from % 2 != to % 2);
     fleet.run(secs(300));
     assert_eq!(fleet.evicted(), []);
 }
 
 #[test]
-fn one_node_evicts_a_bounded_number_a_minute() {
-    // Many instances die at once and the log does not take the evictions. Without a bound each node
-    // would fill the log's few hundred appends a second for all.
+fn evictions_per_node_and_minute_are_bounded() {
+    // Many instances die at once and the log does not accept the evictions. Without a limit, each
+    // node would use up the few hundred appends per second that the log takes for all nodes.
     let mut fleet = Fleet::listed(6, 60);
     fleet.run(secs(5));
     for number in 0..28 {
--- a/crates/membership/tests/mass_loss.rs
+++ b/crates/membership/tests/mass_loss.rs
@@ -1,4 +1,4 @@
-//! Many machines lost at once, and many that start at once, in fleets of several sizes.
+//! Many machines that fail or start at once, in fleets of several sizes.
 
 mod common;
 
@@ -10,7 +10,7 @@
 
 const SIZES: [usize; 3] = [24, 63, 195];
 
-/// Regions and services of the fleets.
+/// Number of regions and services of the fleets.
 const REGIONS: usize = 3;
 const SERVICES: usize = 4;
 
@@ -24,13 +24,13 @@
     fleet
 }
 
-/// A third of the machines of each failure domain.
-fn is_of_every_third(node: usize) -> bool {
+/// Whether a node belongs to the third of its failure domain that is lost.
+fn is_in_lost_third(node: usize) -> bool {
     (node / (REGIONS * 3)) % 3 == 0
 }
 
-/// Takes the power of some machines, and gives which.
-fn lose(fleet: &mut Fleet, is_lost: fn(usize) -> bool) -> Vec<usize> {
+/// Powers off some nodes and returns their numbers.
+fn power_off(fleet: &mut Fleet, is_lost: fn(usize) -> bool) -> Vec<usize> {
     let lost: Vec<usize> = (0..fleet.nodes.len())
         .filter(|node| is_lost(*node))
         .collect();
@@ -40,66 +40,70 @@
     lost
 }
 
-/// Pairs of a node that is up and one of `lost` that it would still give new work.
-fn usable(fleet: &Fleet, lost: &[usize]) -> usize {
+/// Number of pairs of a node that is up and one of `lost` that it would still give new work.
+fn pairs_in_use(fleet: &Fleet, lost: &[usize]) -> usize {
     let up = (0..fleet.nodes.len()).filter(|node| fleet.nodes[*node].up);
-    let usable = up.flat_map(|node| {
-        let alive = move |about: &&usize| fleet.state(node, **about) == Some(PeerState::Alive);
+    let pairs = up.flat_map(|node| {
+        let alive = move |subject: &&usize| fleet.state(node, **subject) == Some(PeerState::Alive);
         lost.iter().filter(alive)
     });
-    usable.count()
+    pairs.count()
 }
 
-/// A third of all machines lose their power at once. Until the others have found out they give them a
-/// third of all calls, and each of those is lost. What one node finds out it tells, so the time must not
-/// grow with the fleet, as it would if each had to probe all of them.
+/// A third of all machines lose power at once. Until the others detect it they send a third of all
+/// calls to these machines, and each of those calls is lost. Detections are shared by gossip, so
+/// the time must not grow with the fleet as it would if each node had to probe all machines.
 #[test]
-fn a_third_that_is_lost_at_once_is_out_of_use_within_seconds() {
+fn simultaneous_loss_of_a_third_is_detected_within_seconds() {
     for nodes in SIZES {
         let mut fleet = fleet(nodes);
-        let lost = lose(&mut fleet, is_of_every_third);
+        let lost = power_off(&mut fleet, is_in_lost_third);
         fleet.run(Duration::from_secs(6));
-        let left = usable(&fleet, &lost);
+        let remaining = pairs_in_use(&fleet, &lost);
         let pairs = lost.len() * (nodes - lost.len());
-        assert!(left * 50 <= pairs, "{nodes} nodes: {left} of {pairs}");
+        assert!(
+            remaining * 50 <= pairs,
+            "{nodes} nodes: {remaining} of {pairs}"
+        );
         fleet.run(Duration::from_secs(6));
-        assert_eq!(usable(&fleet, &lost), 0, "{nodes} nodes");
+        assert_eq!(pairs_in_use(&fleet, &lost), 0, "{nodes} nodes");
     }
 }
 
-/// A whole region is lost. Others probe it once in eight seconds, because bytes between regions are
-/// billed, and find out later than of a neighbour; until then only what has no room elsewhere goes there.
+/// A whole region is lost. Other regions probe it once in eight seconds, because traffic between
+/// regions is billed, and detect the loss later than that of a machine in their own region. Until
+/// then, only calls that find no capacity elsewhere go there.
 #[test]
-fn a_region_that_is_lost_is_out_of_use_within_a_round_of_probes() {
+fn lost_region_is_detected_within_one_probe_round() {
     for nodes in SIZES {
         let mut fleet = fleet(nodes);
-        let lost = lose(&mut fleet, |node| node % REGIONS == 0);
+        let lost = power_off(&mut fleet, |node| node % REGIONS == 0);
         fleet.run(Duration::from_secs(20));
-        assert_eq!(usable(&fleet, &lost), 0, "{nodes} nodes");
+        assert_eq!(pairs_in_use(&fleet, &lost), 0, "{nodes} nodes");
     }
 }
 
-/// A third is lost, and no live machine is taken for dead meanwhile: its calls would have to go elsewhere, which
-/// makes the loss larger than it is.
+/// A third of the machines is lost, and no live one may be declared dead meanwhile: its calls would
+/// have to go elsewhere, which would make the loss larger than it is.
 #[test]
-fn a_mass_loss_takes_no_live_machine_with_it() {
+fn mass_loss_marks_no_live_machine_dead() {
     for nodes in SIZES {
         let mut fleet = fleet(nodes);
-        let lost = lose(&mut fleet, is_of_every_third);
+        let lost = power_off(&mut fleet, is_in_lost_third);
         fleet.run(Duration::from_secs(15));
         let live: Vec<usize> = (0..nodes).filter(|node| !lost.contains(node)).collect();
-        let dead = live.iter().filter(|about| {
-            let states = fleet.states(**about);
+        let dead = live.iter().filter(|subject| {
+            let states = fleet.states(**subject);
             states.contains(&Some(PeerState::Dead))
         });
         assert_eq!(dead.count(), 0, "{nodes} nodes");
     }
 }
 
-/// All machines start within moments, and each knows a few addresses. A node that does not know a server
-/// for long gives it nothing, and its callers wait behind fewer.
+/// All machines start at the same time, and each knows a few addresses. A node that does not know a
+/// server for long sends it no calls, and its callers queue for fewer servers.
 #[test]
-fn a_fleet_that_starts_at_once_knows_itself_within_seconds() {
+fn simultaneous_start_converges_within_seconds() {
     for nodes in SIZES {
         let mut fleet = Fleet::new(nodes as u64);
         let contacts: Vec<usize> = (0..nodes.min(32)).collect();
@@ -108,20 +112,21 @@
         }
         fleet.run(Duration::from_secs(8));
         let unknown = (0..nodes).flat_map(|at| {
-            let others = (0..nodes).filter(move |about| *about != at);
+            let others = (0..nodes).filter(move |subject| *subject != at);
             others
-                .filter(|about| fleet.state(at, *about) != Some(PeerState::Alive))
+                .filter(|subject| fleet.state(at, *subject) != Some(PeerState::Alive))
                 .collect::<Vec<_>>()
         });
         assert_eq!(unknown.count(), 0, "{nodes} nodes");
     }
 }
 
-/// All machines start at once and read each other's addresses. Each tells the others across regions, where
-/// bytes are billed; grown with the square of the fleet, a start would cost the users more than all else.
+/// All machines start at once and read each other's addresses. Each announces itself across
+/// regions, where traffic is billed. If the traffic per node grew in proportion to the fleet, i.e.
+/// the total with its square, a start would cost more than all other traffic.
 #[test]
-fn bytes_across_regions_at_a_start_grow_in_proportion() {
-    let of_a_node = |nodes: usize| {
+fn cross_region_bytes_at_start_grow_linearly_with_fleet_size() {
+    let bytes_per_node = |nodes: usize| {
         let mut fleet = Fleet::new(nodes as u64);
         for number in 0..nodes {
             fleet.start(instance(number, SERVICES, REGIONS), &[]);
@@ -131,9 +136,9 @@
             fleet.add_contacts(number, &addrs);
         }
         fleet.run(Duration::from_secs(12));
-        let far: u64 = fleet.nodes.iter().map(|node| node.far_bytes).sum();
-        far / nodes as u64
+        let cross_region_bytes: u64 = fleet.nodes.iter().map(|node| node.cross_region_bytes).sum();
+        cross_region_bytes / nodes as u64
     };
-    let (small, large) = (of_a_node(45), of_a_node(195));
+    let (small, large) = (bytes_per_node(45), bytes_per_node(195));
     assert!(large * 2 <= small * 3, "{small} and {large} bytes a node");
 }
--- a/crates/membership/tests/probes.rs
+++ b/crates/membership/tests/probes.rs
@@ -1,4 +1,4 @@
-//! Who is held for what, after faults.
+//! The states in which nodes have each other after faults.
 
 mod common;
 
@@ -17,8 +17,8 @@
 const DEAD: Option<PeerState> = Some(PeerState::Dead);
 const LEAVING: Option<PeerState> = Some(PeerState::Leaving);
 
-fn check(fleet: &Fleet, about: usize, expected: &[Option<PeerState>]) {
-    assert_eq!(fleet.states(about), expected, "node {about}");
+fn check(fleet: &Fleet, subject: usize, expected: &[Option<PeerState>]) {
+    assert_eq!(fleet.states(subject), expected, "node {subject}");
 }
 
 fn secs(secs: u64) -> Duration {
@@ -26,19 +26,19 @@
 }
 
 #[test]
-fn a_quiet_fleet_holds_all_for_alive() {
+fn healthy_fleet_considers_all_nodes_alive() {
     let mut fleet = Fleet::listed(1, 24);
     fleet.run(secs(60));
-    for about in 0..24 {
-        check(&fleet, about, &[ALIVE]);
+    for subject in 0..24 {
+        check(&fleet, subject, &[ALIVE]);
     }
     assert_eq!(fleet.evicted(), []);
 }
 
 #[test]
-fn a_killed_instance_is_found_dead_everywhere() {
-    // A process is killed and says nothing any more. Calls to it would each wait for a connection
-    // that nobody accepts.
+fn killed_instance_is_dead_at_all_nodes() {
+    // A process is killed and no longer answers. Calls to it would each wait for a connection that
+    // is never accepted.
     let mut fleet = Fleet::listed(2, 24);
     fleet.run(secs(10));
     fleet.nodes[5].up = false;
@@ -47,26 +47,26 @@
 }
 
 #[test]
-fn loss_kills_nobody() {
-    // A tenth of all datagrams is lost. If that made live peers dead, load would be pushed to the
-    // rest of them, which makes more loss.
+fn packet_loss_marks_no_live_node_dead() {
+    // A tenth of all datagrams is lost. If that marked live peers as dead, load would move to the
+    // remaining ones, which causes more loss.
     let mut fleet = Fleet::listed(3, 24);
-    fleet.loss = 0.1;
+    fleet.loss_rate = 0.1;
     fleet.run(secs(120));
-    fleet.loss = 0.0;
+    fleet.loss_rate = 0.0;
     fleet.run(secs(10));
-    for about in 0..24 {
-        check(&fleet, about, &[ALIVE]);
+    for subject in 0..24 {
+        check(&fleet, subject, &[ALIVE]);
     }
     assert_eq!(fleet.evicted(), []);
 }
 
 #[test]
-fn a_pair_that_cannot_talk_is_helped_by_the_others() {
-    // One path is broken in one direction, all others are fine. Without probes through others one
-    // end would have the other one evicted, though everybody else reaches it.
+fn indirect_probes_cover_a_broken_path() {
+    // One path is broken in one direction, all others work. Without indirect probes, one end would
+    // have the other evicted although all other nodes reach it.
     let mut fleet = Fleet::listed(4, 12);
-    fleet.cut = Box::new(|from, to| from == 0 && to == 2);
+    fleet.drops = Box::new(|from, to| from == 0 && to == 2);
     fleet.run(secs(60));
     check(&fleet, 2, &[ALIVE]);
     check(&fleet, 0, &[ALIVE]);
@@ -74,9 +74,10 @@
 }
 
 #[test]
-fn a_paused_instance_comes_back() {
-    // A process is stopped for half a minute and goes on. It is held for dead meanwhile, by itself
-    // everybody else is; if the verdict stood, a good instance would never get work again.
+fn paused_instance_is_alive_again_after_resume() {
+    // A process is paused for half a minute. Meanwhile the others consider it dead, and it
+    // considers all others dead. If these states were final, a working instance would never get
+    // work again.
     let mut fleet = Fleet::listed(5, 12);
     fleet.run(secs(10));
     fleet.nodes[3].up = false;
@@ -85,19 +86,19 @@
     fleet.nodes[3].up = true;
     fleet.run(secs(20));
     check(&fleet, 3, &[ALIVE]);
-    for about in 0..12 {
-        check(&fleet, about, &[ALIVE]);
+    for subject in 0..12 {
+        check(&fleet, subject, &[ALIVE]);
     }
 }
 
 #[test]
-fn regions_that_were_apart_find_each_other_again() {
-    // The regions lose each other for ten minutes, and an instance starts in each. Both sides hold
-    // the other for dead, and neither has ever heard of the other's newcomer. Once the path is back
-    // all have to be in use again, without the log.
+fn partitioned_regions_rejoin_without_the_log() {
+    // The regions are partitioned for ten minutes, and an instance starts in each. Both sides
+    // consider the other dead, and neither has heard of the other's new instance. Once the path is
+    // restored all of them must be used again, without the log.
     let mut fleet = Fleet::listed(6, 12);
     fleet.run(secs(5));
-    fleet.cut = Box::new(|from, to| from % 2 != to % 2);
+    fleet.drops = Box::new(|from, to| from % 2 != to % 2);
     fleet.run(secs(30));
     for number in [12, 13] {
         fleet.start(instance(number, 2, 2), &[number - 12]);
@@ -105,30 +106,30 @@
     fleet.run(secs(600));
     assert_eq!(fleet.state(0, 1), DEAD);
     assert_eq!(fleet.state(0, 13), None);
-    fleet.cut = Box::new(|_, _| false);
+    fleet.drops = Box::new(|_, _| false);
     fleet.run(secs(60));
-    for about in 0..14 {
-        check(&fleet, about, &[ALIVE]);
+    for subject in 0..14 {
+        check(&fleet, subject, &[ALIVE]);
     }
 }
 
 #[test]
-fn instances_that_start_in_an_outage_of_the_log_find_each_other() {
-    // The log is down, so nobody is on a roster. Each node has one contact, which may not have
-    // started yet.
+fn instances_started_without_the_log_discover_each_other() {
+    // The log is unavailable, so no node is on a roster. Each node has one contact, which may not
+    // have started yet.
     let mut fleet = Fleet::new(7);
     for number in 0..9 {
         fleet.start(instance(number, 3, 3), &[(number + 4) % 9]);
         fleet.run(Duration::from_millis(700));
     }
     fleet.run(secs(30));
-    for about in 0..9 {
-        check(&fleet, about, &[ALIVE]);
+    for subject in 0..9 {
+        check(&fleet, subject, &[ALIVE]);
     }
 }
 
 #[test]
-fn a_contact_where_nobody_is_tells_nothing() {
+fn unreachable_contact_adds_no_peer() {
     let mut fleet = Fleet::new(8);
     fleet.start(instance(0, 1, 1), &[5]);
     fleet.run(secs(30));
@@ -136,25 +137,25 @@
 }
 
 #[test]
-fn a_restart_at_the_same_address_ends_the_earlier_incarnation() {
-    // A process is killed and another one is there before anybody noticed. It answers the probes,
-    // but has forgotten all that its predecessor knew; calls meant for that one must not count on
-    // it.
+fn restart_at_same_address_ends_previous_incarnation() {
+    // A process is killed and another one starts at its address before the loss is detected. It
+    // answers the probes but has none of its predecessor's state, so calls meant for the
+    // predecessor must not be sent to it.
     let mut fleet = Fleet::listed(9, 12);
     fleet.run(secs(5));
     fleet.nodes[4].up = false;
-    let mut newcomer = instance(4, 2, 2);
-    newcomer.incarnation = Incarnation(77);
-    let newcomer = fleet.start(newcomer, &[0]);
+    let mut new_node = instance(4, 2, 2);
+    new_node.incarnation = Incarnation(77);
+    let new_node = fleet.start(new_node, &[0]);
     fleet.run(secs(20));
     check(&fleet, 4, &[DEAD]);
-    check(&fleet, newcomer, &[ALIVE]);
+    check(&fleet, new_node, &[ALIVE]);
 }
 
 #[test]
-fn an_answer_from_another_incarnation_ends_the_earlier_one() {
-    // A newcomer says that it is at a known peer's address. That alone may be an old message; its
-    // answer to a ping is not, and from then on nobody may count on the earlier one.
+fn ack_from_new_incarnation_ends_previous_one() {
+    // A new incarnation announces a known peer's address as its own. That may be an old message;
+    // its ack to a ping is not, and from then on no node may use the previous incarnation.
     let mut fleet = Fleet::listed(14, 2);
     fleet.run(Duration::from_millis(100));
     fleet.nodes[1].up = false;
@@ -190,14 +191,14 @@
     };
     fleet.deliver(0, addr(1), ack);
     assert_eq!(fleet.state(0, 1), DEAD);
-    let newcomer = fleet.nodes[0].members.get(Incarnation(77));
-    assert!(newcomer.is_some_and(|peer| peer.state == PeerState::Alive));
+    let new_node = fleet.nodes[0].members.get(Incarnation(77));
+    assert!(new_node.is_some_and(|peer| peer.state == PeerState::Alive));
 }
 
 #[test]
-fn a_late_rumour_of_an_ended_incarnation_is_not_believed() {
-    // News of an incarnation arrives after it was replaced at its address. Taking the newest rumour
-    // for the newest incarnation would send calls to one that is not there.
+fn late_update_about_ended_incarnation_is_ignored() {
+    // An update about an incarnation arrives after that was replaced at its address. Treating the
+    // latest update as the latest incarnation would send calls to one that no longer exists.
     let mut fleet = Fleet::listed(10, 6);
     fleet.run(secs(5));
     let mut old = instance(4, 2, 2);
@@ -226,29 +227,30 @@
 }
 
 #[test]
-fn a_newcomer_knows_everybody_within_seconds() {
-    // An instance starts in an outage of the log. All news about the others is long over, and its
-    // calls can go only where it knows somebody.
+fn new_node_knows_all_peers_within_seconds() {
+    // An instance starts while the log is unavailable. Updates about the others are no longer sent,
+    // and its calls can go only to peers it knows.
     let mut fleet = Fleet::new(15);
     for number in 0..48 {
         fleet.start(instance(number, 20, 2), &[0]);
     }
     fleet.run(secs(60));
-    let newcomer = fleet.start(instance(48, 20, 2), &[7]);
+    let new_node = fleet.start(instance(48, 20, 2), &[7]);
     fleet.run(secs(8));
-    assert_eq!(fleet.nodes[newcomer].members.peers().count(), 48);
+    assert_eq!(fleet.nodes[new_node].members.peers().count(), 48);
 }
 
 #[test]
-fn who_was_paused_does_not_take_others_for_dead() {
-    // A process is frozen while it suspects others, and wakes up when all the time that they had
-    // is over. Their answers are still in its socket; its first act would be to declare them dead.
+fn resumed_node_does_not_declare_suspects_dead() {
+    // A process is paused while it suspects others, and resumes when their time to refute is over.
+    // Their answers are still in its socket, so without restarting its timers it would declare them
+    // dead at once.
     let mut fleet = Fleet::listed(16, 24);
     fleet.run(secs(5));
-    fleet.loss = 0.6;
+    fleet.loss_rate = 0.6;
     fleet.run(secs(4));
-    fleet.loss = 0.0;
-    let suspects = (1..24).filter(|about| fleet.state(0, *about) == Some(PeerState::Suspect));
+    fleet.loss_rate = 0.0;
+    let suspects = (1..24).filter(|subject| fleet.state(0, *subject) == Some(PeerState::Suspect));
     assert!(suspects.count() > 0);
     let died = fleet.nodes[0].died;
     fleet.nodes[0].up = false;
@@ -259,7 +261,7 @@
 }
 
 #[test]
-fn who_leaves_tells_those_in_touch_at_once() {
+fn leaving_node_notifies_recent_contacts_at_once() {
     let mut fleet = Fleet::listed(17, 12);
     fleet.run(secs(20));
     fleet.leave(7);
@@ -268,21 +270,22 @@
 }
 
 #[test]
-fn who_leaves_is_known_everywhere_within_three_seconds_though_messages_are_lost() {
-    // A planned stop announces itself, and a third of all datagrams is lost. A node that missed it
-    // would go on choosing the instance, and each such call costs a redirect.
+fn leave_reaches_all_nodes_within_three_seconds_despite_loss() {
+    // A planned stop is announced while a third of all datagrams is lost. A node that missed it
+    // would still choose the instance, and each such call costs a redirect.
     let mut fleet = Fleet::listed(11, 96);
     fleet.run(secs(5));
-    fleet.loss = 0.33;
+    fleet.loss_rate = 0.33;
     fleet.leave(7);
     fleet.run(secs(3));
     check(&fleet, 7, &[LEAVING]);
 }
 
 #[test]
-fn who_the_log_dropped_gets_nothing_new_and_stays_reachable() {
-    // An instance has said to the log that it leaves, and still finishes what it has in flight. Its
-    // answers and calls need its address, and rumours of its being alive must not bring it back.
+fn unlisted_instance_gets_no_new_work_but_stays_reachable() {
+    // An instance has written its departure to the log and still finishes its work in flight. Its
+    // answers and calls need its address, and updates that say it is alive must not make it usable
+    // again.
     let mut fleet = Fleet::listed(12, 6);
     fleet.run(secs(5));
     let roster: Vec<_> = (0..5).map(|number| instance(number, 2, 2)).collect();
@@ -299,16 +302,16 @@
 }
 
 #[test]
-fn datagrams_are_bounded_however_much_there_is_to_say() {
+fn datagram_size_is_bounded() {
     let mut fleet = Fleet::new(13);
     for number in 0..150 {
         fleet.start(instance(number, 20, 2), &[0]);
     }
     fleet.run(secs(20));
-    let largest = fleet.nodes.iter().map(|node| node.largest).max();
+    let largest_datagram = fleet.nodes.iter().map(|node| node.largest_datagram).max();
     assert!(
-        largest.is_some_and(|largest| largest <= 1200),
-        "{largest:?}"
+        largest_datagram.is_some_and(|largest_datagram| largest_datagram <= 1200),
+        "{largest_datagram:?}"
     );
     assert_eq!(fleet.nodes[149].members.peers().count(), 149);
 }
--- a/crates/once/src/runs.rs
+++ b/crates/once/src/runs.rs
@@ -21,14 +21,14 @@
 use stdx::Time;
 
 impl Home {
-    /// Begins a call with a key. `is_first_attempt` means that no earlier attempt with this key can
+    /// Begins a call with a key. `first_attempt` means that no earlier attempt with this key can
     /// have been made.
     pub fn begin(
         &mut self,
         now: Time,
         key: KeyHash,
         fingerprint: Fingerprint,
-        is_first_attempt: bool,
+        first_attempt: bool,
     ) -> BeginResult {
         if let Some(moved) = self.moved_runs.get(&key) {
             return moved.begin_result(fingerprint);
@@ -36,7 +36,7 @@
         if let Some(record) = self.records.get(key) {
             return begin_result(record, fingerprint);
         }
-        if let Some(begin) = self.check_slot(now, key.slot(), is_first_attempt) {
+        if let Some(begin) = self.check_slot(now, key.slot(), first_attempt) {
             return begin;
         }
         if self.lease_left(now).is_zero() {
@@ -145,7 +145,7 @@
 
     /// How to answer a call by the state of its slot; `None` if the slot is ready and its records
     /// are complete.
-    fn check_slot(&self, now: Time, slot: u16, is_first_attempt: bool) -> Option<BeginResult> {
+    fn check_slot(&self, now: Time, slot: u16, first_attempt: bool) -> Option<BeginResult> {
         let entry = &self.slots[usize::from(slot)];
         let listed = self
             .view
@@ -158,7 +158,7 @@
             // The view that moves the slot will follow.
             (None, Some(_)) if self.leaving && listed => Some(BeginResult::Wait),
             (None, Some(held)) => {
-                (now < held.uncertain_until && !is_first_attempt).then_some(BeginResult::Unknown)
+                (now < held.uncertain_until && !first_attempt).then_some(BeginResult::Unknown)
             }
         }
     }
--- a/crates/once/tests/common/mod.rs
+++ b/crates/once/tests/common/mod.rs
@@ -197,11 +197,11 @@
     }
 
     /// Makes a call with a key at a node. A run that starts completes after `self.run_time`.
-    pub fn call(&mut self, number: u64, key: KeyHash, is_first_attempt: bool) -> BeginResult {
+    pub fn call(&mut self, number: u64, key: KeyHash, first_attempt: bool) -> BeginResult {
         let now = self.now;
         let begin = self
             .home(number)
-            .begin(now, key, FINGERPRINT, is_first_attempt);
+            .begin(now, key, FINGERPRINT, first_attempt);
         if begin != BeginResult::Start {
             return begin;
         }
--- a/crates/once/tests/homes.rs
+++ b/crates/once/tests/homes.rs
@@ -120,8 +120,8 @@
     assert_ne!(cluster.call(new_home, key, true), BeginResult::Start);
 }
 
-/// Grants are delayed beyond the usable part of the lease. Counted from their arrival, they would keep
-/// alive a lease that the granters consider expired.
+/// Grants are delayed beyond the usable part of the lease. Counted from their arrival, they would
+/// keep alive a lease that the granters consider expired.
 #[test]
 fn delayed_grant_counts_from_request_time() {
     let mut cluster = Cluster::new(2);
