--- a/crates/once/examples/costs.rs
+++ b/crates/once/examples/costs.rs
@@ -17,7 +17,7 @@
         cluster.lease_bytes.clear();
         cluster.advance(ms(MINUTE));
         let bytes: usize = cluster.lease_bytes.values().sum();
-        let each = bytes as f64 * 1000.0 / (members * MINUTE) as f64;
+        let per_node = bytes as f64 * 1000.0 / (members * MINUTE) as f64;
         cluster.crash(members);
         cluster.depart(members, Departure::Evicted);
         let evicted = cluster.now;
@@ -26,7 +26,7 @@
         }
         let unavailable = cluster.now.since(evicted);
         println!(
-            "{members} members: {each:.0} lease bytes/s sent by a node, slots out {unavailable:?}"
+            "{members} members: {per_node:.0} lease bytes/s sent by a node, slots unavailable for {unavailable:?}"
         );
     }
     let mut cluster = Cluster::new(1);
--- a/crates/once/src/lease_rounds.rs
+++ b/crates/once/src/lease_rounds.rs
@@ -53,10 +53,10 @@
     pub fn on_lease(&mut self, now: Time, from: SocketAddr, message: LeaseMessage) -> Vec<Effect> {
         match message {
             LeaseMessage::Request {
-                from: asker,
+                from: requester,
                 view,
                 round,
-            } => self.on_request(now, from, asker, view, round),
+            } => self.on_request(now, from, requester, view, round),
             LeaseMessage::Grant { to, .. } if to != self.me => {}
             LeaseMessage::Grant {
                 from,
@@ -82,17 +82,17 @@
         &mut self,
         now: Time,
         addr: SocketAddr,
-        asker: Incarnation,
+        requester: Incarnation,
         view: u64,
         round: u64,
     ) {
-        self.note_peer_view(asker, view);
+        self.note_peer_view(requester, view);
         let Some(mine) = &self.view else {
             return;
         };
         let message = LeaseMessage::Grant {
             from: self.me,
-            to: asker,
+            to: requester,
             view: mine.number,
             fenced_below: self.fence.fenced_below(),
             round,
--- a/crates/once/src/runs.rs
+++ b/crates/once/src/runs.rs
@@ -91,7 +91,7 @@
                 Ok(left)
             }
             _ => {
-                debug_assert!(false, "a run starts once, from the queue");
+                debug_assert!(false, "a run that is not queued was started");
                 self.report_violation(InvariantViolation::RunNotInFlight(key));
                 Err(Reason::RecordLost)
             }
@@ -143,8 +143,8 @@
         std::mem::take(&mut self.effects)
     }
 
-    /// How to answer a call by the state of its slot; `None` if the slot is ready and its records
-    /// are complete.
+    /// How to answer a call by the state of its slot; `None` if the slot is ready and the call may
+    /// go ahead.
     fn check_slot(&self, now: Time, slot: u16, first_attempt: bool) -> Option<BeginResult> {
         let entry = &self.slots[usize::from(slot)];
         let listed = self
