--- a/crates/engine/src/freshness.rs
+++ b/crates/engine/src/freshness.rs
@@ -1,13 +1,13 @@
 //! The controller of the evidence that the rules here are the newest.
 
+use crate::Diagnostic;
 use crate::Engine;
-use crate::Note;
 use crate::Output;
-use organisation::Step;
+use organisation::FreshnessAction;
 use proto::Datagram;
 use proto::FreshnessMessage;
 use proto::PeerState;
-use proto::Progress;
+use proto::SyncProgress;
 use proto::PROTOCOL_VERSION;
 use rand::RngExt;
 use std::net::SocketAddr;
@@ -15,37 +15,43 @@
 use stdx::Time;
 
 /// So many of the first tries go to neighbours, the others to any node.
-const NEIGHBOURS_ASKED: u32 = 2;
+const OWN_DOMAIN_ATTEMPTS: u32 = 2;
 
 impl Engine {
     /// Evidence is needed only where a key can be revoked.
     fn needs_freshness(&self) -> bool {
-        self.cfg.revocation.is_some() && self.journal.rules.organisations.is_some()
+        self.cfg.revocation_bound.is_some() && self.journal.rules.organisations.is_some()
     }
 
     pub(crate) fn next_freshness_timer(&self) -> Option<Time> {
         if !self.needs_freshness() {
             return None;
         }
-        self.freshness.next_timer(self.leads)
+        self.freshness.next_timer(self.is_domain_leader)
     }
 
     pub(crate) fn tick_freshness(&mut self, now: Time) {
         if !self.needs_freshness() {
             return;
         }
-        self.note_trust(now);
-        let due = self.freshness.next_timer(self.leads);
+        self.log_key_trust_change(now);
+        let due = self.freshness.next_timer(self.is_domain_leader);
         if due.is_none_or(|due| now < due) {
             return;
         }
-        self.leads = self.members.is_domain_leader(now);
-        for step in self.freshness.tick(now, self.leads, &mut self.rng) {
+        self.is_domain_leader = self.members.is_domain_leader(now);
+        for step in self
+            .freshness
+            .tick(now, self.is_domain_leader, &mut self.rng)
+        {
             match step {
-                Step::AskStore => self.out.push(Output::CheckRules),
-                Step::AskPeer { number, attempt } => {
-                    if let Some(to) = self.freshness_source(attempt) {
-                        self.send_freshness(to, FreshnessMessage::Query { number });
+                FreshnessAction::QueryStore => self.outputs.push(Output::CheckRules),
+                FreshnessAction::QueryPeer {
+                    request_id: number,
+                    attempt,
+                } => {
+                    if let Some(to) = self.freshness_peer(attempt) {
+                        self.send_freshness(to, FreshnessMessage::Query { request_id: number });
                     }
                 }
             }
@@ -53,8 +59,8 @@
     }
 
     /// The nodes that lead the own failure domain, then any: the whole domain may be cut off from the store.
-    fn freshness_source(&mut self, attempt: u32) -> Option<SocketAddr> {
-        if attempt < NEIGHBOURS_ASKED {
+    fn freshness_peer(&mut self, attempt: u32) -> Option<SocketAddr> {
+        if attempt < OWN_DOMAIN_ATTEMPTS {
             let leader = self.members.domain_leader_candidate(attempt as usize);
             if let Some(leader) = leader {
                 return Some(leader.addr);
@@ -76,33 +82,33 @@
         message: FreshnessMessage,
     ) {
         match message {
-            FreshnessMessage::Query { number } => {
+            FreshnessMessage::Query { request_id: number } => {
                 // A node without evidence says so, so that another is asked at once.
                 let age = self.freshness.age(now).unwrap_or(Duration::MAX);
                 let age_ms = age.as_millis().saturating_add(1);
                 let report = FreshnessMessage::Report {
-                    number,
+                    request_id: number,
                     rules: self.journal.version,
                     age_ms: u32::try_from(age_ms).unwrap_or(u32::MAX),
                 };
                 self.send_freshness(from, report);
             }
             FreshnessMessage::Report {
-                number,
+                request_id: number,
                 rules,
                 age_ms,
             } => {
                 if rules > self.journal.version {
                     // What was confirmed there are not the rules that are held here.
-                    let theirs = Progress {
-                        version: rules,
-                        next: self.journal.next,
+                    let theirs = SyncProgress {
+                        rules_version: rules,
+                        next_offset: self.journal.next_offset,
                     };
                     return self.on_peer_progress(now, from, theirs);
                 }
                 let age = Duration::from_millis(age_ms.into());
                 self.freshness.on_report(now, number, age);
-                self.note_trust(now);
+                self.log_key_trust_change(now);
             }
         }
     }
@@ -113,7 +119,7 @@
             return self.on_rules_unchecked(now);
         }
         self.freshness.on_store_confirmed(asked);
-        self.note_trust(now);
+        self.log_key_trust_change(now);
     }
 
     pub(crate) fn on_rules_unchecked(&mut self, now: Time) {
@@ -121,12 +127,12 @@
     }
 
     /// Writes down when keys begin or cease to be trusted.
-    fn note_trust(&mut self, now: Time) {
+    fn log_key_trust_change(&mut self, now: Time) {
         let trusts = self.freshness.may_trust(now);
-        if trusts == std::mem::replace(&mut self.trusts_keys, trusts) {
+        if trusts == std::mem::replace(&mut self.keys_were_trusted, trusts) {
             return;
         }
-        self.out.push(Output::Note(Note::Keys {
+        self.outputs.push(Output::Diagnostic(Diagnostic::Keys {
             trusted: trusts,
             rules: self.journal.version,
             age: self.freshness.age(now),
@@ -138,6 +144,6 @@
             version: PROTOCOL_VERSION,
             message,
         };
-        self.out.push(Output::Datagram { to, datagram });
+        self.outputs.push(Output::Datagram { to, datagram });
     }
 }
--- a/crates/engine/src/hedge.rs
+++ b/crates/engine/src/hedge.rs
@@ -5,12 +5,12 @@
 //! delivered. A second attempt is a retry and takes its place in all bounds of retries.
 
 use crate::job::JobOwner;
-use crate::outgoing::Earlier;
-use crate::outgoing::Outgoing;
+use crate::outgoing::EarlierAttempt;
+use crate::outgoing::OutgoingCall;
 use crate::timers::Timer;
 use crate::Counter;
 use crate::Engine;
-use policy::Ended;
+use policy::WorkOutcome;
 use proto::Answer;
 use proto::CallId;
 use proto::Frame;
@@ -22,7 +22,7 @@
 impl Engine {
     /// Has this node look again when a run on its server takes longer than others. Only reads that make no
     /// calls are sent twice: a second run of a whole tree costs more than it saves.
-    pub(crate) fn watch_run(&mut self, now: Time, run: RunId) {
+    pub(crate) fn set_hedge_timer(&mut self, now: Time, run: RunId) {
         let Some(job) = self.jobs.get_mut(&run) else {
             return;
         };
@@ -47,30 +47,30 @@
             return;
         };
         if let JobOwner::Call(id) = job.owner {
-            if !job.cancelled && job.waiting.is_empty() {
-                self.send_to(id.from, Frame::Late(id));
+            if !job.cancelled && job.pending_children.is_empty() {
+                self.send_to(id.from, Frame::SlowCall(id));
             }
         }
     }
 
     /// Learns how long runs of an operation take here.
-    pub(crate) fn learn_run(&mut self, now: Time, run: RunId, ended: Ended) {
-        let Ended::Whole { took, .. } = ended else {
+    pub(crate) fn record_run_time(&mut self, now: Time, run: RunId, ended: WorkOutcome) {
+        let WorkOutcome::Completed { elapsed: took, .. } = ended else {
             return;
         };
         let operation = self.jobs.get(&run).and_then(|job| job.operation.clone());
         if let Some(operation) = operation {
-            self.admission.learn_run(now, &operation, took);
+            self.admission.record_run_time(now, &operation, took);
         }
     }
 
     /// A call is late where it runs.
-    pub(crate) fn on_late(&mut self, now: Time, id: CallId) {
+    pub(crate) fn on_late_notice(&mut self, now: Time, id: CallId) {
         let Some(mut call) = self.calls.swap_remove(&id) else {
             return;
         };
         let may = call.idempotent && call.key.is_none() && call.earlier.is_none();
-        if !may || !self.may_retry(now, &mut call) {
+        if !may || !self.try_spend_retry(now, &mut call) {
             self.calls.insert(id, call);
             return;
         }
@@ -80,8 +80,8 @@
             return;
         };
         self.count(Counter::Hedge);
-        self.timers.clear(call.deadline, Timer::Deadline(id));
-        call.earlier = Some(Earlier {
+        self.timers.clear(call.deadline, Timer::CallDeadline(id));
+        call.earlier = Some(EarlierAttempt {
             id,
             target: call.target.clone(),
             lent: call.lent,
@@ -92,8 +92,8 @@
 
     /// Looks at an answer to an attempt after which another one was sent. A whole one takes the later
     /// attempt's place; any other is dropped while that one is under way.
-    pub(crate) fn drops_answer_of_earlier(&mut self, id: CallId, answer: &Answer) -> bool {
-        let Some(later) = self.earlier.swap_remove(&id) else {
+    pub(crate) fn discards_original_answer(&mut self, id: CallId, answer: &Answer) -> bool {
+        let Some(later) = self.hedged_attempts.swap_remove(&id) else {
             return false;
         };
         let Some(call) = self.calls.get_mut(&later) else {
@@ -102,22 +102,27 @@
         let Some(earlier) = call.earlier.take() else {
             return true;
         };
-        if !matches!(answer.outcome, Outcome::Whole(_)) {
+        if !matches!(answer.outcome, Outcome::Completed(_)) {
             self.selector.on_ended(earlier.target.incarnation);
             return true;
         }
-        self.count(Counter::LateAnswerFirst);
+        self.count(Counter::OriginalAnsweredFirst);
         if let Some(call) = self.take_call(later) {
             self.send(&call.target, Frame::Cancel(later));
-            self.await_earlier(call, earlier);
+            self.track_original(call, earlier);
         }
         false
     }
 
     /// Whether the earlier attempt may still bring what the later one did not.
-    pub(crate) fn waits_for_earlier(&self, now: Time, call: &Outgoing, outcome: &Outcome) -> bool {
+    pub(crate) fn awaits_original(
+        &self,
+        now: Time,
+        call: &OutgoingCall,
+        outcome: &Outcome,
+    ) -> bool {
         let is_over = match outcome {
-            Outcome::Whole(_) => true,
+            Outcome::Completed(_) => true,
             Outcome::Unknown(reason) => matches!(reason, Reason::Deadline | Reason::CallerGone),
             Outcome::NotRun(_) => false,
         };
@@ -125,25 +130,26 @@
     }
 
     /// The later attempt has failed: the call waits for the earlier one again.
-    pub(crate) fn resume_earlier(&mut self, mut call: Outgoing, earlier: Earlier) {
-        self.earlier.swap_remove(&earlier.id);
-        call.maybe_ran = true;
-        self.await_earlier(call, earlier);
+    pub(crate) fn resume_original(&mut self, mut call: OutgoingCall, earlier: EarlierAttempt) {
+        self.hedged_attempts.swap_remove(&earlier.id);
+        call.may_have_run = true;
+        self.track_original(call, earlier);
     }
 
-    fn await_earlier(&mut self, mut call: Outgoing, earlier: Earlier) {
+    fn track_original(&mut self, mut call: OutgoingCall, earlier: EarlierAttempt) {
         call.target = earlier.target;
         call.lent = earlier.lent;
-        if let Some(open) = self.open.get_mut(&call.token) {
+        if let Some(open) = self.open_requests.get_mut(&call.token) {
             open.call = earlier.id;
         }
-        self.timers.set(call.deadline, Timer::Deadline(earlier.id));
+        self.timers
+            .set(call.deadline, Timer::CallDeadline(earlier.id));
         self.calls.insert(earlier.id, call);
     }
 
     /// Nobody waits for the earlier attempt any more.
-    pub(crate) fn drop_earlier(&mut self, earlier: Earlier) {
-        self.earlier.swap_remove(&earlier.id);
+    pub(crate) fn cancel_original(&mut self, earlier: EarlierAttempt) {
+        self.hedged_attempts.swap_remove(&earlier.id);
         self.selector.on_ended(earlier.target.incarnation);
         self.send(&earlier.target, Frame::Cancel(earlier.id));
     }
--- a/crates/engine/src/entry.rs
+++ b/crates/engine/src/ingress.rs
@@ -3,19 +3,19 @@
 use crate::job::JobOwner;
 use crate::operation_key::operation_key;
 use crate::request::Arrival;
-use crate::request::Draft;
 use crate::request::OpenRequest;
-use crate::request::Parents;
-use crate::request::Refused;
+use crate::request::ParentInfo;
+use crate::request::RefusedRequest;
+use crate::request::RequestDraft;
 use crate::Counter;
+use crate::Diagnostic;
 use crate::Engine;
-use crate::Keyless;
-use crate::Note;
+use crate::KeylessCalls;
 use crate::Output;
-use crate::Token;
+use crate::RequestToken;
 use crate::TreeRetries;
-use organisation::Credit;
-use policy::Account;
+use organisation::QuotaToken;
+use policy::RetryAllowance;
 use proto::ActionId;
 use proto::CallId;
 use proto::Fingerprint;
@@ -26,8 +26,8 @@
 use proto::Request;
 use proto::RunId;
 use rand::RngExt;
+use rules::MatchedRule;
 use rules::Operation;
-use rules::Rule;
 use std::sync::Arc;
 use std::time::Duration;
 use stdx::Time;
@@ -36,13 +36,15 @@
     pub(crate) fn on_request(&mut self, now: Time, mut arrival: Arrival) {
         let dice = self.rng.random();
         let admitted = self
-            .filter_state(&mut arrival.request, dice)
+            .filter_rules(&mut arrival.request, dice)
             .and_then(|operation| self.filter_identity(now, &mut arrival, operation));
         match admitted {
-            Ok((operation, None)) => self.enter(now, arrival, operation, dice, None),
+            Ok((operation, None)) => self.process_arrival(now, arrival, operation, dice, None),
             Ok((operation, Some((organisation, quota)))) => {
-                match self.quota.borrower.take(now, organisation, quota) {
-                    Some(credit) => self.enter(now, arrival, operation, dice, Some(credit)),
+                match self.quota.borrower.try_spend(now, organisation, quota) {
+                    Some(credit) => {
+                        self.process_arrival(now, arrival, operation, dice, Some(credit))
+                    }
                     None => self.wait_for_quota(now, arrival, organisation),
                 }
             }
@@ -51,13 +53,13 @@
     }
 
     /// Admits a request that has waited for its organisation's quota. The rules may have changed meanwhile.
-    pub(crate) fn on_credit(&mut self, now: Time, mut arrival: Arrival, credit: Credit) {
+    pub(crate) fn on_quota_granted(&mut self, now: Time, mut arrival: Arrival, credit: QuotaToken) {
         let dice = self.rng.random();
         let admitted = self
-            .filter_state(&mut arrival.request, dice)
+            .filter_rules(&mut arrival.request, dice)
             .and_then(|operation| self.filter_identity(now, &mut arrival, operation));
         match admitted {
-            Ok((operation, _)) => self.enter(now, arrival, operation, dice, Some(credit)),
+            Ok((operation, _)) => self.process_arrival(now, arrival, operation, dice, Some(credit)),
             Err(reason) => {
                 self.return_credit(now, Some(credit));
                 self.refuse_arrival(&arrival, reason);
@@ -65,13 +67,13 @@
         }
     }
 
-    fn enter(
+    fn process_arrival(
         &mut self,
         now: Time,
         arrival: Arrival,
         operation: Operation,
         dice: u16,
-        credit: Option<Credit>,
+        credit: Option<QuotaToken>,
     ) {
         let Arrival {
             token,
@@ -79,21 +81,21 @@
             caller,
             parents,
             key,
-            patience,
+            caller_timeout: patience,
             request,
             ..
         } = arrival;
         self.count(Counter::Request(operation.class));
-        let refused = Refused::new(token, key.is_some(), &request);
+        let refused = RefusedRequest::new(token, key.is_some(), &request);
         let latest = at + operation.deadline;
         let patience = patience.map(|patience| patience.saturating_sub(now.since(at)));
         let draft = self
             .filter_context(now, token, parents, dice, operation, request)
-            .map(|draft| shorten(draft, now, patience, latest))
+            .map(|draft| limit_deadline(draft, now, patience, latest))
             .and_then(|draft| self.filter_key(draft, &caller, key));
         match draft {
             Ok(draft) => {
-                let draft = Draft { credit, ..draft };
+                let draft = RequestDraft { credit, ..draft };
                 match self.filter_resend(now, &caller, draft) {
                     Some(draft) => self.open_request(now, draft),
                     // It has its answer, or waits for that to another request.
@@ -108,12 +110,12 @@
     }
 
     fn refuse_arrival(&mut self, arrival: &Arrival, reason: Reason) {
-        self.refuse_unopened(Refused::from(arrival), self.refusal(reason));
+        self.refuse_unopened(RefusedRequest::from(arrival), self.refusal(reason));
     }
 
     /// Refuses a request that no record was looked at for.
-    pub(crate) fn refuse_unopened(&mut self, refused: Refused, refusal: Refusal) {
-        let Refused {
+    pub(crate) fn refuse_unopened(&mut self, refused: RefusedRequest, refusal: Refusal) {
+        let RefusedRequest {
             token,
             request,
             organisation,
@@ -121,13 +123,13 @@
         } = refused;
         let reason = refusal.reason;
         // Nobody has looked whether an earlier attempt with this key ran.
-        let unjudged = keyed && !reason.is_callers_mistake();
+        let unjudged = keyed && !reason.is_client_error();
         let refusal = if unjudged {
-            refusal.of_this_attempt()
+            refusal.for_attempt_only()
         } else {
             refusal
         };
-        self.out.push(Output::Note(Note::Refused {
+        self.outputs.push(Output::Diagnostic(Diagnostic::Refused {
             request,
             organisation,
             reason,
@@ -137,16 +139,16 @@
     }
 
     /// Refuses what this node cannot judge or no rule allows.
-    fn filter_state(&mut self, request: &mut Request, dice: u16) -> Result<Operation, Reason> {
+    fn filter_rules(&mut self, request: &mut Request, dice: u16) -> Result<Operation, Reason> {
         if !self.has_rules() {
             return Err(Reason::NoRules);
         }
-        if self.open.len() >= self.cfg.max_calls {
+        if self.open_requests.len() >= self.cfg.max_open_requests {
             return Err(Reason::TableFull);
         }
         let rules = &self.journal.rules;
-        let rule = rules.decide(request).ok_or(Reason::NoSuchOperation)?;
-        if let Rule::Route(route) = rule {
+        let rule = rules.match_rule(request).ok_or(Reason::NoSuchOperation)?;
+        if let MatchedRule::Route(route) = rule {
             request.service = route.target(dice).clone();
         }
         let mut operation = rule.operation().clone();
@@ -160,32 +162,34 @@
     fn filter_context(
         &mut self,
         now: Time,
-        token: Token,
-        parents: Parents,
+        token: RequestToken,
+        parents: ParentInfo,
         dice: u16,
         operation: Operation,
         request: Request,
-    ) -> Result<Draft, Reason> {
+    ) -> Result<RequestDraft, Reason> {
         let run = match parents {
-            Parents {
+            ParentInfo {
                 context: Some(context),
                 ..
             } => Some(RunId::parse(&context).ok_or(Reason::BadRequest)?),
-            Parents { parent, .. } => parent.and_then(|id| self.jobs_by_id.get(&id).copied()),
+            ParentInfo { parent, .. } => {
+                parent.and_then(|id| self.jobs_by_request_id.get(&id).copied())
+            }
         };
         let Some(run) = run else {
-            return self.root(now, token, dice, operation, request);
+            return self.root_draft(now, token, dice, operation, request);
         };
         let job = self.jobs.get_mut(&run).ok_or(Reason::ParentGone)?;
         if job.depth >= self.cfg.max_depth {
             return Err(Reason::BadRequest);
         }
-        if job.again && !job.account.spend() {
+        if job.again && !job.account.try_withdraw() {
             return Err(Reason::AllowanceSpent);
         }
-        let lent = job.account.lend();
-        let (class, priority) = job.standing_of_child(&operation);
-        Ok(Draft {
+        let lent = job.account.delegate_half();
+        let (class, priority) = job.child_class_and_priority(&operation);
+        Ok(RequestDraft {
             token,
             action: job.action,
             dice: job.dice,
@@ -194,33 +198,33 @@
             passed_level: job.passed_level,
             depth: job.depth + 1,
             deadline: job.deadline.min(now + operation.deadline),
-            account: Account::new(lent),
+            account: RetryAllowance::new(lent),
             parent: Some(run),
             lent,
             key: None,
             fresh: false,
-            made_key: None,
+            generated_key: None,
             again: job.again,
             credit: None,
-            sent: None,
+            request_hash: None,
             operation,
             request,
         })
     }
 
-    fn root(
+    fn root_draft(
         &mut self,
         now: Time,
-        token: Token,
+        token: RequestToken,
         dice: u16,
         operation: Operation,
         request: Request,
-    ) -> Result<Draft, Reason> {
+    ) -> Result<RequestDraft, Reason> {
         // A planned stop still finishes its runs, whose child calls come with a context.
-        if self.stopping && now >= self.lingers_until {
+        if self.stopping && now >= self.accepts_until {
             return Err(Reason::Draining);
         }
-        Ok(Draft {
+        Ok(RequestDraft {
             token,
             action: ActionId(self.rng.random()),
             dice: self.admission.dice(&operation, dice),
@@ -229,15 +233,15 @@
             passed_level: 0,
             depth: 0,
             deadline: now + operation.deadline,
-            account: Account::new(self.tree_retries(&operation)),
+            account: RetryAllowance::new(self.tree_retries(&operation)),
             parent: None,
             lent: 0,
             key: None,
             fresh: false,
-            made_key: None,
+            generated_key: None,
             again: false,
             credit: None,
-            sent: None,
+            request_hash: None,
             operation,
             request,
         })
@@ -246,7 +250,7 @@
     /// The retries of an action that begins with this operation.
     fn tree_retries(&self, operation: &Operation) -> u16 {
         match self.cfg.tree_retries {
-            TreeRetries::ByCalls(calls_each) if operation.retries > 0 => {
+            TreeRetries::ScaledByCalls(calls_each) if operation.retries > 0 => {
                 let calls = self.admission.calls_below(&operation_key(operation));
                 operation.retries + calls.div_ceil(calls_each.max(1))
             }
@@ -257,16 +261,16 @@
     /// Gives a non-idempotent call its key.
     fn filter_key(
         &mut self,
-        mut draft: Draft,
+        mut draft: RequestDraft,
         caller: &str,
         key: Option<Arc<str>>,
-    ) -> Result<Draft, Reason> {
+    ) -> Result<RequestDraft, Reason> {
         if draft.operation.idempotent {
             return Ok(draft);
         }
         if key
             .as_ref()
-            .is_some_and(|key| key.is_empty() || key.len() > self.cfg.max_key)
+            .is_some_and(|key| key.is_empty() || key.len() > self.cfg.max_key_len)
         {
             return Err(Reason::BadKey);
         }
@@ -274,7 +278,8 @@
         let service = draft.request.service.clone();
         // A keyed run may be asked for again, and its second attempt must not make new children.
         let parent_keyed = draft.parent.is_some_and(|run| self.is_first_run(run));
-        if key.is_none() && !parent_keyed && self.cfg.keyless == Keyless::Own {
+        if key.is_none() && !parent_keyed && self.cfg.keyless_calls == KeylessCalls::OwnedByIngress
+        {
             return Ok(draft);
         }
         let key = match (draft.parent, key) {
@@ -289,7 +294,7 @@
             },
             (None, None) => {
                 let text: Arc<str> = format!("{:032x}", self.rng.random::<u128>()).into();
-                draft.made_key = Some(text.clone());
+                draft.generated_key = Some(text.clone());
                 draft.fresh = true;
                 IdempotencyKey {
                     caller: caller.into(),
@@ -299,7 +304,7 @@
             }
         };
         if draft.parent.is_none() {
-            draft.action = key.action();
+            draft.action = key.action_id();
         }
         draft.key = Some((key.hash(), fingerprint));
         Ok(draft)
@@ -332,7 +337,7 @@
             Some(key) => key,
             None => {
                 let nth = job
-                    .children
+                    .child_counts
                     .entry((service.clone(), fingerprint))
                     .or_insert(0);
                 *nth += 1;
@@ -340,98 +345,103 @@
             }
         };
         IdempotencyKey {
-            caller: job.path.clone(),
+            caller: job.child_key_scope.clone(),
             service,
             text,
         }
     }
 
-    fn open_request(&mut self, now: Time, draft: Draft) {
+    fn open_request(&mut self, now: Time, draft: RequestDraft) {
         let token = draft.token;
         let open = OpenRequest {
             call: CallId {
-                from: self.me.incarnation,
+                from: self.own_instance.incarnation,
                 number: 0,
             },
             parent: draft.parent,
             lent: draft.lent,
-            made_key: draft.made_key.clone(),
+            generated_key: draft.generated_key.clone(),
             operation: draft.operation.clone(),
             credit: draft.credit,
-            sent: draft.sent,
+            request_hash: draft.request_hash,
             followers: Vec::new(),
         };
-        self.open.insert(token, open);
+        self.open_requests.insert(token, open);
         if let Some(job) = draft.parent.and_then(|run| self.jobs.get_mut(&run)) {
-            job.child_began(now, token);
+            job.on_child_started(now, token);
         }
-        self.route_first(now, draft);
+        self.start_call(now, draft);
     }
 
     /// Ends a request: one answer, at once, and the unspent retries go back to the parent.
     pub(crate) fn close_request(
         &mut self,
         now: Time,
-        token: Token,
+        token: RequestToken,
         unspent: u16,
         outcome: Outcome,
     ) {
-        let Some(open) = self.open.swap_remove(&token) else {
+        let Some(open) = self.open_requests.swap_remove(&token) else {
             return;
         };
         if let Some(job) = open.parent.and_then(|run| self.jobs.get_mut(&run)) {
-            job.account.give_back(open.lent, unspent);
-            job.child_ended(now, token);
+            job.account.reclaim(open.lent, unspent);
+            job.on_child_ended(now, token);
         }
         if matches!(outcome, Outcome::NotRun(_)) {
             self.return_credit(now, open.credit);
         }
-        if let Some(sent) = open.sent {
-            self.resends.ended(now, sent, &outcome);
+        if let Some(sent) = open.request_hash {
+            self.resends.record_end(now, sent, &outcome);
         }
         for follower in open.followers {
             self.followers.swap_remove(&follower);
-            self.out.push(Output::Answer {
+            self.outputs.push(Output::Answer {
                 token: follower,
                 outcome: outcome.clone(),
-                made_key: None,
+                generated_key: None,
             });
         }
         self.count(match &outcome {
-            Outcome::Whole(_) => Counter::Whole(open.operation.class),
+            Outcome::Completed(_) => Counter::Completed(open.operation.class),
             Outcome::NotRun(refusal) => Counter::NotRun(refusal.reason),
             Outcome::Unknown(reason) => Counter::Unknown(*reason),
         });
-        self.out.push(Output::Answer {
+        self.outputs.push(Output::Answer {
             token,
             outcome,
-            made_key: open.made_key,
+            generated_key: open.generated_key,
         });
     }
 
     /// Refuses a request that was never opened.
-    pub(crate) fn refuse(&mut self, token: Token, refusal: Refusal) {
+    pub(crate) fn refuse(&mut self, token: RequestToken, refusal: Refusal) {
         self.count(Counter::NotRun(refusal.reason));
         let outcome = Outcome::NotRun(refusal);
-        self.out.push(Output::Answer {
+        self.outputs.push(Output::Answer {
             token,
             outcome,
-            made_key: None,
+            generated_key: None,
         });
     }
 
-    pub(crate) fn on_caller_gone(&mut self, now: Time, token: Token) {
-        if self.unfollow(token) || self.stop_waiting_for_quota(token) {
+    pub(crate) fn on_caller_gone(&mut self, now: Time, token: RequestToken) {
+        if self.unfollow(token) || self.cancel_quota_wait(token) {
             return;
         }
-        if let Some(open) = self.open.get(&token) {
+        if let Some(open) = self.open_requests.get(&token) {
             self.abandon_call(now, open.call);
         }
     }
 }
 
 /// The time that a request has waited for a token is part of what it has.
-fn shorten(mut draft: Draft, now: Time, patience: Option<Duration>, latest: Time) -> Draft {
+fn limit_deadline(
+    mut draft: RequestDraft,
+    now: Time,
+    patience: Option<Duration>,
+    latest: Time,
+) -> RequestDraft {
     draft.deadline = draft.deadline.min(latest);
     if let Some(patience) = patience {
         draft.deadline = draft.deadline.min(now + patience);
--- a/crates/engine/src/log.rs
+++ b/crates/engine/src/log.rs
@@ -1,7 +1,7 @@
 //! The log controller: folds the topic of views, announces this node, and takes it out again.
 
-use crate::appends::AppendKey;
-use crate::appends::AppendQueue;
+use crate::append_queue::AppendKey;
+use crate::append_queue::AppendQueue;
 use crate::Counter;
 use crate::Engine;
 use crate::Output;
@@ -9,7 +9,7 @@
 use journal::Change;
 use journal::Record;
 use journal::State;
-use policy::Ranks;
+use policy::PriorityBands;
 use rand::RngExt;
 use std::time::Duration;
 use stdx::Time;
@@ -29,12 +29,12 @@
 
 /// What this node has to say to the log and whether it got through.
 #[derive(Debug, Default)]
-pub(crate) struct LogLink {
+pub(crate) struct LogController {
     /// The last read got no answer.
-    pub(crate) down: bool,
+    pub(crate) unreachable: bool,
     /// The log was read to its end once, or its state came from a peer. Before that the rules and
     /// views may be older than what this address had in force when it was last up.
-    pub(crate) ready: bool,
+    pub(crate) synced: bool,
     pub(crate) appends: AppendQueue,
     /// Where the append in flight is to stand, or the last one was.
     append_at: u64,
@@ -47,14 +47,14 @@
     give_up: Option<Time>,
 }
 
-impl LogLink {
+impl LogController {
     /// Whether nothing is left to say before the process ends.
-    pub(crate) fn left(&self) -> bool {
+    pub(crate) fn leave_settled(&self) -> bool {
         !self.appends.contains(AppendKey::Leave)
     }
 
     /// Whether a stop no longer waits for its `Leave`.
-    pub(crate) fn has_given_up(&self) -> bool {
+    pub(crate) fn leave_wait_ended(&self) -> bool {
         self.give_up.is_none()
     }
 
@@ -75,32 +75,32 @@
         let before = self.journal.version;
         for (offset, value) in records {
             match self.journal.apply(offset, &value) {
-                Change::Nothing | Change::Old | Change::Restored => {}
-                Change::Broken => self.count(Counter::BrokenRecord),
+                Change::Unchanged | Change::Stale | Change::Restored => {}
+                Change::Invalid => self.count(Counter::MalformedRecord),
                 Change::Rules => {
                     self.count(Counter::RulesInForce);
                     self.on_rules(now);
                 }
                 Change::View(_) => self.on_view_change(now),
-                Change::Gap => return self.out.push(Output::ReadLog),
+                Change::Gap => return self.outputs.push(Output::ReadLog),
             }
         }
         // What is read at the start is no news to anybody.
-        if self.log.ready && self.journal.version > before {
-            self.spread_progress(true);
+        if self.log.synced && self.journal.version > before {
+            self.announce_progress(true);
         }
     }
 
     /// Takes the newest record of each key, at a start or after records that this node lacks have
     /// expired.
-    pub(crate) fn on_newest(&mut self, now: Time, values: Vec<(u64, Bytes)>, end: u64) {
-        let values = journal::in_order(values, end);
+    pub(crate) fn on_topic_snapshot(&mut self, now: Time, values: Vec<(u64, Bytes)>, end: u64) {
+        let values = journal::sorted_before(values, end);
         let newest = State::from_newest(&values, end);
-        if !newest.is_whole_since(self.journal.next) {
+        if !newest.is_complete_since(self.journal.next_offset) {
             return self.begin_anew(now, newest);
         }
         for (offset, value) in values {
-            if offset >= self.journal.next {
+            if offset >= self.journal.next_offset {
                 self.journal.skip_to(offset);
                 self.on_records(now, vec![(offset, value)]);
             }
@@ -111,14 +111,14 @@
     /// Views were missed, and the topic does not have them any more.
     fn begin_anew(&mut self, now: Time, newest: State) {
         let rules_back = newest.version < self.journal.version;
-        let views_back = newest.next < self.journal.next;
+        let views_back = newest.next_offset < self.journal.next_offset;
         if rules_back || views_back {
-            return self.count(Counter::BrokenRecord);
+            return self.count(Counter::MalformedRecord);
         }
         self.journal = newest;
-        self.count(Counter::Restored);
+        self.count(Counter::StateRestored);
         self.on_rules(now);
-        if let Some(view) = self.journal.view(&self.me.service).cloned() {
+        if let Some(view) = self.journal.view(&self.own_instance.service).cloned() {
             let effects = self.home.on_baseline(now, &view);
             self.apply_home(now, effects);
         }
@@ -130,73 +130,83 @@
     }
 
     fn on_rules(&mut self, now: Time) {
-        let limit = self.journal.rules.limit(&self.me.service);
+        let limit = self
+            .journal
+            .rules
+            .service_limits(&self.own_instance.service);
         let operations = || self.journal.rules.all_operations();
         let longest = operations().map(|operation| operation.deadline).max();
         let ranks = match self.cfg.policy.ranks {
-            true => Ranks::new(self.journal.rules.standings()),
-            false => Ranks::default(),
+            true => PriorityBands::new(self.journal.rules.class_priorities()),
+            false => PriorityBands::default(),
         };
-        self.server.set_ranks(ranks.clone());
+        self.server.set_priority_bands(ranks.clone());
         self.admission.set_ranks(ranks);
-        self.set_quotas();
+        self.update_quotas();
         let longest = longest.unwrap_or(limit.key_retention);
         self.home.set_time_limits(limit.key_retention, longest);
-        self.set_server_bounds();
+        self.update_concurrency_bounds();
         self.check_server(now);
-        self.update_roster(now);
+        self.mark_roster_changed(now);
     }
 
     /// Takes a rules file that was given its version elsewhere.
-    pub(crate) fn on_published(&mut self, now: Time, version: u64, file: &str) {
-        self.log.down = false;
+    pub(crate) fn on_rules_published(&mut self, now: Time, version: u64, file: &str) {
+        self.log.unreachable = false;
         match self
             .journal
-            .take_version(version, file, self.cfg.parse_rules)
+            .apply_external_rules(version, file, self.cfg.parse_rules)
         {
             Change::Rules => {
                 self.count(Counter::RulesInForce);
-                self.log.ready = true;
+                self.log.synced = true;
                 self.on_rules(now);
-                self.spread_progress(true);
+                self.announce_progress(true);
             }
-            Change::Broken => self.count(Counter::RejectedPublication),
+            Change::Invalid => self.count(Counter::PublicationRejected),
             _ => {}
         }
     }
 
-    pub(crate) fn on_restored(&mut self, now: Time) {
-        self.count(Counter::Restored);
+    pub(crate) fn on_state_restored(&mut self, now: Time) {
+        self.count(Counter::StateRestored);
         self.on_rules(now);
         // Views before the one in the state may have been missed.
-        self.update_home(now);
+        self.apply_new_views(now);
     }
 
     fn on_view_change(&mut self, now: Time) {
-        self.update_roster(now);
-        self.update_home(now);
+        self.mark_roster_changed(now);
+        self.apply_new_views(now);
     }
 
-    pub(crate) fn on_log_read(&mut self, now: Time) {
-        self.log.down = false;
-        self.log.ready = true;
+    pub(crate) fn on_log_caught_up(&mut self, now: Time) {
+        self.log.unreachable = false;
+        self.log.synced = true;
         self.home.on_log_read(now);
         self.check_departed(now);
         // An incarnation that the views have dropped never comes back: it ends, and its next start
         // is another one.
-        let dropped = self.journal.departed.contains_key(&self.me.incarnation);
-        if !self.stopping && !dropped && !self.is_listed() && self.journal.admits(&self.me) {
+        let dropped = self
+            .journal
+            .departed
+            .contains_key(&self.own_instance.incarnation);
+        if !self.stopping
+            && !dropped
+            && !self.is_listed()
+            && self.journal.can_join(&self.own_instance)
+        {
             self.append(AppendKey::Join);
         }
-        if self.is_oldest_member() && self.journal.to_forget().is_some() {
-            self.append(AppendKey::Forget);
+        if self.is_oldest_member() && self.journal.next_forget_record().is_some() {
+            self.append(AppendKey::DropDeparture);
         }
     }
 
     /// Whether this is the first instance that the views name: the one that drops what is old.
     fn is_oldest_member(&self) -> bool {
         let oldest = self.journal.instances().next();
-        oldest.is_some_and(|oldest| oldest.incarnation == self.me.incarnation)
+        oldest.is_some_and(|oldest| oldest.incarnation == self.own_instance.incarnation)
     }
 
     /// Has something said, unless it waits to be said already. It is tried until the fold shows its
@@ -206,47 +216,47 @@
             return;
         }
         if !self.log.appends.has_room(key) {
-            return self.count(Counter::AppendLeftOut);
+            return self.count(Counter::AppendDropped);
         }
         self.log.appends.push(key);
     }
 
     fn record(&self, key: AppendKey) -> Option<Record> {
-        let mine = self.me.incarnation;
+        let mine = self.own_instance.incarnation;
         Some(match key {
-            AppendKey::Join => Record::Join(self.me.clone()),
+            AppendKey::Join => Record::Join(self.own_instance.clone()),
             AppendKey::Leave => Record::Leave(mine),
             AppendKey::Evict(incarnation) => Record::Evict {
                 incarnation,
                 by: mine,
             },
-            AppendKey::Forget => self.journal.to_forget()?,
+            AppendKey::DropDeparture => self.journal.next_forget_record()?,
         })
     }
 
     /// Drops what the topic shows by now, and starts the next append that is due.
-    pub(crate) fn pump_appends(&mut self, now: Time) {
-        let mine = self.me.incarnation;
+    pub(crate) fn start_due_append(&mut self, now: Time) {
+        let mine = self.own_instance.incarnation;
         let journal = &self.journal;
         // A record that would change nothing must not land: it would take the key of one that did.
         self.log.appends.retain(|key| match key {
             AppendKey::Join => !journal.is_listed(mine),
             AppendKey::Leave => !journal.departed.contains_key(&mine),
             AppendKey::Evict(other) => journal.is_listed(other) && journal.is_listed(mine),
-            AppendKey::Forget => journal.to_forget().is_some(),
+            AppendKey::DropDeparture => journal.next_forget_record().is_some(),
         });
         if self.log.give_up.is_some_and(|give_up| give_up <= now) {
             self.log.give_up = None;
-            if !self.log.left() {
+            if !self.log.leave_settled() {
                 self.log.appends.remove(AppendKey::Leave);
-                self.count(Counter::LeaveUnsaid);
+                self.count(Counter::LeaveNotAppended);
             }
         }
         let due = self.log.appends.next_due();
-        if due.is_none_or(|due| due > now) || !self.log.may_append(self.journal.next) {
+        if due.is_none_or(|due| due > now) || !self.log.may_append(self.journal.next_offset) {
             return;
         }
-        let number = self.number();
+        let number = self.allocate_id();
         let Some(key) = self.log.appends.start(now, number) else {
             return;
         };
@@ -254,17 +264,17 @@
             return;
         };
         self.log.join_sent |= key == AppendKey::Join;
-        self.log.append_at = self.journal.next;
+        self.log.append_at = self.journal.next_offset;
         self.log.overtaken = false;
-        self.out.push(Output::Append {
+        self.outputs.push(Output::Append {
             number,
-            at: self.journal.next,
+            at: self.journal.next_offset,
             entries: record.entries(),
         });
     }
 
     pub(crate) fn on_appended(&mut self, now: Time, number: u64) {
-        let Some((key, _)) = self.log.appends.ended(number) else {
+        let Some((key, _)) = self.log.appends.finish(number) else {
             return;
         };
         match key {
@@ -272,13 +282,13 @@
             // The fold has the last word; meanwhile there is no reason to say it again.
             _ => self.log.appends.postpone(key, now + MAX_APPEND_RETRY),
         }
-        self.out.push(Output::ReadLog);
+        self.outputs.push(Output::ReadLog);
     }
 
     /// Another record came first, so this one was not appended and never will be. It is made anew
     /// once the other has been read.
     pub(crate) fn on_append_conflict(&mut self, now: Time, number: u64) {
-        let Some((key, attempts)) = self.log.appends.ended(number) else {
+        let Some((key, attempts)) = self.log.appends.finish(number) else {
             return;
         };
         self.count(Counter::AppendConflict);
@@ -293,39 +303,42 @@
     /// their answers together when the log goes down, so the next try waits longer each time and
     /// for a random part of it; else they would all come back at once.
     pub(crate) fn on_append_lost(&mut self, now: Time, number: u64) {
-        let Some((key, attempts)) = self.log.appends.ended(number) else {
+        let Some((key, attempts)) = self.log.appends.finish(number) else {
             return;
         };
         self.count(Counter::AppendLost);
         let doublings = attempts.saturating_sub(1).min(MAX_DOUBLINGS);
-        let wait = self.cfg.append_retry * (1 << doublings);
+        let wait = self.cfg.append_retry_delay * (1 << doublings);
         let wait = wait
             .min(MAX_APPEND_RETRY)
             .mul_f64(self.rng.random_range(0.5..1.0));
         self.log.appends.postpone(key, now + wait);
-        self.out.push(Output::ReadLog);
+        self.outputs.push(Output::ReadLog);
     }
 
     /// Says in the topic that this node leaves. A `Join` that may be on its way makes no difference:
     /// of the two, the one that is appended first keeps the other out or comes before it.
-    pub(crate) fn leave_log(&mut self, now: Time) {
+    pub(crate) fn queue_leave(&mut self, now: Time) {
         self.log.appends.remove(AppendKey::Join);
-        let gone = self.journal.departed.contains_key(&self.me.incarnation);
+        let gone = self
+            .journal
+            .departed
+            .contains_key(&self.own_instance.incarnation);
         if !gone && (self.log.join_sent || self.is_listed()) {
             self.append(AppendKey::Leave);
             // In an outage of the log a stop would never end. The views go on naming this node
             // then, until another one evicts it.
-            self.log.give_up = Some(now + self.cfg.leave_patience);
+            self.log.give_up = Some(now + self.cfg.leave_timeout);
         }
     }
 
     /// Whether rules are in force here that are as new as the log's, or as a peer's.
     pub(crate) fn has_rules(&self) -> bool {
-        self.log.ready && self.journal.version > 0
+        self.log.synced && self.journal.version > 0
     }
 
     /// Whether the log's views name this incarnation.
     pub fn is_listed(&self) -> bool {
-        self.journal.is_listed(self.me.incarnation)
+        self.journal.is_listed(self.own_instance.incarnation)
     }
 }
--- a/crates/engine/src/members.rs
+++ b/crates/engine/src/members.rs
@@ -1,6 +1,6 @@
 //! The membership controller: roster, probes, loads.
 
-use crate::appends::AppendKey;
+use crate::append_queue::AppendKey;
 use crate::Counter;
 use crate::Engine;
 use crate::LinkEvent;
@@ -57,41 +57,41 @@
             _ => None,
         };
         let effects = self.members.on_message(now, from, message);
-        self.apply_members(now, effects);
+        self.apply_membership_effects(now, effects);
         if let Some((peer, load)) = report {
             self.selector.on_report(now, peer, load);
         }
     }
 
     /// Takes a report that came with an answer.
-    pub(crate) fn hear_load(&mut self, now: Time, from: Incarnation, load: LoadReport) {
+    pub(crate) fn record_load(&mut self, now: Time, from: Incarnation, load: LoadReport) {
         self.members.on_load_report(now, from, load);
         self.selector.on_report(now, from, load);
         self.selector.on_answered(from);
     }
 
     pub(crate) fn tick_members(&mut self, now: Time) {
-        if std::mem::take(&mut self.roster_changed) {
+        if std::mem::take(&mut self.views_changed) {
             let effects = self.members.set_roster(now, self.journal.instances());
-            self.apply_members(now, effects);
+            self.apply_membership_effects(now, effects);
         }
         self.server.tick(now);
         let load = self.load_report();
         self.members.set_load(load);
         let effects = self.members.tick(now);
-        self.apply_members(now, effects);
+        self.apply_membership_effects(now, effects);
         self.count_peers(now);
     }
 
-    pub(crate) fn leave_members(&mut self, now: Time) {
+    pub(crate) fn announce_leave(&mut self, now: Time) {
         let effects = self.members.leave(now);
-        self.apply_members(now, effects);
+        self.apply_membership_effects(now, effects);
     }
 
     /// The log's views name instances that this node has perhaps not heard of yet. The members are
     /// told once for a batch of records, because a start reads the views' whole history.
-    pub(crate) fn update_roster(&mut self, _now: Time) {
-        self.roster_changed = true;
+    pub(crate) fn mark_roster_changed(&mut self, _now: Time) {
+        self.views_changed = true;
     }
 
     pub(crate) fn load_report(&self) -> LoadReport {
@@ -103,8 +103,8 @@
 
     /// Sends a frame to a node that is known, or was lately.
     pub(crate) fn send_to(&mut self, to: Incarnation, frame: Frame) {
-        if to == self.me.incarnation {
-            let me = self.me.clone();
+        if to == self.own_instance.incarnation {
+            let me = self.own_instance.clone();
             return self.send(&me, frame);
         }
         match self.members.get(to) {
@@ -112,11 +112,11 @@
                 let instance = peer.instance.clone();
                 self.send(&instance, frame);
             }
-            None => self.count(Counter::Unexpected),
+            None => self.count(Counter::UnexpectedMessage),
         }
     }
 
-    pub(crate) fn apply_members(&mut self, now: Time, effects: Vec<Effect>) {
+    pub(crate) fn apply_membership_effects(&mut self, now: Time, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
                 Effect::Send { to, message } => {
@@ -125,13 +125,13 @@
                         progress: self.journal.progress(),
                         message,
                     };
-                    self.out.push(Output::Datagram { to, datagram });
+                    self.outputs.push(Output::Datagram { to, datagram });
                 }
                 Effect::PeerChanged { incarnation, state } => {
                     self.count(Counter::PeerChanged);
                     self.note_peer(now, incarnation, state);
-                    self.set_standing(now, incarnation, state);
-                    self.quota.forget_election();
+                    self.update_standing(now, incarnation, state);
+                    self.quota.invalidate_election();
                     // An eviction may have waited for the log through an outage; by now it would
                     // take out a live instance, and its share of the keys with it.
                     if state != PeerState::Dead {
@@ -139,7 +139,7 @@
                     }
                 }
                 Effect::Evict(incarnation) => {
-                    self.count(Counter::EvictionAsked);
+                    self.count(Counter::EvictionRequested);
                     self.append(AppendKey::Evict(incarnation));
                 }
                 Effect::TableFull => self.count(Counter::PeerTableFull),
--- a/crates/engine/src/peer_notes.rs
+++ b/crates/engine/src/peer_diagnostics.rs
@@ -5,9 +5,9 @@
 //! first ones of a second are told one by one, which is enough for the story of a single failure; the
 //! rest are counted.
 
-use crate::note::PeerCounts;
+use crate::diagnostic::PeerCounts;
+use crate::Diagnostic;
 use crate::Engine;
-use crate::Note;
 use crate::Output;
 use proto::Incarnation;
 use proto::PeerState;
@@ -22,14 +22,14 @@
 
 /// Changes since the last line that counts them.
 #[derive(Debug, Default)]
-pub(crate) struct PeerNotes {
+pub(crate) struct PeerDiagnostics {
     /// When the present span ends.
     until: Time,
     told: u32,
     counted: PeerCounts,
 }
 
-impl PeerNotes {
+impl PeerDiagnostics {
     /// When [`Engine::count_peers`] has something to say.
     pub(crate) fn next_timer(&self) -> Option<Time> {
         (!self.counted.is_empty()).then_some(self.until)
@@ -50,11 +50,11 @@
             return self.peer_notes.counted.add(state);
         }
         self.peer_notes.told += 1;
-        self.out.push(Output::Note(Note::Peer {
+        self.outputs.push(Output::Diagnostic(Diagnostic::Peer {
             incarnation,
             addr: peer.instance.addr,
             state,
-            open: peer.accepts_work,
+            accepts_work: peer.accepts_work,
         }));
     }
 
@@ -68,6 +68,7 @@
         for peer in self.members.peers() {
             known.add(peer.state);
         }
-        self.out.push(Output::Note(Note::Peers { changed, known }));
+        self.outputs
+            .push(Output::Diagnostic(Diagnostic::Peers { changed, known }));
     }
 }
--- a/crates/engine/src/quarantine.rs
+++ b/crates/engine/src/quarantine.rs
@@ -41,7 +41,7 @@
 
 /// Suspects of this node's service.
 #[derive(Debug)]
-pub(crate) struct Suspects {
+pub(crate) struct CrashSuspects {
     known: Quarantine<Fingerprint>,
     /// The same of calls that this node made, of all services, by a hash.
     called: Quarantine<u64>,
@@ -53,7 +53,7 @@
     reports_since: Time,
 }
 
-impl Suspects {
+impl CrashSuspects {
     pub(crate) fn new() -> Self {
         Self {
             known: Quarantine::new(),
@@ -113,22 +113,22 @@
 
     /// A run of the request was answered whole.
     pub(crate) fn clear_suspect(&mut self, now: Time, request: Fingerprint) {
-        self.suspects.known.answered(now, request);
+        self.suspects.known.record_completed(now, request);
     }
 
     /// The connection broke while the request ran. The nodes of the service hear of it before the
     /// entry does, so that they know when its retry comes.
     pub(crate) fn suspect(&mut self, now: Time, request: Fingerprint) {
-        let me = self.me.incarnation;
-        let crashes = self.suspects.known.crashed(now, request, me);
+        let me = self.own_instance.incarnation;
+        let crashes = self.suspects.known.record_crash(now, request, me);
         let Some(crashes) = crashes.filter(|_| self.suspects.may_report(now)) else {
             return;
         };
-        self.count(Counter::Suspected);
+        self.count(Counter::CrashSuspect);
         self.report_suspect(request, crashes);
         for wait in REPEATS {
             let at = now + wait;
-            self.timers.set(at, Timer::Suspects);
+            self.timers.set(at, Timer::CrashReports);
             self.suspects.repeats.push(Report {
                 at,
                 request,
@@ -137,7 +137,7 @@
         }
     }
 
-    pub(crate) fn repeat_reports(&mut self, now: Time) {
+    pub(crate) fn resend_crash_reports(&mut self, now: Time) {
         let repeats = std::mem::take(&mut self.suspects.repeats);
         let (due, later) = repeats.into_iter().partition(|report| report.at <= now);
         self.suspects.repeats = later;
@@ -148,11 +148,11 @@
     }
 
     fn report_suspect(&mut self, request: Fingerprint, crashes: u32) {
-        let service = self.me.service.clone();
+        let service = self.own_instance.service.clone();
         let peers = self.members.usable_peers(&service);
         let peers: Vec<Instance> = peers.map(|peer| peer.instance.clone()).collect();
         for peer in peers {
-            let frame = Frame::Suspect {
+            let frame = Frame::CrashReport {
                 service: service.clone(),
                 request,
                 crashes,
@@ -161,7 +161,7 @@
         }
     }
 
-    pub(crate) fn on_suspect(
+    pub(crate) fn on_suspect_report(
         &mut self,
         now: Time,
         from: Incarnation,
@@ -169,29 +169,33 @@
         request: Fingerprint,
         crashes: u32,
     ) {
-        if *service == self.me.service && from != self.me.incarnation {
-            self.suspects.known.heard(now, request, from, crashes);
+        if *service == self.own_instance.service && from != self.own_instance.incarnation {
+            self.suspects
+                .known
+                .record_remote_crashes(now, request, from, crashes);
         }
     }
 
     /// A call of this node ended with its server breaking off at `target`. The word of that server's
     /// node may reach the next one later than the retry does.
-    pub(crate) fn call_lost(&mut self, now: Time, request: &Request, target: Incarnation) {
+    pub(crate) fn record_call_crash(&mut self, now: Time, request: &Request, target: Incarnation) {
         if self.cfg.policy.quarantine {
             let called = &mut self.suspects.called;
-            called.crashed(now, called_hash(request), target);
+            called.record_crash(now, called_hash(request), target);
         }
     }
 
     /// A call of this node was answered whole.
-    pub(crate) fn call_whole(&mut self, now: Time, request: &Request) {
+    pub(crate) fn record_call_completed(&mut self, now: Time, request: &Request) {
         if !self.suspects.called.is_empty() {
-            self.suspects.called.answered(now, called_hash(request));
+            self.suspects
+                .called
+                .record_completed(now, called_hash(request));
         }
     }
 
     /// Refuses a call that broke off two servers.
-    pub(crate) fn quarantined(&self, now: Time, request: &Request) -> Option<Refusal> {
+    pub(crate) fn quarantine_refusal(&self, now: Time, request: &Request) -> Option<Refusal> {
         if self.suspects.called.is_empty() {
             return None;
         }
--- a/crates/engine/src/quota.rs
+++ b/crates/engine/src/quota.rs
@@ -1,18 +1,18 @@
 //! The controller of quotas: who lends, and requests that wait for a token.
 
 use crate::request::Arrival;
-use crate::request::Refused;
+use crate::request::RefusedRequest;
 use crate::Engine;
 use crate::Output;
-use crate::Token;
+use crate::RequestToken;
 use indexmap::IndexMap;
 use organisation::group_of;
 use organisation::Borrower;
-use organisation::Credit;
 use organisation::Lender;
 use organisation::LoanRequest;
-use organisation::QuotaBounds;
-use organisation::GROUPS;
+use organisation::QuotaToken;
+use organisation::QuotaTolerance;
+use organisation::GROUP_COUNT;
 use proto::hash64;
 use proto::Datagram;
 use proto::Incarnation;
@@ -48,27 +48,27 @@
 
 /// What is lent and borrowed here.
 #[derive(Debug)]
-pub(crate) struct QuotaLink {
+pub(crate) struct QuotaController {
     pub(crate) borrower: Borrower,
     lender: Lender,
     /// Requests that wait for a token, the oldest first.
-    waiting: IndexMap<Token, (OrganisationId, Arrival)>,
+    waiting: IndexMap<RequestToken, (OrganisationId, Arrival)>,
     /// Organisations that were given tokens back, which may admit requests that wait.
     returned: Vec<OrganisationId>,
     /// The lender of each group, and the number of nodes that vote.
-    elected: [Option<Incarnation>; GROUPS as usize],
+    elected: [Option<Incarnation>; GROUP_COUNT as usize],
     voters: usize,
     elected_at: Option<Time>,
 }
 
-impl QuotaLink {
-    pub(crate) fn new(bounds: QuotaBounds) -> Self {
+impl QuotaController {
+    pub(crate) fn new(bounds: QuotaTolerance) -> Self {
         Self {
             borrower: Borrower::new(bounds),
             lender: Lender::new(bounds),
             waiting: IndexMap::new(),
             returned: Vec::new(),
-            elected: [None; GROUPS as usize],
+            elected: [None; GROUP_COUNT as usize],
             voters: 1,
             elected_at: None,
         }
@@ -80,7 +80,7 @@
     }
 
     /// The peers have changed.
-    pub(crate) fn forget_election(&mut self) {
+    pub(crate) fn invalidate_election(&mut self) {
         self.elected_at = None;
     }
 }
@@ -92,7 +92,7 @@
     }
 
     /// New rules are in force.
-    pub(crate) fn set_quotas(&mut self) {
+    pub(crate) fn update_quotas(&mut self) {
         let organisations = self.journal.rules.organisations.as_ref();
         let quota_of = |id| organisations.and_then(|all| all.get(id)?.quota);
         let mut all = organisations.into_iter().flat_map(Organisations::iter);
@@ -126,7 +126,7 @@
             return;
         }
         self.elect(now);
-        for group in 0..GROUPS {
+        for group in 0..GROUP_COUNT {
             let mut lender = self.quota.elected[usize::from(group)];
             if lender.is_some_and(|lender| self.quota.borrower.avoids(now, group, lender)) {
                 lender = self.elected(now, group);
@@ -144,7 +144,7 @@
         }
         self.quota.elected_at = Some(now);
         self.quota.voters = self.members.voter_count(now);
-        for group in 0..GROUPS {
+        for group in 0..GROUP_COUNT {
             self.quota.elected[usize::from(group)] = self.elected(now, group);
         }
     }
@@ -154,7 +154,7 @@
         let live = self.members.peers();
         let live = live.filter(|peer| peer.state == PeerState::Alive);
         let peers = live.map(|peer| peer.instance.incarnation);
-        let me = (!self.stopping).then_some(self.me.incarnation);
+        let me = (!self.stopping).then_some(self.own_instance.incarnation);
         let borrower = &self.quota.borrower;
         let nodes = peers
             .chain(me)
@@ -165,11 +165,11 @@
     fn ask_lender(&mut self, now: Time, group: u8, loans: LoanRequest) {
         let LoanRequest {
             lender,
-            number,
-            vote,
+            request_id: number,
+            vote_stamp: vote,
             wanted,
         } = loans;
-        let me = self.me.incarnation;
+        let me = self.own_instance.incarnation;
         if lender == me {
             let (stamp, lent) = self.lend(now, group, me, vote, &wanted);
             return self.on_lent(now, me, group, number, stamp, &lent);
@@ -182,33 +182,33 @@
             from: me,
             to: lender,
             group,
-            number,
-            vote,
+            request_id: number,
+            vote_stamp: vote,
             wanted,
         };
         self.send_quota(to, message);
     }
 
     pub(crate) fn on_quota_message(&mut self, now: Time, addr: SocketAddr, message: QuotaMessage) {
-        let me = self.me.incarnation;
+        let me = self.own_instance.incarnation;
         match message {
             QuotaMessage::Borrow {
                 from,
                 to,
                 group,
-                number,
-                vote,
+                request_id: number,
+                vote_stamp: vote,
                 wanted,
-            } if to == me && group < GROUPS => {
+            } if to == me && group < GROUP_COUNT => {
                 self.elect(now);
                 let (stamp, lent) = self.lend(now, group, from, vote, &wanted);
                 let message = QuotaMessage::Lend {
                     from: me,
                     to: from,
                     group,
-                    number,
+                    request_id: number,
                     stamp,
-                    lent,
+                    loans: lent,
                 };
                 self.send_quota(addr, message);
             }
@@ -216,10 +216,10 @@
                 from,
                 to,
                 group,
-                number,
+                request_id: number,
                 stamp,
-                lent,
-            } if to == me && group < GROUPS => {
+                loans: lent,
+            } if to == me && group < GROUP_COUNT => {
                 self.on_lent(now, from, group, number, stamp, &lent);
             }
             // For an earlier incarnation at this address, which lends nothing any more and holds no vote.
@@ -227,16 +227,16 @@
                 from,
                 to,
                 group,
-                number,
+                request_id: number,
                 ..
             } => {
                 let message = QuotaMessage::Lend {
                     from: to,
                     to: from,
                     group,
-                    number,
+                    request_id: number,
                     stamp: 0,
-                    lent: Vec::new(),
+                    loans: Vec::new(),
                 };
                 self.send_quota(addr, message);
             }
@@ -291,12 +291,12 @@
     fn serve_waiting(&mut self, now: Time, id: OrganisationId) {
         let waiting = self.quota.waiting.iter();
         let waiting = waiting.filter(|(_, (organisation, _))| *organisation == id);
-        let tokens: Vec<Token> = waiting.map(|(token, _)| *token).collect();
+        let tokens: Vec<RequestToken> = waiting.map(|(token, _)| *token).collect();
         for token in tokens {
-            match self.quota.borrower.take_waiting(now, id) {
+            match self.quota.borrower.try_spend_waiting(now, id) {
                 Some(credit) => {
                     if let Some((_, arrival)) = self.quota.waiting.shift_remove(&token) {
-                        self.on_credit(now, arrival, credit);
+                        self.on_quota_granted(now, arrival, credit);
                     }
                 }
                 None => return,
@@ -305,11 +305,11 @@
     }
 
     /// A request did not run, so its token may admit another one.
-    pub(crate) fn return_credit(&mut self, now: Time, credit: Option<Credit>) {
+    pub(crate) fn return_credit(&mut self, now: Time, credit: Option<QuotaToken>) {
         let Some(credit) = credit else {
             return;
         };
-        self.quota.borrower.put_back(now, credit);
+        self.quota.borrower.refund(now, credit);
         if self.quota.has_waiting() {
             self.quota.returned.push(credit.organisation);
         }
@@ -325,13 +325,13 @@
         if self.quota.waiting.len() >= MAX_WAITING {
             return self.refuse_for_quota(arrival, Reason::QuotaUnknown);
         }
-        self.quota.borrower.wait(now, organisation);
+        self.quota.borrower.start_waiting(now, organisation);
         let token = arrival.token;
         self.quota.waiting.insert(token, (organisation, arrival));
     }
 
     /// Whether a request waited whose caller has gone.
-    pub(crate) fn stop_waiting_for_quota(&mut self, token: Token) -> bool {
+    pub(crate) fn cancel_quota_wait(&mut self, token: RequestToken) -> bool {
         let Some((organisation, _)) = self.quota.waiting.shift_remove(&token) else {
             return false;
         };
@@ -349,9 +349,9 @@
         }
     }
 
-    fn refuse_waiting(&mut self, token: Token) {
+    fn refuse_waiting(&mut self, token: RequestToken) {
         if let Some((organisation, arrival)) = self.quota.waiting.shift_remove(&token) {
-            let reason = match self.quota.borrower.was_short(organisation) {
+            let reason = match self.quota.borrower.lender_was_short(organisation) {
                 true => Reason::QuotaExceeded,
                 false => Reason::QuotaUnknown,
             };
@@ -365,14 +365,17 @@
             Reason::QuotaExceeded => RETRY_EXCEEDED.mul_f64(self.rng.random_range(1.0..2.0)),
             _ => RETRY_UNKNOWN,
         };
-        self.refuse_unopened(Refused::from(&arrival), Refusal::new(reason, retry_after));
+        self.refuse_unopened(
+            RefusedRequest::from(&arrival),
+            Refusal::new(reason, retry_after),
+        );
     }
 
     /// A node that stops lends no more, and says so to whoever asks.
     pub(crate) fn resign_lender(&mut self, now: Time) {
         let voters = self.quota.voters;
-        self.quota.lender.resign(now, voters);
-        self.quota.forget_election();
+        self.quota.lender.release_votes(now, voters);
+        self.quota.invalidate_election();
     }
 
     fn send_quota(&mut self, to: SocketAddr, message: QuotaMessage) {
@@ -380,6 +383,6 @@
             version: PROTOCOL_VERSION,
             message,
         };
-        self.out.push(Output::Datagram { to, datagram });
+        self.outputs.push(Output::Datagram { to, datagram });
     }
 }
--- a/crates/engine/src/serve.rs
+++ b/crates/engine/src/serve.rs
@@ -1,52 +1,52 @@
 //! Calls from other nodes, and work on the own backend server.
 
-use crate::admission::shed;
-use crate::answered::Seen;
+use crate::admission::shed_refusal;
+use crate::answer_cache::CachedAnswer;
 use crate::job::Job;
 use crate::job::JobOwner;
 use crate::operation_key::operation_key;
 use crate::timers::Timer;
 use crate::Counter;
-use crate::Ending;
+use crate::Diagnostic;
 use crate::Engine;
-use crate::Note;
+use crate::OutcomeSummary;
 use crate::Output;
 use crate::RunEnd;
 use crate::ServerState;
 use indexmap::IndexMap;
 use policy::admission_value;
-use policy::Account;
-use policy::Offer;
-use policy::Ticket;
+use policy::AdmissionDecision;
+use policy::RetryAllowance;
+use policy::WorkItem;
 use proto::ActionId;
 use proto::Answer;
-use proto::Below;
 use proto::Call;
 use proto::CallId;
+use proto::CallRole;
+use proto::DownstreamSummary;
 use proto::Fingerprint;
 use proto::Frame;
 use proto::Incarnation;
 use proto::KeyHash;
-use proto::Leg;
 use proto::Outcome;
 use proto::Reason;
 use proto::Refusal;
 use proto::RunId;
-use rules::Rule;
+use rules::MatchedRule;
 use std::sync::Arc;
 use std::time::Duration;
 use stdx::Time;
 
 /// A call from another node that has no answer yet.
 #[derive(Debug)]
-pub(crate) struct Inbound {
+pub(crate) struct InboundCall {
     /// What it waits for.
-    pub(crate) work: Work,
+    pub(crate) work: InboundWork,
 }
 
 /// What an inbound call waits for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Work {
+pub(crate) enum InboundWork {
     /// A run of its own.
     Run(RunId),
     /// The run of a key, perhaps together with others.
@@ -61,38 +61,38 @@
         if self.inbound.contains_key(&call.id) {
             return;
         }
-        match self.answered.get(call.id) {
-            Seen::Answered(answer) => {
+        match self.answer_cache.get(call.id) {
+            CachedAnswer::Found(answer) => {
                 let frame = Frame::Answer(call.id, Box::new(answer.clone()));
                 return self.send_to(from, frame);
             }
-            Seen::Forgotten => return self.answer_forgotten(from, call.id),
-            Seen::Never => {}
+            CachedAnswer::Evicted => return self.answer_forgotten(from, call.id),
+            CachedAnswer::Absent => {}
         }
-        match call.leg {
-            Leg::Serve => self.serve(now, call),
-            Leg::Home => self.on_home_call(now, call),
+        match call.role {
+            CallRole::Serve => self.on_serve_call(now, call),
+            CallRole::Home => self.on_keyed_call(now, call),
         }
     }
 
-    fn serve(&mut self, now: Time, call: Call) {
+    fn on_serve_call(&mut self, now: Time, call: Call) {
         if self.stopping {
             let outcome = self.not_run(Reason::Draining);
-            return self.answer_call(call.id, call.allowance, outcome);
+            return self.answer_call(call.id, call.retry_allowance, outcome);
         }
-        if !self.server_is_open() {
+        if !self.server_accepts_work() {
             let outcome = self.not_run(Reason::Draining);
-            return self.answer_call(call.id, call.allowance, outcome);
+            return self.answer_call(call.id, call.retry_allowance, outcome);
         }
         if !self.has_rules() {
-            return self.answer_call(call.id, call.allowance, self.not_run(Reason::NoRules));
+            return self.answer_call(call.id, call.retry_allowance, self.not_run(Reason::NoRules));
         }
         let id = call.id;
         let run = self.new_job(now, JobOwner::Call(id), call);
         self.inbound.insert(
             id,
-            Inbound {
-                work: Work::Run(run),
+            InboundCall {
+                work: InboundWork::Run(run),
             },
         );
         self.offer(now, run);
@@ -101,20 +101,20 @@
     /// Enters work for the own backend server.
     pub(crate) fn new_job(&mut self, now: Time, owner: JobOwner, call: Call) -> RunId {
         let run = RunId {
-            at: self.me.incarnation,
-            number: self.number(),
+            at: self.own_instance.incarnation,
+            number: self.allocate_id(),
         };
         let request = call.request;
         let rules = &self.journal.rules;
-        let operation = rules.decide(&request).map(Rule::operation);
+        let operation = rules.match_rule(&request).map(MatchedRule::operation);
         let job = Job {
             owner,
             action: call.action,
-            dice: call.dice,
+            dice: call.admission_sample,
             depth: call.depth,
             deadline: now + Duration::from_millis(u64::from(call.remaining_ms)),
-            account: Account::new(call.allowance),
-            again: call.again,
+            account: RetryAllowance::new(call.retry_allowance),
+            again: call.possible_repeat,
             operation: operation.map(operation_key),
             fingerprint: Fingerprint::of(&request),
             keyed: call.key.is_some(),
@@ -122,24 +122,24 @@
             late_at: None,
             cancelled: false,
             calls_below: 0,
-            met: IndexMap::new(),
-            path: child_scope(call.action, call.key.map(|(key, _)| key)),
-            children: IndexMap::new(),
+            child_levels: IndexMap::new(),
+            child_key_scope: child_key_scope(call.action, call.key.map(|(key, _)| key)),
+            child_counts: IndexMap::new(),
             class: call.class,
             priority: call.priority,
             passed_level: call.passed_level,
             started: None,
-            expect: None,
-            waiting: Vec::new(),
-            waiting_since: now,
-            waited: Duration::ZERO,
+            expected_server: None,
+            pending_children: Vec::new(),
+            children_pending_since: now,
+            child_wait: Duration::ZERO,
             request,
         };
         if !job.keyed {
-            self.timers.set(job.deadline, Timer::Run(run));
+            self.timers.set(job.deadline, Timer::RunDeadline(run));
         }
         if !job.request.id.is_empty() {
-            self.jobs_by_id.insert(job.request.id.clone(), run);
+            self.jobs_by_request_id.insert(job.request.id.clone(), run);
         }
         self.jobs.insert(run, job);
         run
@@ -156,12 +156,12 @@
             return self.end_job(now, run, self.not_run(Reason::Draining));
         }
         let fingerprint = job.fingerprint;
-        let mut ticket = Ticket {
+        let mut ticket = WorkItem {
             id: run.number,
             class: job.class,
             priority: job.priority,
             passed_level: job.passed_level,
-            dice: job.dice,
+            random_value: job.dice,
             deadline: job.deadline,
             arrived: now,
             admitted: job.depth > 0,
@@ -171,14 +171,14 @@
         }
         if !ticket.admitted {
             let level = self.path_level(now, run);
-            if admission_value(ticket.class, ticket.dice) < level {
-                self.server.refused_before(now, ticket.class);
-                let refusal = shed(level, ticket.class, ticket.dice);
+            if admission_value(ticket.class, ticket.random_value) < level {
+                self.server.on_refused_before_offer(now, ticket.class);
+                let refusal = shed_refusal(level, ticket.class, ticket.random_value);
                 if let Some(job) = self.jobs.get_mut(&run) {
-                    job.met
+                    job.child_levels
                         .extend(job.operation.clone().map(|own| (own, level)));
                 }
-                return self.after_offer(now, run, Offer::Refused(refusal));
+                return self.after_offer(now, run, AdmissionDecision::Refused(refusal));
             }
             ticket.passed_level = ticket.passed_level.max(level);
         }
@@ -196,25 +196,25 @@
     fn path_level(&self, now: Time, run: RunId) -> u16 {
         let job = self.jobs.get(&run).filter(|_| self.cfg.policy.levels);
         let operation = job.and_then(|job| job.operation.as_ref());
-        operation.map_or(0, |operation| self.admission.path(now, operation))
+        operation.map_or(0, |operation| self.admission.level_below(now, operation))
     }
 
     /// Lets the queue move.
-    pub(crate) fn pump_server(&mut self, now: Time) {
-        while let Some((ticket, offer)) = self.server.next(now) {
+    pub(crate) fn start_queued_jobs(&mut self, now: Time) {
+        while let Some((ticket, offer)) = self.server.next_decision(now) {
             let run = RunId {
-                at: self.me.incarnation,
+                at: self.own_instance.incarnation,
                 number: ticket.id,
             };
             self.after_offer(now, run, offer);
         }
     }
 
-    fn after_offer(&mut self, now: Time, run: RunId, offer: Offer) {
+    fn after_offer(&mut self, now: Time, run: RunId, offer: AdmissionDecision) {
         match offer {
-            Offer::Start => self.start(now, run),
-            Offer::Queued => {}
-            Offer::Refused(refusal) => self.end_job(now, run, Outcome::NotRun(refusal)),
+            AdmissionDecision::Start => self.start(now, run),
+            AdmissionDecision::Queued => {}
+            AdmissionDecision::Refused(refusal) => self.end_job(now, run, Outcome::NotRun(refusal)),
         }
     }
 
@@ -222,47 +222,48 @@
         let Some((owner, class)) = self.jobs.get(&run).map(|job| (job.owner, job.class)) else {
             return;
         };
-        let start_within = match self.right_to_start(now, owner) {
+        let start_within = match self.start_permit(now, owner) {
             Ok(start_within) => start_within,
             Err(reason) => {
-                self.server.finished(now, class, policy::Ended::Failed);
+                self.server
+                    .on_finished(now, class, policy::WorkOutcome::Failed);
                 return self.end_job(now, run, self.not_run(reason));
             }
         };
-        let expect = self.expected_server();
+        let expected_server = self.expected_server();
         let Some(job) = self.jobs.get_mut(&run) else {
             return;
         };
         job.started = Some(now);
-        job.expect = expect.clone();
+        job.expected_server = expected_server.clone();
         let request = job.request.clone();
         let remaining = now.until(job.deadline);
-        self.out.push(Output::Run {
+        self.outputs.push(Output::Run {
             run,
             request,
-            expect,
+            expected_server,
             remaining,
             start_within,
         });
         self.count(Counter::Run(class));
-        self.watch_run(now, run);
+        self.set_hedge_timer(now, run);
     }
 
     pub(crate) fn on_run_ended(&mut self, now: Time, run: RunId, end: RunEnd) {
         let Some(job) = self.jobs.get(&run) else {
-            return self.count(Counter::Unexpected);
+            return self.count(Counter::UnexpectedMessage);
         };
         let (class, fingerprint) = (job.class, job.fingerprint);
         let cancelled = job.cancelled;
-        let expect = job.expect.clone();
-        let made_calls = matches!(job.owner, JobOwner::Key(_)) && !job.children.is_empty();
+        let expected_server = job.expected_server.clone();
+        let made_calls = matches!(job.owner, JobOwner::Key(_)) && !job.child_counts.is_empty();
         let ended = job.ended(now, &end);
-        self.learn_run(now, run, ended);
-        self.server.finished(now, class, ended);
+        self.record_run_time(now, run, ended);
+        self.server.on_finished(now, class, ended);
         let outcome = match end {
             RunEnd::Response(response) => {
                 self.clear_suspect(now, fingerprint);
-                Outcome::Whole(response)
+                Outcome::Completed(response)
             }
             // The next run would make the same child keys, which would not be new then. So a run
             // that made child calls is never taken for one that did not run.
@@ -273,7 +274,7 @@
             }
             RunEnd::NeverSent => self.not_run(Reason::ServerLost),
             RunEnd::Misdirected => {
-                self.on_misdirected(now, expect);
+                self.on_misdirected(now, expected_server);
                 self.not_run(Reason::Draining)
             }
             RunEnd::TimedOut => Outcome::Unknown(Reason::Deadline),
@@ -292,33 +293,33 @@
         let Some(job) = self.jobs.swap_remove(&run) else {
             return;
         };
-        self.timers.clear(job.deadline, Timer::Run(run));
+        self.timers.clear(job.deadline, Timer::RunDeadline(run));
         if let Some(at) = job.late_at {
             self.timers.clear(at, Timer::LateRun(run));
         }
-        self.out.push(Output::Note(Note::Ran {
+        self.outputs.push(Output::Diagnostic(Diagnostic::Ran {
             request: job.request.id.clone(),
             class: job.class,
             depth: job.depth,
-            ending: Ending::of(&outcome),
+            outcome: OutcomeSummary::of(&outcome),
             started: job.started.is_some(),
             left_ms: now.until(job.deadline).as_millis() as u64,
             server: self.server_state(),
         }));
-        if self.jobs_by_id.get(&job.request.id) == Some(&run) {
-            self.jobs_by_id.swap_remove(&job.request.id);
+        if self.jobs_by_request_id.get(&job.request.id) == Some(&run) {
+            self.jobs_by_request_id.swap_remove(&job.request.id);
         }
-        let unspent = job.account.left();
+        let unspent = job.account.remaining();
         let below = job.below();
         if let Some(operation) = job.operation.as_ref().filter(|_| job.started.is_some()) {
-            self.admission.hear_path(now, operation, below);
+            self.admission.record_below(now, operation, below);
         }
-        self.run_below = below;
+        self.ended_run_below = below;
         match job.owner {
             JobOwner::Call(call) => self.answer_call(call, unspent, outcome),
-            JobOwner::Key(key) => self.end_key(now, key, unspent, outcome),
+            JobOwner::Key(key) => self.finish_keyed_run(now, key, unspent, outcome),
         }
-        self.run_below = Below::default();
+        self.ended_run_below = DownstreamSummary::default();
         self.next_suspect(now, run);
     }
 
@@ -327,9 +328,9 @@
             return;
         };
         match inbound.work {
-            Work::Run(run) => self.cancel_run(now, run),
-            Work::Key(key) => self.cancel_key(now, key, id),
-            Work::Held => self.cancel_held(id),
+            InboundWork::Run(run) => self.cancel_run(now, run),
+            InboundWork::Key(key) => self.cancel_keyed_call(now, key, id),
+            InboundWork::Held => self.cancel_held(id),
         }
     }
 
@@ -337,14 +338,14 @@
     /// its child calls would give.
     pub(crate) fn cancel_run(&mut self, now: Time, run: RunId) {
         if self.withdraw(run) {
-            return self.withdraw_job(now, run);
+            return self.end_withdrawn_job(now, run);
         }
-        self.out.push(Output::CancelRun(run));
+        self.outputs.push(Output::CancelRun(run));
         let Some(job) = self.jobs.get_mut(&run) else {
             return;
         };
         job.cancelled = true;
-        for child in job.waiting.clone() {
+        for child in job.pending_children.clone() {
             self.on_caller_gone(now, child);
         }
     }
@@ -358,11 +359,11 @@
 
     /// Takes work back that has not started; `false` if it has.
     pub(crate) fn withdraw(&mut self, run: RunId) -> bool {
-        self.server.withdraw(run.number) || self.suspects.withdraw(run)
+        self.server.cancel(run.number) || self.suspects.withdraw(run)
     }
 
     /// Ends a job that was taken out of the queue.
-    pub(crate) fn withdraw_job(&mut self, now: Time, run: RunId) {
+    pub(crate) fn end_withdrawn_job(&mut self, now: Time, run: RunId) {
         self.end_job(now, run, self.not_run(Reason::CallerGone));
     }
 
@@ -370,9 +371,9 @@
     fn answer_forgotten(&mut self, from: Incarnation, id: CallId) {
         let answer = Answer {
             outcome: Outcome::Unknown(Reason::PeerLost),
-            unspent: 0,
+            unspent_retries: 0,
             load: self.load_report(),
-            below: Below::default(),
+            downstream: DownstreamSummary::default(),
         };
         self.send_to(from, Frame::Answer(id, Box::new(answer)));
     }
@@ -382,11 +383,11 @@
         self.inbound.swap_remove(&id);
         let answer = Answer {
             outcome,
-            unspent,
+            unspent_retries: unspent,
             load: self.load_report(),
-            below: self.run_below,
+            downstream: self.ended_run_below,
         };
-        self.answered.insert(id, answer.clone());
+        self.answer_cache.insert(id, answer.clone());
         self.send_to(id.from, Frame::Answer(id, Box::new(answer)));
     }
 
@@ -402,7 +403,7 @@
 }
 
 /// The scope of the keys of child calls: the same for every run of the same call of the action.
-fn child_scope(action: ActionId, key: Option<KeyHash>) -> Arc<str> {
+fn child_key_scope(action: ActionId, key: Option<KeyHash>) -> Arc<str> {
     match key {
         Some(key) => format!("{action}/{:032x}", key.0).into(),
         None => action.to_string().into(),
--- a/crates/membership/src/apply_updates.rs
+++ b/crates/membership/src/apply_updates.rs
@@ -6,19 +6,19 @@
 use proto::Incarnation;
 use proto::LoadReport;
 use proto::PeerState;
-use proto::Rumour;
+use proto::PeerUpdate;
 use std::net::SocketAddr;
 use stdx::Time;
 
 impl Membership {
-    pub(crate) fn apply_updates(&mut self, now: Time, updates: &[Rumour]) {
+    pub(crate) fn apply_updates(&mut self, now: Time, updates: &[PeerUpdate]) {
         for update in updates {
             self.apply_update(now, update);
         }
     }
 
     /// Applies what a message's sender says about itself, and records that it was heard.
-    pub(crate) fn apply_sender(&mut self, now: Time, sender: &Rumour, load: LoadReport) {
+    pub(crate) fn apply_sender(&mut self, now: Time, sender: &PeerUpdate, load: LoadReport) {
         self.apply_update(now, sender);
         if let Some(entry) = self.peers.get_mut(&sender.instance.incarnation) {
             entry.last_heard = Some(now);
@@ -26,7 +26,7 @@
         }
     }
 
-    fn apply_update(&mut self, now: Time, update: &Rumour) {
+    fn apply_update(&mut self, now: Time, update: &PeerUpdate) {
         let instance = &update.instance;
         let incarnation = instance.incarnation;
         if incarnation == self.me.incarnation {
@@ -45,9 +45,9 @@
             None if update.state == PeerState::Dead => {}
             None => self.add_discovered(now, update),
             Some(entry) if entry.is_newer(update) => {
-                let availability_changed = entry.peer.accepts_work != update.open;
-                self.set_peer_accepts_work(incarnation, update.open);
-                self.set_state_and_gossip(now, incarnation, update.state, update.beat);
+                let availability_changed = entry.peer.accepts_work != update.accepts_work;
+                self.set_peer_accepts_work(incarnation, update.accepts_work);
+                self.set_state_and_gossip(now, incarnation, update.state, update.revision);
                 if availability_changed {
                     let state = update.state;
                     self.effects
@@ -70,10 +70,10 @@
 
     /// Overrides a wrong update about this node. Only this node assigns its own revisions, so a
     /// higher one takes precedence over what others say about it.
-    fn refute(&mut self, update: &Rumour) {
+    fn refute(&mut self, update: &PeerUpdate) {
         let is_wrong = update.state != self.my_state();
-        if update.beat > self.revision || (update.beat == self.revision && is_wrong) {
-            self.bump_revision(update.beat);
+        if update.revision > self.revision || (update.revision == self.revision && is_wrong) {
+            self.bump_revision(update.revision);
         }
     }
 
@@ -83,7 +83,7 @@
         self.enqueue_update(self.me.incarnation);
     }
 
-    fn add_discovered(&mut self, now: Time, update: &Rumour) {
+    fn add_discovered(&mut self, now: Time, update: &PeerUpdate) {
         if self.peers.len() >= self.cfg.max_peers {
             return self.effects.push(Effect::TableFull);
         }
@@ -92,7 +92,7 @@
         self.enqueue_update(incarnation);
     }
 
-    pub(crate) fn insert_peer(&mut self, now: Time, update: Rumour) {
+    pub(crate) fn insert_peer(&mut self, now: Time, update: PeerUpdate) {
         let incarnation = update.instance.incarnation;
         let state = update.state;
         self.incarnation_by_addr
--- a/crates/membership/src/digest.rs
+++ b/crates/membership/src/digest.rs
@@ -13,7 +13,7 @@
 use proto::Incarnation;
 use proto::MemberMessage;
 use proto::PeerState;
-use proto::Rumour;
+use proto::PeerUpdate;
 use std::net::SocketAddr;
 use stdx::Time;
 
@@ -81,7 +81,7 @@
         };
         let own_update = Some(self.my_update()).filter(|_| differs(self.me.incarnation));
         let peers = self.peers.iter().filter(|(id, _)| differs(**id));
-        let mut updates: Vec<Rumour> = peers
+        let mut updates: Vec<PeerUpdate> = peers
             .map(|(_, entry)| PeerEntry::to_update(entry))
             .collect();
         // Sorted by bucket, so that even a pull truncated by the limit makes some buckets equal.
@@ -98,13 +98,13 @@
             }
         }
         for UpdateBatch { updates, .. } in batches {
-            self.send(from, MemberMessage::News { rumours: updates });
+            self.send(from, MemberMessage::PullReply { updates });
         }
     }
 
     /// Applies the response to a pull. If it contained news, there may be more, so the next pull is
     /// allowed soon.
-    pub(crate) fn on_pull_reply(&mut self, now: Time, updates: &[Rumour]) {
+    pub(crate) fn on_pull_reply(&mut self, now: Time, updates: &[PeerUpdate]) {
         let before = self.effects.len();
         self.apply_updates(now, updates);
         let learned = self.effects[before..]
--- a/crates/membership/src/members.rs
+++ b/crates/membership/src/members.rs
@@ -13,14 +13,14 @@
 use proto::LoadReport;
 use proto::MemberMessage;
 use proto::PeerState;
-use proto::Rumour;
+use proto::PeerUpdate;
 use rand::rngs::StdRng;
 use rand::seq::SliceRandom;
 use rand::SeedableRng;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::time::Duration;
-use stdx::Bounded;
+use stdx::BoundedMap;
 use stdx::Time;
 
 /// Maximum number of tombstones of incarnations that will not come back. They are kept longer than
@@ -98,7 +98,7 @@
     pub(crate) suspects: BTreeSet<(Time, Incarnation)>,
     /// `true` while the tombstone is in force; `false` after the log has listed the incarnation
     /// again.
-    pub(crate) tombstones: Bounded<Incarnation, bool>,
+    pub(crate) tombstones: BoundedMap<Incarnation, bool>,
 }
 
 impl Membership {
@@ -126,7 +126,7 @@
             update_queue: UpdateQueue::default(),
             next_gossip_at: Time::ZERO,
             suspects: BTreeSet::new(),
-            tombstones: Bounded::new(MAX_TOMBSTONES),
+            tombstones: BoundedMap::new(MAX_TOMBSTONES),
         }
     }
 
@@ -146,10 +146,10 @@
                 seq,
                 digest,
                 load,
-                rumours,
+                updates,
             } => {
                 self.apply_sender(now, &sender, load);
-                self.apply_updates(now, &rumours);
+                self.apply_updates(now, &updates);
                 self.on_ping(from, &sender, seq);
                 self.pull_if_different(now, from, digest);
             }
@@ -158,17 +158,17 @@
                 seq,
                 digest,
                 load,
-                rumours,
+                updates,
             } => {
                 self.on_ack(now, &sender, seq, digest, load);
                 self.apply_sender(now, &sender, load);
-                self.apply_updates(now, &rumours);
+                self.apply_updates(now, &updates);
                 self.pull_if_different(now, sender.instance.addr, digest);
             }
             MemberMessage::PingReq { seq, target } => self.on_ping_req(from, seq, target),
-            MemberMessage::Gossip { rumours } => self.apply_updates(now, &rumours),
+            MemberMessage::Gossip { updates } => self.apply_updates(now, &updates),
             MemberMessage::Pull { digests } => self.on_pull(from, &digests),
-            MemberMessage::News { rumours } => self.on_pull_reply(now, &rumours),
+            MemberMessage::PullReply { updates } => self.on_pull_reply(now, &updates),
         }
         std::mem::take(&mut self.effects)
     }
@@ -223,8 +223,8 @@
             let recipients: Vec<SocketAddr> =
                 recipients.map(|entry| entry.peer.instance.addr).collect();
             for to in recipients {
-                let rumours = vec![self.my_update()];
-                self.send(to, MemberMessage::Gossip { rumours });
+                let updates = vec![self.my_update()];
+                self.send(to, MemberMessage::Gossip { updates });
             }
         }
         std::mem::take(&mut self.effects)
@@ -337,17 +337,17 @@
         }
     }
 
-    pub(crate) fn my_update(&self) -> Rumour {
-        Rumour {
+    pub(crate) fn my_update(&self) -> PeerUpdate {
+        PeerUpdate {
             instance: self.me.clone(),
             state: self.my_state(),
-            beat: self.revision,
-            open: self.accepts_work,
+            revision: self.revision,
+            accepts_work: self.accepts_work,
         }
     }
 
     /// The updates for one datagram, with `first` at the front.
-    pub(crate) fn take_updates(&mut self, first: Option<Rumour>) -> Vec<Rumour> {
+    pub(crate) fn take_updates(&mut self, first: Option<PeerUpdate>) -> Vec<PeerUpdate> {
         let mine = self.my_update();
         self.update_queue.take(first, |peer| {
             if peer == mine.instance.incarnation {
@@ -369,9 +369,9 @@
         }
         self.next_gossip_at = now + self.cfg.gossip_interval;
         for to in self.pick_live_peers(self.cfg.gossip_fanout, None) {
-            let rumours = self.take_updates(None);
-            if !rumours.is_empty() {
-                self.send(to, MemberMessage::Gossip { rumours });
+            let updates = self.take_updates(None);
+            if !updates.is_empty() {
+                self.send(to, MemberMessage::Gossip { updates });
             }
         }
     }
--- a/crates/membership/src/peer.rs
+++ b/crates/membership/src/peer.rs
@@ -3,7 +3,7 @@
 use proto::Instance;
 use proto::LoadReport;
 use proto::PeerState;
-use proto::Rumour;
+use proto::PeerUpdate;
 use stdx::Time;
 
 /// What is known of a peer.
@@ -41,16 +41,16 @@
 }
 
 impl PeerEntry {
-    pub(crate) fn new(now: Time, update: Rumour) -> Self {
+    pub(crate) fn new(now: Time, update: PeerUpdate) -> Self {
         let state = update.state;
         Self {
             peer: Peer {
                 instance: update.instance,
                 state: update.state,
                 load: LoadReport::default(),
-                accepts_work: update.open,
+                accepts_work: update.accepts_work,
             },
-            revision: update.beat,
+            revision: update.revision,
             was_leaving: state == PeerState::Leaving,
             listed: false,
             retired: false,
@@ -71,19 +71,19 @@
     }
 
     /// Whether an update is newer than this entry.
-    pub(crate) fn is_newer(&self, update: &Rumour) -> bool {
+    pub(crate) fn is_newer(&self, update: &PeerUpdate) -> bool {
         if self.retired {
             return update.state == PeerState::Dead && !self.is_dead();
         }
-        (update.beat, update.state) > (self.revision, self.peer.state)
+        (update.revision, update.state) > (self.revision, self.peer.state)
     }
 
-    pub(crate) fn to_update(&self) -> Rumour {
-        Rumour {
+    pub(crate) fn to_update(&self) -> PeerUpdate {
+        PeerUpdate {
             instance: self.peer.instance.clone(),
             state: self.peer.state,
-            beat: self.revision,
-            open: self.peer.accepts_work,
+            revision: self.revision,
+            accepts_work: self.peer.accepts_work,
         }
     }
 }
--- a/crates/membership/src/probe.rs
+++ b/crates/membership/src/probe.rs
@@ -7,12 +7,12 @@
 use proto::LoadReport;
 use proto::MemberMessage;
 use proto::PeerState;
-use proto::Rumour;
+use proto::PeerUpdate;
 use rand::seq::SliceRandom;
 use rand::RngExt;
 use std::collections::VecDeque;
 use std::net::SocketAddr;
-use stdx::Bounded;
+use stdx::BoundedMap;
 use stdx::Time;
 
 /// Maximum number of pings whose acks are still processed.
@@ -49,9 +49,9 @@
     other_regions: Vec<Incarnation>,
     /// The address that each recent ping was sent to. An ack from there tells who is at that
     /// address now.
-    recent_pings: Bounded<u64, SocketAddr>,
+    recent_pings: BoundedMap<u64, SocketAddr>,
     /// The requester of each relayed ping, and the sequence number it used.
-    relayed_pings: Bounded<u64, (SocketAddr, u64)>,
+    relayed_pings: BoundedMap<u64, (SocketAddr, u64)>,
     /// Addresses for which an update names another incarnation than the table does.
     addr_checks: VecDeque<SocketAddr>,
 }
@@ -65,8 +65,8 @@
             current: None,
             same_region: Vec::new(),
             other_regions: Vec::new(),
-            recent_pings: Bounded::new(MAX_RECENT_PINGS),
-            relayed_pings: Bounded::new(MAX_RELAYED_PINGS),
+            recent_pings: BoundedMap::new(MAX_RECENT_PINGS),
+            relayed_pings: BoundedMap::new(MAX_RELAYED_PINGS),
             addr_checks: VecDeque::new(),
         }
     }
@@ -247,13 +247,13 @@
             seq,
             digest: self.digest(),
             load: self.load,
-            rumours: self.take_updates(update),
+            updates: self.take_updates(update),
         };
         self.send(addr, message);
         seq
     }
 
-    pub(crate) fn on_ping(&mut self, from: SocketAddr, sender: &Rumour, seq: u64) {
+    pub(crate) fn on_ping(&mut self, from: SocketAddr, sender: &PeerUpdate, seq: u64) {
         let entry = self.peers.get(&sender.instance.incarnation);
         let update = entry.map(PeerEntry::to_update).filter(needs_refuting);
         let message = MemberMessage::Ack {
@@ -261,7 +261,7 @@
             seq,
             digest: self.digest(),
             load: self.load,
-            rumours: self.take_updates(update),
+            updates: self.take_updates(update),
         };
         self.send(from, message);
     }
@@ -275,7 +275,7 @@
     pub(crate) fn on_ack(
         &mut self,
         now: Time,
-        sender: &Rumour,
+        sender: &PeerUpdate,
         seq: u64,
         digest: u64,
         load: LoadReport,
@@ -289,7 +289,7 @@
                 seq,
                 digest,
                 load,
-                rumours: Vec::new(),
+                updates: Vec::new(),
             };
             self.send(to, ack);
         }
@@ -308,13 +308,13 @@
     }
 
     /// What this node tells a peer about that peer's own state, if the peer should refute it.
-    fn update_to_refute(&self, addr: SocketAddr) -> Option<Rumour> {
+    fn update_to_refute(&self, addr: SocketAddr) -> Option<PeerUpdate> {
         let occupant = self.incarnation_by_addr.get(&addr)?;
         let entry = self.peers.get(occupant)?;
         Some(entry.to_update()).filter(needs_refuting)
     }
 }
 
-fn needs_refuting(update: &Rumour) -> bool {
+fn needs_refuting(update: &PeerUpdate) -> bool {
     matches!(update.state, PeerState::Suspect | PeerState::Dead)
 }
--- a/crates/membership/src/roster.rs
+++ b/crates/membership/src/roster.rs
@@ -6,7 +6,7 @@
 use proto::Incarnation;
 use proto::Instance;
 use proto::PeerState;
-use proto::Rumour;
+use proto::PeerUpdate;
 use stdx::Time;
 
 impl Membership {
@@ -43,10 +43,10 @@
 
     /// Retires an earlier incarnation at this node's own address. It has certainly ended, because
     /// this node has its address now.
-    pub(crate) fn retire_predecessor(&mut self, now: Time, update: &Rumour) {
+    pub(crate) fn retire_predecessor(&mut self, now: Time, update: &PeerUpdate) {
         let incarnation = update.instance.incarnation;
         if !self.peers.contains_key(&incarnation) {
-            let dead = Rumour {
+            let dead = PeerUpdate {
                 state: PeerState::Dead,
                 ..update.clone()
             };
@@ -58,7 +58,7 @@
 
     /// Retires all other incarnations known at the sender's address, which it has just answered
     /// from.
-    pub(crate) fn resolve_addr(&mut self, now: Time, sender: &Rumour) {
+    pub(crate) fn resolve_addr(&mut self, now: Time, sender: &PeerUpdate) {
         let (addr, incarnation) = (sender.instance.addr, sender.instance.incarnation);
         if incarnation == self.me.incarnation || self.has_tombstone(incarnation) {
             return;
@@ -163,11 +163,11 @@
 }
 
 /// The state assumed for a listed peer before it was heard.
-fn initial_update(instance: &Instance, state: PeerState) -> Rumour {
-    Rumour {
+fn initial_update(instance: &Instance, state: PeerState) -> PeerUpdate {
+    PeerUpdate {
         instance: instance.clone(),
         state,
-        beat: 0,
-        open: true,
+        revision: 0,
+        accepts_work: true,
     }
 }
--- a/crates/membership/src/update_queue.rs
+++ b/crates/membership/src/update_queue.rs
@@ -2,7 +2,7 @@
 
 use indexmap::IndexMap;
 use proto::Incarnation;
-use proto::Rumour;
+use proto::PeerUpdate;
 
 /// Maximum size of the updates in one datagram. The rest of a message included, it stays below
 /// 1,200 bytes, which no usual path fragments.
@@ -28,9 +28,9 @@
     /// the current state of a peer; updates about peers it no longer knows are dropped.
     pub(crate) fn take(
         &mut self,
-        first: Option<Rumour>,
-        lookup: impl Fn(Incarnation) -> Option<Rumour>,
-    ) -> Vec<Rumour> {
+        first: Option<PeerUpdate>,
+        lookup: impl Fn(Incarnation) -> Option<PeerUpdate>,
+    ) -> Vec<PeerUpdate> {
         let mut batch = UpdateBatch::default();
         if let Some(first) = first {
             batch.add(first);
@@ -62,13 +62,13 @@
 /// The updates of one datagram.
 #[derive(Debug, Default)]
 pub(crate) struct UpdateBatch {
-    pub(crate) updates: Vec<Rumour>,
+    pub(crate) updates: Vec<PeerUpdate>,
     bytes: usize,
 }
 
 impl UpdateBatch {
     /// Adds an update. Returns `false` if it does not fit.
-    pub(crate) fn add(&mut self, update: Rumour) -> bool {
+    pub(crate) fn add(&mut self, update: PeerUpdate) -> bool {
         let bytes = proto::encode(&update).len();
         let fits = self.bytes + bytes <= MAX_UPDATE_BYTES;
         if fits {
--- a/crates/once/src/home.rs
+++ b/crates/once/src/home.rs
@@ -19,11 +19,11 @@
 use proto::Incarnation;
 use proto::Instance;
 use proto::KeyHash;
-use proto::SLOTS;
+use proto::SLOT_COUNT;
 use std::collections::BTreeSet;
 use std::sync::Arc;
 use std::time::Duration;
-use stdx::Bounded;
+use stdx::BoundedMap;
 use stdx::Time;
 
 /// Maximum number of past members whose addresses are kept, to answer their late messages.
@@ -61,7 +61,7 @@
     pub(crate) records: Records,
     /// Runs on this node whose slot has since moved to another home.
     pub(crate) moved_runs: IndexMap<KeyHash, MovedRun>,
-    pub(crate) known_instances: Bounded<Incarnation, Instance>,
+    pub(crate) known_instances: BoundedMap<Incarnation, Instance>,
     pub(crate) service: Arc<str>,
     pub(crate) effects: Vec<Effect>,
 }
@@ -92,11 +92,11 @@
             lease_wait_until: Time::ZERO,
             fence: Fence::default(),
             log_current_at: None,
-            slots: (0..SLOTS).map(|_| Slot::default()).collect(),
+            slots: (0..SLOT_COUNT).map(|_| Slot::default()).collect(),
             moving_slots: BTreeSet::new(),
             records: Records::new(cfg.reserve_bytes),
             moved_runs: IndexMap::new(),
-            known_instances: Bounded::new(MAX_KNOWN_INSTANCES),
+            known_instances: BoundedMap::new(MAX_KNOWN_INSTANCES),
             service: "".into(),
             effects: Vec::new(),
             cfg,
@@ -214,7 +214,7 @@
     /// nothing any more.
     pub fn leave(&mut self, _now: Time) -> Vec<Effect> {
         self.leaving = true;
-        for slot in 0..SLOTS {
+        for slot in 0..SLOT_COUNT {
             self.cancel_queued(slot);
         }
         std::mem::take(&mut self.effects)
@@ -304,7 +304,7 @@
 
     /// Enqueues the moves of slots to and from this node.
     fn enqueue_moves(&mut self, now: Time, old: Option<&View>, view: &View) {
-        for slot in 0..SLOTS {
+        for slot in 0..SLOT_COUNT {
             let old_owner = old.and_then(|old| slot_owner(&old.members, slot));
             let new_owner = slot_owner(&view.members, slot);
             if old_owner.map(|owner| owner.incarnation) == new_owner.map(|owner| owner.incarnation)
--- a/crates/once/src/records.rs
+++ b/crates/once/src/records.rs
@@ -7,7 +7,7 @@
 use proto::KeyRecord;
 use proto::RecordState;
 use proto::Response;
-use proto::SLOTS;
+use proto::SLOT_COUNT;
 use std::collections::BTreeSet;
 use std::time::Duration;
 use stdx::Time;
@@ -70,7 +70,7 @@
     /// this node.
     pub(crate) fn new(reserve_bytes: usize) -> Self {
         Self {
-            slots: vec![IndexMap::new(); usize::from(SLOTS)],
+            slots: vec![IndexMap::new(); usize::from(SLOT_COUNT)],
             expiries: BTreeSet::new(),
             reserve_bytes,
             bytes: 0,
--- a/crates/once/src/transfers.rs
+++ b/crates/once/src/transfers.rs
@@ -160,7 +160,7 @@
         if transfer.parts == 1 {
             // The transfer is complete, and its sender had stopped: all that it knew is known here
             // now.
-            held.uncertain_until = now + from_ms(transfer.doubt_ms);
+            held.uncertain_until = now + from_ms(transfer.uncertain_ms);
             held.takeover_view = None;
         }
         for record in transfer.records {
@@ -234,7 +234,7 @@
         }
         let parts = split_into_parts(records, self.cfg.max_part_bytes);
         let count = u16::try_from(parts.len()).unwrap_or(u16::MAX);
-        let doubt_ms = to_ms(now.until(held.uncertain_until));
+        let uncertain_ms = to_ms(now.until(held.uncertain_until));
         let parts = parts.into_iter().zip(0..count);
         parts
             .map(|(records, part)| SlotTransfer {
@@ -245,7 +245,7 @@
                 part,
                 parts: count,
                 records,
-                doubt_ms,
+                uncertain_ms,
             })
             .collect()
     }
@@ -319,7 +319,7 @@
 /// Adds a received part. Returns whether all parts have arrived.
 fn add_part(now: Time, incoming: &mut IncomingMove, transfer: SlotTransfer) -> bool {
     incoming.expected_parts = Some(transfer.parts);
-    incoming.uncertain_until = now + from_ms(transfer.doubt_ms);
+    incoming.uncertain_until = now + from_ms(transfer.uncertain_ms);
     incoming.parts.insert(transfer.part, transfer.records);
     incoming.is_complete()
 }
--- a/crates/once/tests/common/mod.rs
+++ b/crates/once/tests/common/mod.rs
@@ -170,7 +170,7 @@
             number,
             members,
             departed,
-            steps: Vec::new(),
+            recent_changes: Vec::new(),
         });
         self.read_log();
     }
@@ -343,6 +343,6 @@
     pub fn all_ready(&self) -> bool {
         let ready: IndexSet<u64> = self.members().iter().map(|m| m.incarnation.0).collect();
         let ready = self.ready().into_iter().filter(|(n, _)| ready.contains(n));
-        ready.map(|(_, ready)| ready).sum::<usize>() == usize::from(proto::SLOTS)
+        ready.map(|(_, ready)| ready).sum::<usize>() == usize::from(proto::SLOT_COUNT)
     }
 }
--- a/crates/once/tests/homes.rs
+++ b/crates/once/tests/homes.rs
@@ -404,7 +404,7 @@
         number,
         members: members.to_vec(),
         departed: vec![(proto::Incarnation(departed), Departure::Evicted)],
-        steps: Vec::new(),
+        recent_changes: Vec::new(),
     };
     let mut home = bilberry_once::Home::new(cluster.cfg.clone(), newcomer.incarnation);
     let mut now = cluster.now;
