--- a/crates/once/tests/common/mod.rs
+++ b/crates/once/tests/common/mod.rs
@@ -30,9 +30,9 @@
 pub enum Packet {
     Lease(SocketAddr, LeaseMessage),
     Transfer(SlotTransfer),
-    TransferDone(u16, u64),
-    Finished(KeyRecord),
-    FinishedDone(KeyHash),
+    TransferAck(u16, u64),
+    RunFinished(KeyRecord),
+    RunFinishedAck(KeyHash),
     RunEnds(KeyHash, RunOutcome),
     View(usize),
 }
@@ -267,9 +267,9 @@
         let effects = match packet {
             Packet::Lease(addr, message) => home.on_lease(now, addr, message),
             Packet::Transfer(transfer) => home.on_transfer(now, transfer),
-            Packet::TransferDone(slot, view) => home.on_transfer_ack(now, sender, slot, view),
-            Packet::Finished(record) => home.on_finished(now, sender, record),
-            Packet::FinishedDone(key) => home.on_finished_ack(now, key),
+            Packet::TransferAck(slot, view) => home.on_transfer_ack(now, sender, slot, view),
+            Packet::RunFinished(record) => home.on_finished(now, sender, record),
+            Packet::RunFinishedAck(key) => home.on_finished_ack(now, key),
             Packet::RunEnds(key, end) => home.finish(now, key, end),
             Packet::View(_) => Vec::new(),
         };
@@ -293,13 +293,13 @@
                     (Some(to.incarnation), Packet::Transfer(transfer.clone()))
                 }
                 Effect::AckTransfer { to, slot, view } => {
-                    (Some(to.incarnation), Packet::TransferDone(*slot, *view))
+                    (Some(to.incarnation), Packet::TransferAck(*slot, *view))
                 }
                 Effect::SendFinished { to, record } => {
-                    (Some(to.incarnation), Packet::Finished(record.clone()))
+                    (Some(to.incarnation), Packet::RunFinished(record.clone()))
                 }
                 Effect::AckFinished { to, key } => {
-                    (Some(to.incarnation), Packet::FinishedDone(*key))
+                    (Some(to.incarnation), Packet::RunFinishedAck(*key))
                 }
                 Effect::InvariantViolation(fault) => panic!("node {number}: {fault:?}"),
                 _ => {
--- a/crates/once/tests/homes.rs
+++ b/crates/once/tests/homes.rs
@@ -208,7 +208,7 @@
     cluster.delays = Box::new(move |_, _, packet| {
         sent += 1;
         match packet {
-            Packet::TransferDone(..) if sent % 4 != 0 => Vec::new(),
+            Packet::TransferAck(..) if sent % 4 != 0 => Vec::new(),
             Packet::Transfer(_) if sent % 3 == 0 => Vec::new(),
             Packet::Transfer(_) => vec![ms(400 - sent % 400), ms(1 + sent % 7)],
             _ => vec![ms(1)],
