--- a/crates/once/examples/costs.rs
+++ b/crates/once/examples/costs.rs
@@ -1,5 +1,5 @@
-//! What leases cost, how long slots are out after an eviction, and what a record takes up:
-//! `cargo run --release -p bilberry-once --example costs`.
+//! Prints the traffic of leases, how long slots are unavailable after an eviction, and the size of
+//! a record: `cargo run --release -p bilberry-once --example costs`.
 
 #[path = "../tests/common/mod.rs"]
 mod common;
@@ -17,15 +17,17 @@
         cluster.lease_bytes.clear();
         cluster.advance(ms(MINUTE));
         let bytes: usize = cluster.lease_bytes.values().sum();
-        let each = bytes as f64 * 1000.0 / (members * MINUTE) as f64;
+        let per_node = bytes as f64 * 1000.0 / (members * MINUTE) as f64;
         cluster.crash(members);
         cluster.depart(members, Departure::Evicted);
         let evicted = cluster.now;
         while !cluster.all_ready() {
             cluster.advance(ms(10));
         }
-        let out = cluster.now.since(evicted);
-        println!("{members} members: {each:.0} lease bytes/s sent by a node, slots out {out:?}");
+        let unavailable = cluster.now.since(evicted);
+        println!(
+            "{members} members: {per_node:.0} lease bytes/s sent by a node, slots unavailable for {unavailable:?}"
+        );
     }
     let mut cluster = Cluster::new(1);
     let keys: Vec<KeyHash> = (0..1000).map(|nth| cluster.key_of(1, nth)).collect();
