--- a/crates/ctl/src/stream.rs
+++ b/crates/ctl/src/stream.rs
@@ -3,16 +3,16 @@
 use crate::error::CommandError;
 use journal::Record;
 use journal::State;
-use platform::Item;
 use platform::Records;
-use platform::Store;
+use platform::StoreClient;
 use platform::StoreError;
+use platform::StoreRecord;
 use std::net::SocketAddr;
 use std::time::Duration;
 
 /// The stream and what it says so far.
 pub(crate) struct Stream {
-    store: Store,
+    store: StoreClient,
     topic: String,
     pub(crate) state: State,
 }
@@ -21,8 +21,8 @@
     /// A stream that was read to its end.
     pub(crate) async fn open(store: SocketAddr, name: &str) -> Result<Self, CommandError> {
         let mut stream = Self {
-            store: Store::new(store),
-            topic: platform::topic(name),
+            store: StoreClient::new(store),
+            topic: platform::stream_topic(name),
             state: State::default(),
         };
         stream.restart().await?;
@@ -30,9 +30,9 @@
     }
 
     async fn restart(&mut self) -> Result<(), StoreError> {
-        let newest = self.store.newest(&self.topic).await?;
-        let end = newest.end;
-        let values = newest.items.into_iter();
+        let newest = self.store.newest_records(&self.topic).await?;
+        let end = newest.end_offset;
+        let values = newest.records.into_iter();
         let values = values.map(|item| (item.offset, item.value)).collect();
         self.state = State::from_newest(&journal::sorted_before(values, end), end);
         Ok(())
@@ -44,7 +44,11 @@
             let next = self.state.next_offset;
             match self.store.read(&self.topic, next, Duration::ZERO).await? {
                 Records::Expired { .. } => self.restart().await?,
-                Records::Some { items, end, .. } => {
+                Records::Available {
+                    records: items,
+                    end_offset: end,
+                    ..
+                } => {
                     for item in &items {
                         self.state.apply(item.offset, &item.value);
                     }
@@ -63,13 +67,19 @@
     }
 
     /// The records that the store still has.
-    pub(crate) async fn records(&self) -> Result<Vec<Item>, StoreError> {
+    pub(crate) async fn records(&self) -> Result<Vec<StoreRecord>, StoreError> {
         let mut all = Vec::new();
         let mut from = 0;
         loop {
             match self.store.read(&self.topic, from, Duration::ZERO).await? {
-                Records::Expired { first } => from = first,
-                Records::Some { items, next, end } => {
+                Records::Expired {
+                    oldest_offset: first,
+                } => from = first,
+                Records::Available {
+                    records: items,
+                    next_offset: next,
+                    end_offset: end,
+                } => {
                     let done = next >= end || items.is_empty();
                     all.extend(items);
                     from = next;
--- a/crates/httpconn/src/connection.rs
+++ b/crates/httpconn/src/connection.rs
@@ -1,10 +1,10 @@
 //! A connection and the requests on it, one at a time.
 
 use crate::response;
+use crate::response::CompleteResponse;
 use crate::response::Parser;
 use crate::response::Reuse;
-use crate::response::Whole;
-use crate::Failure;
+use crate::ExchangeError;
 use actix_http::header::HeaderMap;
 use bytes::BytesMut;
 use socket2::SockRef;
@@ -47,16 +47,16 @@
     ///
     /// # Errors
     ///
-    /// [`Failure::NotConnected`], also if it takes longer than `patience`.
+    /// [`ExchangeError::NotConnected`], also if it takes longer than `patience`.
     pub async fn open(
         parser: &Parser,
         addr: SocketAddr,
         patience: Duration,
-    ) -> Result<Self, Failure> {
+    ) -> Result<Self, ExchangeError> {
         let stream = tokio::time::timeout(patience, TcpStream::connect(addr)).await;
         let stream = stream
-            .map_err(|_| Failure::NotConnected)?
-            .map_err(|_| Failure::NotConnected)?;
+            .map_err(|_| ExchangeError::NotConnected)?
+            .map_err(|_| ExchangeError::NotConnected)?;
         watch(&stream);
         Ok(Self {
             parser: parser.clone(),
@@ -69,7 +69,7 @@
 
     /// Whether nothing has come since the last response: neither an end nor bytes that belong to
     /// no request.
-    pub fn is_quiet(&self) -> bool {
+    pub fn is_reusable(&self) -> bool {
         let mut byte = [0; 1];
         let read = self.stream.try_read(&mut byte);
         self.buf.is_empty() && matches!(read, Err(e) if e.kind() == ErrorKind::WouldBlock)
@@ -81,13 +81,13 @@
     ///
     /// # Errors
     ///
-    /// Any [`Failure`] but `NotConnected`: the request may have arrived.
+    /// Any [`ExchangeError`] but `NotConnected`: the request may have arrived.
     pub async fn exchange(
         mut self,
         request: &[u8],
         max_body: usize,
         is_ours: impl Fn(&HeaderMap) -> bool,
-    ) -> Result<(Whole, Self), Failure> {
+    ) -> Result<(CompleteResponse, Self), ExchangeError> {
         let (mut reader, mut writer) = self.stream.split();
         let mut written = false;
         // Some servers answer before they have read the whole body; one that then reads no more
@@ -125,7 +125,7 @@
     buf: &mut BytesMut,
     max_body: usize,
     is_ours: impl Fn(&HeaderMap) -> bool,
-) -> Result<Whole, Failure> {
+) -> Result<CompleteResponse, ExchangeError> {
     for passed_over in 0..=MAX_FOREIGN {
         let mut whole = response::read(parser, reader, buf, max_body).await?;
         if is_ours(&whole.headers) {
@@ -135,7 +135,7 @@
             return Ok(whole);
         }
     }
-    Err(Failure::Foreign)
+    Err(ExchangeError::Unmatched)
 }
 
 /// Has the system notice a silent other end. A socket that refuses an option still works.
--- a/crates/httpconn/src/headers.rs
+++ b/crates/httpconn/src/headers.rs
@@ -65,11 +65,11 @@
 /// let mut headers = HeaderMap::new();
 /// headers.insert(HOST, HeaderValue::from_static("a.example"));
 /// headers.insert(ACCEPT, HeaderValue::from_static("*/*"));
-/// let passed_on = bilberry_httpconn::end_to_end(&headers, &[]);
+/// let passed_on = bilberry_httpconn::end_to_end_headers(&headers, &[]);
 /// assert_eq!(passed_on.len(), 1);
 /// assert_eq!(&*passed_on[0].0, "accept");
 /// ```
-pub fn end_to_end(headers: &HeaderMap, not_these: &[&str]) -> Vec<(Arc<str>, Bytes)> {
+pub fn end_to_end_headers(headers: &HeaderMap, not_these: &[&str]) -> Vec<(Arc<str>, Bytes)> {
     let named: Vec<&str> = headers
         .get_all(CONNECTION)
         .filter_map(|value| value.to_str().ok())
--- a/crates/httpconn/src/lib.rs
+++ b/crates/httpconn/src/lib.rs
@@ -13,12 +13,12 @@
 mod response;
 
 pub use connection::Connection;
-pub use error::Failure;
-pub use headers::end_to_end;
+pub use error::ExchangeError;
+pub use headers::end_to_end_headers;
 pub use headers::single_header;
 pub use headers::BadHeader;
 pub use pool::Pool;
 pub use request::encode_request;
+pub use response::CompleteResponse;
 pub use response::Parser;
 pub use response::Reuse;
-pub use response::Whole;
--- a/crates/httpconn/src/pool.rs
+++ b/crates/httpconn/src/pool.rs
@@ -24,7 +24,7 @@
     pub fn take(&mut self) -> Option<Connection> {
         self.drop_stale();
         while let Some(connection) = self.idle.pop_back() {
-            if connection.is_quiet() {
+            if connection.is_reusable() {
                 return Some(connection);
             }
         }
--- a/crates/httpconn/src/response.rs
+++ b/crates/httpconn/src/response.rs
@@ -1,6 +1,6 @@
 //! Reading one whole response out of the bytes of a connection.
 
-use crate::Failure;
+use crate::ExchangeError;
 use actix_http::h1::ClientCodec;
 use actix_http::h1::ClientPayloadCodec;
 use actix_http::h1::MessageType;
@@ -22,7 +22,7 @@
 
 /// A whole response.
 #[derive(Debug)]
-pub struct Whole {
+pub struct CompleteResponse {
     /// The status.
     pub status: StatusCode,
     /// All headers.
@@ -63,7 +63,7 @@
     stream: &mut R,
     buf: &mut BytesMut,
     max_body: usize,
-) -> Result<Whole, Failure>
+) -> Result<CompleteResponse, ExchangeError>
 where
     R: AsyncRead + Unpin,
 {
@@ -76,7 +76,7 @@
             }
             Ok(Some(head)) => break head,
             Ok(None) => fill(stream, buf).await?,
-            Err(_) => return Err(Failure::Malformed),
+            Err(_) => return Err(ExchangeError::Malformed),
         }
     };
     let (status, headers) = (head.status, std::mem::take(head.headers_mut()));
@@ -91,7 +91,7 @@
     } else {
         Reuse::No
     };
-    Ok(Whole {
+    Ok(CompleteResponse {
         status,
         headers,
         body,
@@ -118,7 +118,7 @@
     buf: &mut BytesMut,
     mut payload: ClientPayloadCodec,
     max_body: usize,
-) -> Result<Bytes, Failure>
+) -> Result<Bytes, ExchangeError>
 where
     R: AsyncRead + Unpin,
 {
@@ -128,7 +128,7 @@
         match payload.decode(buf) {
             Ok(Some(Some(chunk))) => {
                 if first.len() + rest.len() + chunk.len() > max_body {
-                    return Err(Failure::TooLarge);
+                    return Err(ExchangeError::TooLarge);
                 }
                 if first.is_empty() {
                     first = chunk;
@@ -138,7 +138,7 @@
             }
             Ok(Some(None)) => break,
             Ok(None) => fill(stream, buf).await?,
-            Err(_) => return Err(Failure::Malformed),
+            Err(_) => return Err(ExchangeError::Malformed),
         }
     }
     if rest.is_empty() {
@@ -153,31 +153,31 @@
     stream: &mut R,
     buf: &mut BytesMut,
     max_body: usize,
-) -> Result<Bytes, Failure>
+) -> Result<Bytes, ExchangeError>
 where
     R: AsyncRead + Unpin,
 {
     loop {
         if buf.len() > max_body {
-            return Err(Failure::TooLarge);
+            return Err(ExchangeError::TooLarge);
         }
         buf.reserve(READ_SIZE);
         // A reset is an error here, and not an end.
         match stream.read_buf(buf).await {
             Ok(0) => return Ok(buf.split().freeze()),
             Ok(_) => {}
-            Err(_) => return Err(Failure::Broken),
+            Err(_) => return Err(ExchangeError::ConnectionClosed),
         }
     }
 }
 
-async fn fill<R>(stream: &mut R, buf: &mut BytesMut) -> Result<(), Failure>
+async fn fill<R>(stream: &mut R, buf: &mut BytesMut) -> Result<(), ExchangeError>
 where
     R: AsyncRead + Unpin,
 {
     buf.reserve(READ_SIZE);
     match stream.read_buf(buf).await {
-        Ok(0) | Err(_) => Err(Failure::Broken),
+        Ok(0) | Err(_) => Err(ExchangeError::ConnectionClosed),
         Ok(_) => Ok(()),
     }
 }
--- a/crates/httpconn/tests/exchange.rs
+++ b/crates/httpconn/tests/exchange.rs
@@ -1,7 +1,7 @@
 //! What a server may send, and what comes of it.
 
 use bilberry_httpconn::Connection;
-use bilberry_httpconn::Failure;
+use bilberry_httpconn::ExchangeError;
 use bilberry_httpconn::Parser;
 use bilberry_httpconn::Reuse;
 use std::net::SocketAddr;
@@ -46,7 +46,7 @@
 }
 
 /// What the exchange ends with: the body, and whether the connection may be used again.
-async fn check(bytes: &'static str, end: End) -> Result<(String, bool), Failure> {
+async fn check(bytes: &'static str, end: End) -> Result<(String, bool), ExchangeError> {
     let addr = server(bytes, end).await;
     let connection = Connection::open(&Parser::default(), addr, PATIENCE).await?;
     let is_ours = |headers: &actix_http::header::HeaderMap| headers.contains_key("x-ours");
@@ -56,7 +56,7 @@
     Ok((body, whole.reuse != Reuse::No))
 }
 
-fn body(text: &str, reused: bool) -> Result<(String, bool), Failure> {
+fn body(text: &str, reused: bool) -> Result<(String, bool), ExchangeError> {
     Ok((text.to_owned(), reused))
 }
 
@@ -91,10 +91,17 @@
         "HTTP/1.1 200 OK\r\nx-ours: 1\r\ncontent-length: 3\r\n\r\nin",
         "HTTP/1.1 200 OK\r\nx-ours: 1\r\ntransfer-encoding: chunked\r\n\r\n2\r\nin\r\n",
     ] {
-        assert_eq!(check(cut, End::Close).await, Err(Failure::Broken), "{cut}");
+        assert_eq!(
+            check(cut, End::Close).await,
+            Err(ExchangeError::ConnectionClosed),
+            "{cut}"
+        );
     }
     let garbage = "ink ink ink\r\n\r\n";
-    assert_eq!(check(garbage, End::Keep).await, Err(Failure::Malformed));
+    assert_eq!(
+        check(garbage, End::Keep).await,
+        Err(ExchangeError::Malformed)
+    );
 }
 
 /// An answer without a length ends with its connection. One that is reset is not whole.
@@ -102,7 +109,10 @@
 async fn a_response_without_a_length_ends_with_its_connection() {
     let unframed = "HTTP/1.1 200 OK\r\nx-ours: 1\r\n\r\nink";
     assert_eq!(check(unframed, End::Close).await, body("ink", false));
-    assert_eq!(check(unframed, End::Reset).await, Err(Failure::Broken));
+    assert_eq!(
+        check(unframed, End::Reset).await,
+        Err(ExchangeError::ConnectionClosed)
+    );
 }
 
 /// A server sends more than its answer. The next caller on the connection would get what is left.
@@ -124,7 +134,7 @@
 async fn a_response_that_is_too_large_is_said_to_be() {
     let large = "HTTP/1.1 200 OK\r\nx-ours: 1\r\ncontent-length: 0002000\r\n\r\n";
     let large = Box::leak(format!("{large}{}", "x".repeat(2000)).into_boxed_str());
-    assert_eq!(check(large, End::Keep).await, Err(Failure::TooLarge));
+    assert_eq!(check(large, End::Keep).await, Err(ExchangeError::TooLarge));
 }
 
 #[actix_rt::test]
@@ -133,5 +143,5 @@
     let addr = listener.local_addr().unwrap();
     drop(listener);
     let opened = Connection::open(&Parser::default(), addr, PATIENCE).await;
-    assert_eq!(opened.err(), Some(Failure::NotConnected));
+    assert_eq!(opened.err(), Some(ExchangeError::NotConnected));
 }
--- a/crates/node/src/attached.rs
+++ b/crates/node/src/attached.rs
@@ -20,9 +20,9 @@
 use engine::KeylessCalls;
 use engine::TreeRetries;
 use platform::ConfigError;
-use platform::Item;
 use platform::Records;
 use platform::StoreError;
+use platform::StoreRecord;
 use proto::Reason;
 use rand::RngExt;
 use std::net::SocketAddr;
@@ -146,8 +146,8 @@
         |shell| shell.engine.borrow().reads_store(shell.now()),
         |shell, asked, batch| match batch {
             Batch::Newest(newest) => {
-                take_configs(shell, &newest.items);
-                note_offset(shell, newest.end);
+                take_configs(shell, &newest.records);
+                note_offset(shell, newest.end_offset);
                 let version = shell.newest_rules.get().1;
                 shell.feed(Input::RulesChecked { asked, version });
             }
@@ -186,7 +186,12 @@
         let read = shell
             .store
             .read(platform::CONFIG_TOPIC, from, Duration::ZERO);
-        if let Records::Some { items, next, end } = read.await? {
+        if let Records::Available {
+            records: items,
+            next_offset: next,
+            end_offset: end,
+        } = read.await?
+        {
             take_configs(shell, &items);
             if next >= end {
                 note_offset(shell, next);
@@ -194,9 +199,9 @@
             }
         }
     }
-    let newest = shell.store.newest(platform::CONFIG_TOPIC).await?;
-    take_configs(shell, &newest.items);
-    note_offset(shell, newest.end);
+    let newest = shell.store.newest_records(platform::CONFIG_TOPIC).await?;
+    take_configs(shell, &newest.records);
+    note_offset(shell, newest.end_offset);
     Ok(shell.newest_rules.get().1)
 }
 
@@ -205,8 +210,8 @@
     shell.rules_offset.set(read.max(Some(next)));
 }
 
-fn take_configs(shell: &Rc<Shell>, items: &[Item]) {
-    for Item { key, value, offset } in items {
+fn take_configs(shell: &Rc<Shell>, items: &[StoreRecord]) {
+    for StoreRecord { key, value, offset } in items {
         if &**key != platform::CONFIG_KEY || value.is_empty() {
             continue;
         }
@@ -228,18 +233,18 @@
 /// The version of a configuration, and its text without keys.
 fn read_config(value: &[u8]) -> Result<(u64, Arc<str>), ConfigError> {
     let text = std::str::from_utf8(value).map_err(|_| ConfigError::Malformed)?;
-    let version = platform::version_of(text)?;
-    Ok((version, platform::without_keys(text)?.into()))
+    let version = platform::config_version(text)?;
+    Ok((version, platform::hash_api_keys(text)?.into()))
 }
 
 /// Reads where other nodes announced themselves.
 async fn read_directory(shell: &Shell) -> Vec<SocketAddr> {
     let mut pause = Pause::new();
     loop {
-        match shell.store.newest(platform::NODES_TOPIC).await {
+        match shell.store.newest_records(platform::NODES_TOPIC).await {
             Ok(newest) => {
                 pause.done("directory");
-                let addrs = newest.items.iter();
+                let addrs = newest.records.iter();
                 let addrs = addrs.filter_map(|item| item.key.parse().ok());
                 let addrs: Vec<SocketAddr> = addrs.collect();
                 log::info!("event=directory nodes={}", addrs.len());
@@ -298,7 +303,7 @@
         Err(Reason::NoSuchOperation) => StatusCode::NOT_FOUND,
         Err(_) => StatusCode::BAD_REQUEST,
     };
-    let body = platform::acknowledgement();
+    let body = platform::acknowledgement_body();
     let mut response = HttpResponse::build(status);
     response.insert_header(("content-type", "application/json"));
     response.body(body).map_into_boxed_body()
@@ -311,12 +316,12 @@
     };
     let (body, _reservation) = body::read(req, limits, &shell.bodies).await?;
     let server = shell.settings.backend_server_addr;
-    match platform::announcement(req.method(), req.path(), &body, server) {
+    match platform::parse_announcement(req.method(), req.path(), &body, server) {
         Ok(announcement) => {
             shell.feed(Input::Server(announcement));
             Ok(())
         }
-        Err(platform::HeartbeatError::NoSuchCall) => Err(Reason::NoSuchOperation),
+        Err(platform::HeartbeatError::UnknownEndpoint) => Err(Reason::NoSuchOperation),
         Err(e) => {
             let path = req.path();
             log::warn!("event=heartbeat_refused path={path} error=\"{e}\"");
--- a/crates/node/src/backend.rs
+++ b/crates/node/src/backend.rs
@@ -6,7 +6,7 @@
 use engine::Input;
 use engine::RunEnd;
 use httpconn::Connection;
-use httpconn::Failure;
+use httpconn::ExchangeError;
 use httpconn::Parser;
 use httpconn::Pool;
 use httpconn::Reuse;
@@ -120,7 +120,7 @@
                 }
                 (shell.dialect.judge)(whole)
             }
-            Err(Failure::TooLarge) => RunEnd::Response((shell.dialect.too_large)()),
+            Err(ExchangeError::TooLarge) => RunEnd::Response((shell.dialect.too_large)()),
             Err(e) => {
                 let (id, run) = (&work.request.id, work.run);
                 log::info!("event=run_lost request={id} run={run} error=\"{e}\"");
@@ -140,7 +140,7 @@
         });
     }
 
-    async fn ask(&self, shell: &Shell, id: &str, path: &str) -> Result<bool, Failure> {
+    async fn ask(&self, shell: &Shell, id: &str, path: &str) -> Result<bool, ExchangeError> {
         let connection = Connection::open(&self.parser, self.addr, CHECK_PATIENCE).await?;
         let request = (shell.dialect.encode_check)(path, &self.addr.to_string());
         let (whole, _) = connection
@@ -149,7 +149,7 @@
         Ok((shell.dialect.is_healthy)(&whole, id))
     }
 
-    async fn connection(&self, work: &Work) -> Result<Connection, Failure> {
+    async fn connection(&self, work: &Work) -> Result<Connection, ExchangeError> {
         let kept = {
             let mut idle = self.idle.borrow_mut();
             if idle.server != work.expect {
--- a/crates/node/src/dialect.rs
+++ b/crates/node/src/dialect.rs
@@ -14,7 +14,7 @@
 use bytes::Bytes;
 use bytes::BytesMut;
 use engine::RunEnd;
-use httpconn::Whole;
+use httpconn::CompleteResponse;
 use proto::Outcome;
 use proto::Reason;
 use proto::Request;
@@ -80,11 +80,11 @@
     /// Asks the own backend server at a path whether it is healthy and stays.
     pub(crate) encode_check: fn(&str, &str) -> BytesMut,
     /// Whether it says that this incarnation is.
-    pub(crate) is_healthy: fn(&Whole, &str) -> bool,
+    pub(crate) is_healthy: fn(&CompleteResponse, &str) -> bool,
     /// Whether a response of the server belongs to the request.
     pub(crate) is_ours: fn(&HeaderMap, &Request) -> bool,
     /// What a whole response says of its run.
-    pub(crate) judge: Box<dyn Fn(Whole) -> RunEnd>,
+    pub(crate) judge: Box<dyn Fn(CompleteResponse) -> RunEnd>,
     /// What the caller gets in place of a response that is too large. The work is done; taken for a
     /// broken connection, it would be run again, and its request be held for one that crashes
     /// servers.
--- a/crates/node/src/dialect/own.rs
+++ b/crates/node/src/dialect/own.rs
@@ -18,9 +18,9 @@
 use bytes::BytesMut;
 use engine::RunEnd;
 use httpconn::encode_request;
-use httpconn::end_to_end;
+use httpconn::end_to_end_headers;
 use httpconn::single_header;
-use httpconn::Whole;
+use httpconn::CompleteResponse;
 use proto::Outcome;
 use proto::Reason;
 use proto::Refusal;
@@ -93,7 +93,7 @@
     let address = req.peer_addr().map(|addr| addr.ip().to_string().into());
     let caller = header(req, caller_header, Reason::BadRequest)?;
     let (service, path) = target(req)?;
-    let headers = end_to_end(req.headers(), &NOT_PASSED_ON);
+    let headers = end_to_end_headers(req.headers(), &NOT_PASSED_ON);
     Ok(Head {
         caller: caller.or(address).unwrap_or_else(|| "".into()),
         credential: credential(req),
@@ -134,7 +134,7 @@
     encode_request(&req.method, &req.path, &req.headers, &more, &req.body)
 }
 
-fn judge(whole: Whole, refusal_header: &str) -> RunEnd {
+fn judge(whole: CompleteResponse, refusal_header: &str) -> RunEnd {
     if whole.headers.contains_key(refusal_header) {
         let retry_after = whole.headers.get(RETRY_AFTER);
         let seconds = retry_after.and_then(|value| value.to_str().ok()?.parse().ok());
@@ -144,7 +144,7 @@
     }
     RunEnd::Response(Response {
         status: whole.status.as_u16(),
-        headers: end_to_end(&whole.headers, &SET_HERE),
+        headers: end_to_end_headers(&whole.headers, &SET_HERE),
         body: whole.body,
     })
 }
--- a/crates/node/src/dialect/platform.rs
+++ b/crates/node/src/dialect/platform.rs
@@ -12,8 +12,8 @@
 use actix_http::StatusCode;
 use bytes::Bytes;
 use engine::RunEnd;
-use httpconn::Whole;
-use platform::Verdict;
+use httpconn::CompleteResponse;
+use platform::ResponseKind;
 use proto::Outcome;
 use proto::Reason;
 use proto::Refusal;
@@ -31,19 +31,19 @@
         refuse_head: Box::new(refuse_head),
         respond: Box::new(respond),
         encode: Box::new(|run: &Run<'_>| {
-            platform::request_to_server(run.request, run.remaining, run.expect)
+            platform::encode_server_request(run.request, run.remaining, run.expect)
         }),
-        encode_check: platform::health_check,
+        encode_check: platform::encode_health_check,
         is_healthy: platform::is_healthy,
-        is_ours: |headers, request| platform::belongs_to(headers, &request.id),
+        is_ours: |headers, request| platform::matches_request(headers, &request.id),
         judge: Box::new(judge),
         too_large,
     }
 }
 
 fn read_head(req: &HttpRequest, service: &str) -> Result<Head, Reason> {
-    let head = platform::head(req.head(), service)?;
-    let headers = platform::to_travel(head.headers);
+    let head = platform::parse_head(req.head(), service)?;
+    let headers = platform::compact_headers(head.headers);
     let request = Request {
         id: head.id,
         host: head.host,
@@ -54,8 +54,8 @@
         context: None,
         parent: head.parent,
         key: None,
-        credential: head.key,
-        patience: head.patience,
+        credential: head.key_digest,
+        patience: head.caller_timeout,
         request,
     })
 }
@@ -78,13 +78,13 @@
     }
 }
 
-fn judge(whole: Whole) -> RunEnd {
-    match platform::judge(whole) {
-        Verdict::Ran(response) => RunEnd::Response(Response {
-            headers: platform::to_travel(response.headers),
+fn judge(whole: CompleteResponse) -> RunEnd {
+    match platform::classify_response(whole) {
+        ResponseKind::Executed(response) => RunEnd::Response(Response {
+            headers: platform::compact_headers(response.headers),
             ..response
         }),
-        Verdict::Refused { retry_after } => RunEnd::Refused { retry_after },
-        Verdict::Misdirected => RunEnd::Misdirected,
+        ResponseKind::Refused { retry_after } => RunEnd::Refused { retry_after },
+        ResponseKind::Misdirected => RunEnd::Misdirected,
     }
 }
--- a/crates/node/src/shell.rs
+++ b/crates/node/src/shell.rs
@@ -27,7 +27,7 @@
 use engine::RequestToken;
 use indexmap::IndexMap;
 use journal::TopicEntry;
-use platform::Store;
+use platform::StoreClient;
 use platform::StoreError;
 use policy::FleetRetryLimits;
 use proto::Incarnation;
@@ -128,7 +128,7 @@
     pub(crate) me: Instance,
     pub(crate) engine: RefCell<Engine>,
     pub(crate) dialect: Dialect,
-    pub(crate) store: Store,
+    pub(crate) store: StoreClient,
     pub(crate) read_store: Notify,
     /// From where the store is read for newer rules; nothing before it was read once.
     pub(crate) rules_offset: Cell<Option<u64>>,
@@ -185,7 +185,7 @@
     let shell = Rc::new(Shell {
         engine: RefCell::new(Engine::new(cfg, me.clone())),
         dialect: Dialect::new(&settings),
-        store: Store::new(settings.store_addr),
+        store: StoreClient::new(settings.store_addr),
         read_store: Notify::new(),
         rules_offset: Cell::new(None),
         newest_rules: Cell::new((0, 0)),
@@ -401,7 +401,7 @@
             add(&self.metrics.bytes.store_out, value.len());
         }
         actix_rt::spawn(async move {
-            let topic = platform::topic(&shell.settings.store_stream);
+            let topic = platform::stream_topic(&shell.settings.store_stream);
             match shell.store.append(&topic, Some(at), &entries).await {
                 Ok(_) => shell.feed(Input::Appended(number)),
                 Err(StoreError::Conflict) => shell.feed(Input::AppendConflict(number)),
--- a/crates/node/src/store_reader.rs
+++ b/crates/node/src/store_reader.rs
@@ -3,10 +3,10 @@
 use crate::metrics::add;
 use crate::shell::Shell;
 use engine::Input;
-use platform::Item;
-use platform::Newest;
+use platform::NewestRecords;
 use platform::Records;
 use platform::StoreError;
+use platform::StoreRecord;
 use rand::RngExt;
 use std::rc::Rc;
 use std::time::Duration;
@@ -65,11 +65,11 @@
 /// What one read brought.
 pub(crate) enum Batch {
     /// The newest record of each key.
-    Newest(Newest),
+    Newest(NewestRecords),
     /// Records in their order.
     Records {
         /// The records.
-        items: Vec<Item>,
+        items: Vec<StoreRecord>,
         /// Whether the topic ends with them.
         at_end: bool,
     },
@@ -125,11 +125,15 @@
     wait: Duration,
 ) -> Result<Option<(u64, Batch)>, StoreError> {
     let Some(from) = from else {
-        let newest = shell.store.newest(topic).await?;
-        return Ok(Some((newest.end, Batch::Newest(newest))));
+        let newest = shell.store.newest_records(topic).await?;
+        return Ok(Some((newest.end_offset, Batch::Newest(newest))));
     };
     Ok(match shell.store.read(topic, from, wait).await? {
-        Records::Some { items, next, end } => {
+        Records::Available {
+            records: items,
+            next_offset: next,
+            end_offset: end,
+        } => {
             let at_end = next >= end;
             Some((next, Batch::Records { items, at_end }))
         }
@@ -139,7 +143,7 @@
 
 /// Follows the topic of views and rules.
 pub(crate) async fn follow_views(shell: Rc<Shell>) {
-    let topic = platform::topic(&shell.settings.store_stream);
+    let topic = platform::stream_topic(&shell.settings.store_stream);
     let take = |shell: &Rc<Shell>, _, batch| take_views(shell, batch);
     follow(shell, &topic, READ_WAIT, |_| true, take).await;
 }
@@ -149,7 +153,7 @@
     let shell = shell.clone();
     actix_rt::spawn(async move {
         let asked = shell.now();
-        let topic = platform::topic(&shell.settings.store_stream);
+        let topic = platform::stream_topic(&shell.settings.store_stream);
         let from = shell.engine.borrow().next_offset();
         let input = match read(&shell, &topic, Some(from), Duration::ZERO).await {
             Ok(Some((_, batch))) => {
@@ -170,8 +174,8 @@
 fn take_views(shell: &Rc<Shell>, batch: Batch) {
     match batch {
         Batch::Newest(newest) => {
-            let end = newest.end;
-            let values = values(shell, newest.items);
+            let end = newest.end_offset;
+            let values = values(shell, newest.records);
             shell.feed(Input::TopicSnapshot { values, end });
             shell.feed(Input::LogCaughtUp);
         }
@@ -185,7 +189,7 @@
     }
 }
 
-fn values(shell: &Shell, items: Vec<Item>) -> Vec<(u64, bytes::Bytes)> {
+fn values(shell: &Shell, items: Vec<StoreRecord>) -> Vec<(u64, bytes::Bytes)> {
     let values = items.into_iter().map(|item| {
         add(&shell.metrics.bytes.store_in, item.value.len());
         (item.offset, item.value)
