--- a/crates/httpconn/src/connection.rs
+++ b/crates/httpconn/src/connection.rs
@@ -1,4 +1,4 @@
-//! A connection and the requests on it, one at a time.
+//! A client connection that carries one request at a time.
 
 use crate::response;
 use crate::response::CompleteResponse;
@@ -16,48 +16,49 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// When a connection on which nothing comes is probed, and how often. A connection that something
-/// on the way has lost track of stays silent for good; without probes a reader would wait on it for
-/// ever. Three tries a second apart are the shortest that the system's whole seconds allow without
-/// giving up over one lost packet.
-const PROBE_AFTER: Duration = Duration::from_secs(1);
-const PROBE_INTERVAL: Duration = Duration::from_secs(1);
-const PROBES: u32 = 2;
+/// TCP keep-alive: idle time before the first probe, interval between probes and number of
+/// unanswered probes after which the connection is closed. A connection whose state was lost by a
+/// middlebox stays silent forever, and without probes a reader would wait on it indefinitely. The
+/// socket options take whole seconds; these values are the shortest that tolerate one lost packet.
+const KEEPALIVE_TIME: Duration = Duration::from_secs(1);
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
+const KEEPALIVE_RETRIES: u32 = 2;
 
-/// How long sent bytes may stay unacknowledged.
-const UNACKNOWLEDGED: Duration = Duration::from_millis(2500);
+/// How long sent data may stay unacknowledged before the connection is closed
+/// (`TCP_USER_TIMEOUT`).
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(2500);
 
-/// How many responses to other requests are passed over in search of the right one.
-const MAX_FOREIGN: usize = 2;
+/// How many responses to other requests are skipped before the exchange fails.
+const MAX_UNMATCHED: usize = 2;
 
-/// A connection that carries one request at a time.
+/// An HTTP/1.1 client connection that carries one request at a time.
 #[derive(Debug)]
 pub struct Connection {
     parser: Parser,
     stream: TcpStream,
     buf: BytesMut,
-    /// When the last response on it was whole.
+    /// When the last response was complete.
     pub(crate) idle_since: Instant,
-    /// When the other end closes it.
+    /// How long the server keeps the connection open while idle, if it announced that.
     pub(crate) idle_timeout: Option<Duration>,
 }
 
 impl Connection {
-    /// Connects.
+    /// Connects to `addr`.
     ///
     /// # Errors
     ///
-    /// [`ExchangeError::NotConnected`], also if it takes longer than `patience`.
+    /// [`ExchangeError::NotConnected`], also if connecting takes longer than `connect_timeout`.
     pub async fn open(
         parser: &Parser,
         addr: SocketAddr,
-        patience: Duration,
+        connect_timeout: Duration,
     ) -> Result<Self, ExchangeError> {
-        let stream = tokio::time::timeout(patience, TcpStream::connect(addr)).await;
+        let stream = tokio::time::timeout(connect_timeout, TcpStream::connect(addr)).await;
         let stream = stream
             .map_err(|_| ExchangeError::NotConnected)?
             .map_err(|_| ExchangeError::NotConnected)?;
-        watch(&stream);
+        set_socket_options(&stream);
         Ok(Self {
             parser: parser.clone(),
             stream,
@@ -67,85 +68,88 @@
         })
     }
 
-    /// Whether nothing has come since the last response: neither an end nor bytes that belong to
-    /// no request.
+    /// Whether the connection is still open and holds no unexpected bytes: nothing has been
+    /// received since the last response, neither end of file nor data.
     pub fn is_reusable(&self) -> bool {
         let mut byte = [0; 1];
         let read = self.stream.try_read(&mut byte);
         self.buf.is_empty() && matches!(read, Err(e) if e.kind() == ErrorKind::WouldBlock)
     }
 
-    /// Sends a request, head and body in one, and reads the response to it: the first one of which
-    /// `is_ours` holds. Dropping the future in between leaves the connection in a state that
-    /// nobody knows, so it takes the connection, and gives it back only after a whole response.
+    /// Sends an encoded request and reads the response to it: the first one for which `is_match`
+    /// returns true. Cancelling the future leaves the connection in an unknown state, so this
+    /// consumes the connection and returns it only after a complete response.
     ///
     /// # Errors
     ///
-    /// Any [`ExchangeError`] but `NotConnected`: the request may have arrived.
+    /// Any [`ExchangeError`] except `NotConnected`. The server may have received the request.
     pub async fn exchange(
         mut self,
         request: &[u8],
         max_body: usize,
-        is_ours: impl Fn(&HeaderMap) -> bool,
+        is_match: impl Fn(&HeaderMap) -> bool,
     ) -> Result<(CompleteResponse, Self), ExchangeError> {
         let (mut reader, mut writer) = self.stream.split();
         let mut written = false;
-        // Some servers answer before they have read the whole body; one that then reads no more
-        // would keep a writer that does not listen waiting for ever.
-        let mut whole = {
+        // Reads while writing: a server may respond before it has read the whole body and then stop
+        // reading, which would block a client that only writes.
+        let mut response = {
             let write = async { writer.write_all(request).await };
-            let read = read_ours(&self.parser, &mut reader, &mut self.buf, max_body, is_ours);
+            let read = read_matching(&self.parser, &mut reader, &mut self.buf, max_body, is_match);
             tokio::pin!(write, read);
             loop {
                 tokio::select! {
-                    sent = &mut write, if !written => match sent {
+                    result = &mut write, if !written => match result {
                         Ok(()) => written = true,
-                        // The answer may be there all the same, from a server that reads no more.
+                        // A server that stopped reading may have sent its response already.
                         Err(_) => break (&mut read).await?,
                     },
-                    whole = &mut read => break whole?,
+                    response = &mut read => break response?,
                 }
             }
         };
         if !written {
-            // The rest of the body is due on this connection.
-            whole.reuse = Reuse::No;
+            // The server still expects the rest of the body on this connection.
+            response.reuse = Reuse::No;
         }
         self.idle_since = Instant::now();
-        if let Reuse::Yes(idle_timeout) = whole.reuse {
+        if let Reuse::Yes(idle_timeout) = response.reuse {
             self.idle_timeout = idle_timeout;
         }
-        Ok((whole, self))
+        Ok((response, self))
     }
 }
 
-async fn read_ours(
+/// Reads responses until `is_match` accepts one, skipping at most [`MAX_UNMATCHED`].
+async fn read_matching(
     parser: &Parser,
     reader: &mut tokio::net::tcp::ReadHalf<'_>,
     buf: &mut BytesMut,
     max_body: usize,
-    is_ours: impl Fn(&HeaderMap) -> bool,
+    is_match: impl Fn(&HeaderMap) -> bool,
 ) -> Result<CompleteResponse, ExchangeError> {
-    for passed_over in 0..=MAX_FOREIGN {
-        let mut whole = response::read(parser, reader, buf, max_body).await?;
-        if is_ours(&whole.headers) {
-            if passed_over > 0 {
-                whole.reuse = Reuse::No;
+    for skipped in 0..=MAX_UNMATCHED {
+        let mut response = response::read(parser, reader, buf, max_body).await?;
+        if is_match(&response.headers) {
+            if skipped > 0 {
+                // More responses to other requests may follow.
+                response.reuse = Reuse::No;
             }
-            return Ok(whole);
+            return Ok(response);
         }
     }
     Err(ExchangeError::Unmatched)
 }
 
-/// Has the system notice a silent other end. A socket that refuses an option still works.
-fn watch(stream: &TcpStream) {
+/// Configures the socket so that the system detects an unresponsive peer. Errors are ignored: the
+/// connection works without the options.
+fn set_socket_options(stream: &TcpStream) {
     let keepalive = TcpKeepalive::new()
-        .with_time(PROBE_AFTER)
-        .with_interval(PROBE_INTERVAL)
-        .with_retries(PROBES);
+        .with_time(KEEPALIVE_TIME)
+        .with_interval(KEEPALIVE_INTERVAL)
+        .with_retries(KEEPALIVE_RETRIES);
     let socket = SockRef::from(stream);
     let _ = stream.set_nodelay(true);
     let _ = socket.set_tcp_keepalive(&keepalive);
-    let _ = socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED));
+    let _ = socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT));
 }
--- a/crates/httpconn/src/error.rs
+++ b/crates/httpconn/src/error.rs
@@ -1,30 +1,30 @@
-//! Why an exchange gave no whole response.
+//! The error of a failed exchange.
 
 use std::fmt;
 
-/// Why an exchange gave no whole response.
+/// Why an exchange returned no complete response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ExchangeError {
-    /// No connection could be made; nothing was sent.
+    /// The connection could not be established; nothing was sent.
     NotConnected,
-    /// The connection was closed or reset before the response was whole.
+    /// The connection was closed or reset before the response was complete.
     ConnectionClosed,
-    /// What came is no response.
+    /// The received bytes are not a valid HTTP response.
     Malformed,
-    /// The response is larger than allowed.
+    /// The response body exceeds the size limit.
     TooLarge,
-    /// Only responses to other requests came.
+    /// Only responses to other requests were received.
     Unmatched,
 }
 
 impl fmt::Display for ExchangeError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let text = match self {
-            ExchangeError::NotConnected => "no connection could be made",
-            ExchangeError::ConnectionClosed => "the connection broke before the response was whole",
-            ExchangeError::Malformed => "what came is no response",
-            ExchangeError::TooLarge => "the response is too large",
-            ExchangeError::Unmatched => "only responses to other requests came",
+            ExchangeError::NotConnected => "could not connect",
+            ExchangeError::ConnectionClosed => "connection closed before the response was complete",
+            ExchangeError::Malformed => "malformed HTTP response",
+            ExchangeError::TooLarge => "response body exceeds the size limit",
+            ExchangeError::Unmatched => "received only responses to other requests",
         };
         f.write_str(text)
     }
--- a/crates/httpconn/src/headers.rs
+++ b/crates/httpconn/src/headers.rs
@@ -1,11 +1,11 @@
-//! Which headers are passed on.
+//! Header validation and forwarding.
 
 use actix_http::header::HeaderMap;
 use actix_http::header::CONNECTION;
 use bytes::Bytes;
 use std::sync::Arc;
 
-/// Headers that are about one connection (RFC 9110, section 7.6.1), or that each hop sets itself.
+/// Hop-by-hop headers (RFC 9110, section 7.6.1) and headers that each hop sets itself.
 const HOP_BY_HOP: [&str; 11] = [
     "connection",
     "content-length",
@@ -20,15 +20,16 @@
     "date",
 ];
 
-/// A header stands more than once, or is not visible ASCII.
+/// A header occurs more than once or is not visible ASCII.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct BadHeader;
 
-/// A header that may stand once, in visible ASCII.
+/// Returns the value of a header that may occur at most once and must be visible ASCII, or `None`
+/// if the header is absent.
 ///
 /// # Errors
 ///
-/// [`BadHeader`] if it is neither that nor missing.
+/// [`BadHeader`] if it occurs more than once or has other characters.
 ///
 /// # Examples
 ///
@@ -54,8 +55,8 @@
     value.to_str().map(Some).map_err(|_| BadHeader)
 }
 
-/// The headers that are passed on: all but those about one connection, those that its `Connection`
-/// header names, and `not_these`, in lower case.
+/// Returns the headers to forward: all except hop-by-hop headers, headers named by `Connection`,
+/// and `excluded`, whose names are in lower case.
 ///
 /// # Examples
 ///
@@ -65,25 +66,27 @@
 /// let mut headers = HeaderMap::new();
 /// headers.insert(HOST, HeaderValue::from_static("a.example"));
 /// headers.insert(ACCEPT, HeaderValue::from_static("*/*"));
-/// let passed_on = bilberry_httpconn::end_to_end_headers(&headers, &[]);
-/// assert_eq!(passed_on.len(), 1);
-/// assert_eq!(&*passed_on[0].0, "accept");
+/// let forwarded = bilberry_httpconn::end_to_end_headers(&headers, &[]);
+/// assert_eq!(forwarded.len(), 1);
+/// assert_eq!(&*forwarded[0].0, "accept");
 /// ```
-pub fn end_to_end_headers(headers: &HeaderMap, not_these: &[&str]) -> Vec<(Arc<str>, Bytes)> {
-    let named: Vec<&str> = headers
+pub fn end_to_end_headers(headers: &HeaderMap, excluded: &[&str]) -> Vec<(Arc<str>, Bytes)> {
+    let connection_options: Vec<&str> = headers
         .get_all(CONNECTION)
         .filter_map(|value| value.to_str().ok())
         .flat_map(|text| text.split(',').map(str::trim))
         .collect();
-    let is_left_out = |name: &str| {
+    let is_excluded = |name: &str| {
         HOP_BY_HOP.contains(&name)
-            || not_these.contains(&name)
-            || named.iter().any(|named| named.eq_ignore_ascii_case(name))
+            || excluded.contains(&name)
+            || connection_options
+                .iter()
+                .any(|option| option.eq_ignore_ascii_case(name))
     };
-    let passed_on = headers
+    let forwarded = headers
         .iter()
-        .filter(|(name, _)| !is_left_out(name.as_str()));
-    passed_on
+        .filter(|(name, _)| !is_excluded(name.as_str()));
+    forwarded
         .map(|(name, value)| {
             let value = Bytes::copy_from_slice(value.as_bytes());
             (name.as_str().into(), value)
--- a/crates/httpconn/src/lib.rs
+++ b/crates/httpconn/src/lib.rs
@@ -1,9 +1,10 @@
-//! One client connection by HTTP/1.1 whose state is always known.
+//! HTTP/1.1 client connections that expose their state to the caller.
 //!
-//! A pooled client hides what a caller of non-idempotent work has to know: whether a byte of the
-//! request was sent, whether the response is the one to this request, whether it is whole, and
-//! whether anything was left over. Here each of these is said. The head and the framing of
-//! responses are parsed by `actix-http`. This package knows nothing about who is at the other end.
+//! General-purpose pooled clients hide what a caller needs to know to send non-idempotent requests:
+//! whether any byte of the request was sent, whether the response belongs to this request, whether
+//! it is complete, and whether bytes were left over. This package reports each of these. Response
+//! heads and body framing are parsed by `actix-http`. Nothing here depends on which server is at
+//! the other end.
 
 mod connection;
 mod error;
--- a/crates/httpconn/src/pool.rs
+++ b/crates/httpconn/src/pool.rs
@@ -1,26 +1,26 @@
-//! Idle connections to one server.
+//! Pool of idle connections to one server.
 
 use crate::Connection;
 use std::collections::VecDeque;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long before the other end closes an idle connection it is not used any more. A request sent
-/// while the close is on its way is lost, and nobody can tell whether it ran.
-const MARGIN: Duration = Duration::from_millis(1500);
+/// How long before the server's idle timeout a connection is no longer used. A request sent while
+/// the server is closing the connection is lost, and the client cannot tell whether it ran.
+const IDLE_MARGIN: Duration = Duration::from_millis(1500);
 
-/// How long a connection may be idle if the other end said nothing of it.
-const DEFAULT_IDLE: Duration = Duration::from_secs(5);
+/// Idle time after which a connection is dropped if the server announced no idle timeout.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Idle connections to one server, the last used first: so those that a burst left over fall idle
-/// and go.
+/// Idle connections to one server. The most recently used one is taken first, so that surplus
+/// connections left by a burst reach their idle timeout and are dropped.
 #[derive(Debug, Default)]
 pub struct Pool {
     idle: VecDeque<Connection>,
 }
 
 impl Pool {
-    /// Takes a connection that can be used.
+    /// Takes a reusable connection, if there is one.
     pub fn take(&mut self) -> Option<Connection> {
         self.drop_stale();
         while let Some(connection) = self.idle.pop_back() {
@@ -31,12 +31,12 @@
         None
     }
 
-    /// Keeps a connection after a whole response.
+    /// Returns a connection to the pool after a complete response.
     pub fn put(&mut self, connection: Connection) {
         self.idle.push_back(connection);
     }
 
-    /// Drops all, because another server is at the address.
+    /// Drops all connections; used when another server has taken over the address.
     pub fn clear(&mut self) {
         self.idle.clear();
     }
@@ -44,8 +44,10 @@
     fn drop_stale(&mut self) {
         let now = Instant::now();
         let is_stale = |connection: &Connection| {
-            let timeout = connection.idle_timeout.unwrap_or(DEFAULT_IDLE + MARGIN);
-            now.duration_since(connection.idle_since) + MARGIN >= timeout
+            let timeout = connection
+                .idle_timeout
+                .unwrap_or(DEFAULT_IDLE_TIMEOUT + IDLE_MARGIN);
+            now.duration_since(connection.idle_since) + IDLE_MARGIN >= timeout
         };
         while self.idle.front().is_some_and(is_stale) {
             self.idle.pop_front();
--- a/crates/httpconn/src/request.rs
+++ b/crates/httpconn/src/request.rs
@@ -1,14 +1,14 @@
-//! Writing a request.
+//! Request encoding.
 
 use bytes::BufMut;
 use bytes::Bytes;
 use bytes::BytesMut;
 use std::sync::Arc;
 
-/// Room for the head of a request, in bytes; most fit.
-const HEAD_SIZE: usize = 512;
+/// Buffer capacity reserved for the head of a request, in bytes; most heads fit.
+const HEAD_CAPACITY: usize = 512;
 
-/// A request's bytes, head and body. Its length is told; `headers` must not tell it.
+/// Encodes a request, head and body. Adds `content-length`, which `headers` must not contain.
 ///
 /// # Examples
 ///
@@ -20,22 +20,23 @@
     method: &str,
     path: &str,
     headers: &[(Arc<str>, Bytes)],
-    more: &[(&str, &str)],
+    extra_headers: &[(&str, &str)],
     body: &[u8],
 ) -> BytesMut {
-    let mut buf = BytesMut::with_capacity(HEAD_SIZE + body.len());
+    let mut buf = BytesMut::with_capacity(HEAD_CAPACITY + body.len());
     put(&mut buf, &[method, " ", path, " HTTP/1.1\r\n"]);
     for (name, value) in headers {
         put(&mut buf, &[name, ": "]);
         buf.put_slice(value);
         put(&mut buf, &["\r\n"]);
     }
-    for (name, value) in more {
+    for (name, value) in extra_headers {
         put(&mut buf, &[name, ": ", value, "\r\n"]);
     }
-    // RFC 9110, section 8.6: methods that give a meaning to a body tell its length, also if empty.
-    let has_meaning = matches!(method, "POST" | "PUT" | "PATCH");
-    if has_meaning || !body.is_empty() {
+    // RFC 9110, section 8.6: for methods that define a meaning for a body, the length is sent even
+    // if the body is empty.
+    let defines_body = matches!(method, "POST" | "PUT" | "PATCH");
+    if defines_body || !body.is_empty() {
         let len = body.len().to_string();
         put(&mut buf, &["content-length: ", &len, "\r\n"]);
     }
--- a/crates/httpconn/src/response.rs
+++ b/crates/httpconn/src/response.rs
@@ -1,4 +1,4 @@
-//! Reading one whole response out of the bytes of a connection.
+//! Response parsing.
 
 use crate::ExchangeError;
 use actix_http::h1::ClientCodec;
@@ -17,17 +17,17 @@
 use tokio::io::AsyncReadExt;
 use tokio_util::codec::Decoder;
 
-/// How much is read at a time, in bytes; most responses fit.
+/// Buffer space reserved for each read, in bytes; most responses fit.
 const READ_SIZE: usize = 8 * 1024;
 
-/// A whole response.
+/// A response that was received completely.
 #[derive(Debug)]
 pub struct CompleteResponse {
-    /// The status.
+    /// The status code.
     pub status: StatusCode,
     /// All headers.
     pub headers: HeaderMap,
-    /// The body without its framing.
+    /// The body, without transfer coding.
     pub body: Bytes,
     /// Whether the connection may carry another request.
     pub reuse: Reuse,
@@ -36,28 +36,29 @@
 /// Whether a connection may carry another request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reuse {
-    /// It may. The other end closes it after this time without one, if it said so.
+    /// The connection may be reused. Holds the server's idle timeout, if it announced one.
     Yes(Option<Duration>),
-    /// The other end closes it, or something on it was not as it should be. What comes next on it
-    /// might be taken for the response to a request that it does not belong to.
+    /// The server closes the connection, or the exchange left it in a doubtful state: bytes that
+    /// arrive next might be mistaken for the response to another request.
     No,
 }
 
-/// The parser of responses. Making one starts a task of its library, so it is made once and shared.
+/// Response parser. Creating one spawns a background task in `actix-http`, so it should be created
+/// once and cloned.
 #[derive(Debug, Clone, Default)]
 pub struct Parser(ServiceConfig);
 
-/// What tells where a body ends.
+/// How the end of a body is determined.
 enum Framing {
-    /// There is none.
-    Empty,
-    /// Its length or its chunks.
-    Marked(ClientPayloadCodec),
-    /// The end of the connection.
-    Close,
+    /// There is no body.
+    NoBody,
+    /// By the content length or chunked coding.
+    Framed(ClientPayloadCodec),
+    /// The body ends when the connection is closed.
+    UntilClose,
 }
 
-/// Reads the next response, whatever request it belongs to.
+/// Reads the next final response, whichever request it belongs to.
 pub(crate) async fn read<R>(
     parser: &Parser,
     stream: &mut R,
@@ -70,23 +71,23 @@
     let mut codec = ClientCodec::new(parser.0.clone());
     let mut head = loop {
         match codec.decode(buf) {
-            // An interim response: the final one follows.
+            // An interim response; the final one follows.
             Ok(Some(head)) if head.status.is_informational() => {
                 codec = ClientCodec::new(parser.0.clone())
             }
             Ok(Some(head)) => break head,
-            Ok(None) => fill(stream, buf).await?,
+            Ok(None) => read_more(stream, buf).await?,
             Err(_) => return Err(ExchangeError::Malformed),
         }
     };
     let (status, headers) = (head.status, std::mem::take(head.headers_mut()));
-    let (body, marked) = match framing(codec, status, &headers) {
-        Framing::Empty => (Bytes::new(), true),
-        Framing::Marked(payload) => (read_marked(stream, buf, payload, max_body).await?, true),
-        Framing::Close => (read_to_close(stream, buf, max_body).await?, false),
+    let (body, is_framed) = match body_framing(codec, status, &headers) {
+        Framing::NoBody => (Bytes::new(), true),
+        Framing::Framed(payload) => (read_framed(stream, buf, payload, max_body).await?, true),
+        Framing::UntilClose => (read_until_close(stream, buf, max_body).await?, false),
     };
-    // Bytes after the end belong to no request.
-    let reuse = if marked && buf.is_empty() && !says_close(&headers) {
+    // Bytes after the end of the response belong to no request.
+    let reuse = if is_framed && buf.is_empty() && !has_connection_close(&headers) {
         Reuse::Yes(idle_timeout(&headers))
     } else {
         Reuse::No
@@ -99,21 +100,23 @@
     })
 }
 
-fn framing(codec: ClientCodec, status: StatusCode, headers: &HeaderMap) -> Framing {
+fn body_framing(codec: ClientCodec, status: StatusCode, headers: &HeaderMap) -> Framing {
     if codec.message_type() != MessageType::None {
-        return Framing::Marked(codec.into_payload_codec());
+        return Framing::Framed(codec.into_payload_codec());
     }
     let bodiless = matches!(status, StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED);
-    let marked = headers.contains_key(CONTENT_LENGTH) || headers.contains_key(TRANSFER_ENCODING);
-    if bodiless || marked {
-        Framing::Empty
+    let has_framing_header =
+        headers.contains_key(CONTENT_LENGTH) || headers.contains_key(TRANSFER_ENCODING);
+    if bodiless || has_framing_header {
+        Framing::NoBody
     } else {
-        // RFC 9112, section 6.3: a response without a length ends with its connection.
-        Framing::Close
+        // RFC 9112, section 6.3: a response without a declared length ends when the connection
+        // closes.
+        Framing::UntilClose
     }
 }
 
-async fn read_marked<R>(
+async fn read_framed<R>(
     stream: &mut R,
     buf: &mut BytesMut,
     mut payload: ClientPayloadCodec,
@@ -137,7 +140,7 @@
                 }
             }
             Ok(Some(None)) => break,
-            Ok(None) => fill(stream, buf).await?,
+            Ok(None) => read_more(stream, buf).await?,
             Err(_) => return Err(ExchangeError::Malformed),
         }
     }
@@ -149,7 +152,7 @@
     Ok(body.freeze())
 }
 
-async fn read_to_close<R>(
+async fn read_until_close<R>(
     stream: &mut R,
     buf: &mut BytesMut,
     max_body: usize,
@@ -162,7 +165,7 @@
             return Err(ExchangeError::TooLarge);
         }
         buf.reserve(READ_SIZE);
-        // A reset is an error here, and not an end.
+        // A connection reset means that the body is truncated.
         match stream.read_buf(buf).await {
             Ok(0) => return Ok(buf.split().freeze()),
             Ok(_) => {}
@@ -171,7 +174,7 @@
     }
 }
 
-async fn fill<R>(stream: &mut R, buf: &mut BytesMut) -> Result<(), ExchangeError>
+async fn read_more<R>(stream: &mut R, buf: &mut BytesMut) -> Result<(), ExchangeError>
 where
     R: AsyncRead + Unpin,
 {
@@ -182,20 +185,21 @@
     }
 }
 
-fn says_close(headers: &HeaderMap) -> bool {
+fn has_connection_close(headers: &HeaderMap) -> bool {
     let mut values = headers.get_all(CONNECTION);
     values.any(|value| {
         let text = value.to_str().unwrap_or("close");
         text.split(',')
-            .any(|word| word.trim().eq_ignore_ascii_case("close"))
+            .any(|option| option.trim().eq_ignore_ascii_case("close"))
     })
 }
 
-/// The `timeout` of the `Keep-Alive` header, in whole seconds (RFC 2068, section 19.7.1.1).
+/// The `timeout` parameter of the `Keep-Alive` header, in whole seconds (RFC 2068, section
+/// 19.7.1.1).
 fn idle_timeout(headers: &HeaderMap) -> Option<Duration> {
     let text = headers.get("keep-alive")?.to_str().ok()?;
-    let words = text.split(',').map(str::trim);
-    let seconds = words.filter_map(|word| word.strip_prefix("timeout="));
+    let parameters = text.split(',').map(str::trim);
+    let seconds = parameters.filter_map(|parameter| parameter.strip_prefix("timeout="));
     let seconds = seconds.filter_map(|seconds| seconds.parse().ok());
     seconds.map(Duration::from_secs).next()
 }
--- a/crates/httpconn/tests/exchange.rs
+++ b/crates/httpconn/tests/exchange.rs
@@ -1,4 +1,4 @@
-//! What a server may send, and what comes of it.
+//! Exchanges with servers that respond correctly, incompletely or not at all.
 
 use bilberry_httpconn::Connection;
 use bilberry_httpconn::ExchangeError;
@@ -10,34 +10,34 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpListener;
 
-const PATIENCE: Duration = Duration::from_secs(5);
+const TIMEOUT: Duration = Duration::from_secs(5);
 const MAX_BODY: usize = 1000;
 
 /// How the server ends the connection.
 #[derive(Clone, Copy, PartialEq)]
-enum End {
-    Keep,
+enum ConnectionEnd {
+    KeepOpen,
     Close,
     Reset,
 }
 
-/// A server that sends these bytes, whatever it is asked.
-async fn server(bytes: &'static str, end: End) -> SocketAddr {
+/// Starts a server that sends these bytes for any request.
+async fn start_server(bytes: &'static str, end: ConnectionEnd) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap();
     actix_rt::spawn(async move {
         let (mut stream, _) = listener.accept().await.unwrap();
         let mut buf = [0; 1024];
-        // Unread bytes turn a close into a reset.
-        if end != End::Reset {
+        // Closing a socket with unread data resets the connection.
+        if end != ConnectionEnd::Reset {
             assert!(stream.read(&mut buf).await.unwrap() > 0);
         }
         stream.write_all(bytes.as_bytes()).await.unwrap();
         stream.flush().await.unwrap();
         match end {
-            End::Keep => tokio::time::sleep(PATIENCE).await,
-            End::Close => {}
-            End::Reset => {
+            ConnectionEnd::KeepOpen => tokio::time::sleep(TIMEOUT).await,
+            ConnectionEnd::Close => {}
+            ConnectionEnd::Reset => {
                 stream.readable().await.unwrap();
             }
         }
@@ -45,46 +45,64 @@
     addr
 }
 
-/// What the exchange ends with: the body, and whether the connection may be used again.
-async fn check(bytes: &'static str, end: End) -> Result<(String, bool), ExchangeError> {
-    let addr = server(bytes, end).await;
-    let connection = Connection::open(&Parser::default(), addr, PATIENCE).await?;
-    let is_ours = |headers: &actix_http::header::HeaderMap| headers.contains_key("x-ours");
+/// Makes one exchange; returns the body and whether the connection may be reused.
+async fn run_exchange(
+    bytes: &'static str,
+    end: ConnectionEnd,
+) -> Result<(String, bool), ExchangeError> {
+    let addr = start_server(bytes, end).await;
+    let connection = Connection::open(&Parser::default(), addr, TIMEOUT).await?;
+    let is_match = |headers: &actix_http::header::HeaderMap| headers.contains_key("x-ours");
     let request = b"GET / HTTP/1.1\r\nhost: a\r\n\r\n";
-    let (whole, _) = connection.exchange(request, MAX_BODY, is_ours).await?;
-    let body = String::from_utf8(whole.body.to_vec()).unwrap();
-    Ok((body, whole.reuse != Reuse::No))
+    let (response, _) = connection.exchange(request, MAX_BODY, is_match).await?;
+    let body = String::from_utf8(response.body.to_vec()).unwrap();
+    Ok((body, response.reuse != Reuse::No))
 }
 
-fn body(text: &str, reused: bool) -> Result<(String, bool), ExchangeError> {
+fn body_and_reuse(text: &str, reused: bool) -> Result<(String, bool), ExchangeError> {
     Ok((text.to_owned(), reused))
 }
 
 #[actix_rt::test]
-async fn a_whole_response_leaves_a_connection_that_may_be_used_again() {
+async fn complete_response_leaves_reusable_connection() {
     let sized = "HTTP/1.1 200 OK\r\nx-ours: 1\r\ncontent-length: 3\r\n\r\nink";
-    assert_eq!(check(sized, End::Keep).await, body("ink", true));
+    assert_eq!(
+        run_exchange(sized, ConnectionEnd::KeepOpen).await,
+        body_and_reuse("ink", true)
+    );
     let chunked =
         "HTTP/1.1 200 OK\r\nx-ours: 1\r\ntransfer-encoding: chunked\r\n\r\n2\r\nin\r\n1\r\nk\r\n0\r\n\r\n";
-    assert_eq!(check(chunked, End::Keep).await, body("ink", true));
+    assert_eq!(
+        run_exchange(chunked, ConnectionEnd::KeepOpen).await,
+        body_and_reuse("ink", true)
+    );
     let empty = "HTTP/1.1 503 No\r\nx-ours: 1\r\ncontent-length: 0\r\n\r\n";
-    assert_eq!(check(empty, End::Keep).await, body("", true));
+    assert_eq!(
+        run_exchange(empty, ConnectionEnd::KeepOpen).await,
+        body_and_reuse("", true)
+    );
     let interim =
         "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nx-ours: 1\r\ncontent-length: 1\r\n\r\nk";
-    assert_eq!(check(interim, End::Keep).await, body("k", true));
+    assert_eq!(
+        run_exchange(interim, ConnectionEnd::KeepOpen).await,
+        body_and_reuse("k", true)
+    );
 }
 
 #[actix_rt::test]
-async fn a_server_that_closes_says_so() {
+async fn connection_close_header_prevents_reuse() {
     let closes =
         "HTTP/1.1 200 OK\r\nx-ours: 1\r\nconnection: close\r\ncontent-length: 3\r\n\r\nink";
-    assert_eq!(check(closes, End::Keep).await, body("ink", false));
+    assert_eq!(
+        run_exchange(closes, ConnectionEnd::KeepOpen).await,
+        body_and_reuse("ink", false)
+    );
 }
 
-/// A server breaks off in the middle of an answer. Passed on as far as it came, it would look whole
-/// to the caller.
+/// The server closes the connection in the middle of a response. If the part that was received were
+/// forwarded, the caller could not tell that it is truncated.
 #[actix_rt::test]
-async fn a_response_that_is_cut_off_is_none() {
+async fn truncated_response_is_an_error() {
     for cut in [
         "",
         "HTTP/1.1 200 OK\r\nx-ou",
@@ -92,56 +110,70 @@
         "HTTP/1.1 200 OK\r\nx-ours: 1\r\ntransfer-encoding: chunked\r\n\r\n2\r\nin\r\n",
     ] {
         assert_eq!(
-            check(cut, End::Close).await,
+            run_exchange(cut, ConnectionEnd::Close).await,
             Err(ExchangeError::ConnectionClosed),
             "{cut}"
         );
     }
     let garbage = "ink ink ink\r\n\r\n";
     assert_eq!(
-        check(garbage, End::Keep).await,
+        run_exchange(garbage, ConnectionEnd::KeepOpen).await,
         Err(ExchangeError::Malformed)
     );
 }
 
-/// An answer without a length ends with its connection. One that is reset is not whole.
+/// A response without a declared length ends when the connection closes. After a reset it counts as
+/// truncated.
 #[actix_rt::test]
-async fn a_response_without_a_length_ends_with_its_connection() {
+async fn response_without_length_ends_with_connection() {
     let unframed = "HTTP/1.1 200 OK\r\nx-ours: 1\r\n\r\nink";
-    assert_eq!(check(unframed, End::Close).await, body("ink", false));
     assert_eq!(
-        check(unframed, End::Reset).await,
+        run_exchange(unframed, ConnectionEnd::Close).await,
+        body_and_reuse("ink", false)
+    );
+    assert_eq!(
+        run_exchange(unframed, ConnectionEnd::Reset).await,
         Err(ExchangeError::ConnectionClosed)
     );
 }
 
-/// A server sends more than its answer. The next caller on the connection would get what is left.
+/// The server sends extra bytes after its response. The next request on the connection would read
+/// them as its response.
 #[actix_rt::test]
-async fn a_connection_with_bytes_left_over_is_not_used_again() {
+async fn connection_with_leftover_bytes_is_not_reused() {
     let extra = "HTTP/1.1 200 OK\r\nx-ours: 1\r\ncontent-length: 3\r\n\r\ninkHTTP/1.1 200 OK\r\n";
-    assert_eq!(check(extra, End::Keep).await, body("ink", false));
+    assert_eq!(
+        run_exchange(extra, ConnectionEnd::KeepOpen).await,
+        body_and_reuse("ink", false)
+    );
 }
 
-/// A second answer to an earlier request arrives where the answer to this one is due.
+/// A duplicate response to an earlier request arrives before the response to this one.
 #[actix_rt::test]
-async fn an_answer_to_another_request_is_passed_over() {
-    let foreign = "HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nstale\
+async fn response_to_another_request_is_skipped() {
+    let unmatched = "HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nstale\
                    HTTP/1.1 200 OK\r\nx-ours: 1\r\ncontent-length: 3\r\n\r\nink";
-    assert_eq!(check(foreign, End::Keep).await, body("ink", false));
+    assert_eq!(
+        run_exchange(unmatched, ConnectionEnd::KeepOpen).await,
+        body_and_reuse("ink", false)
+    );
 }
 
 #[actix_rt::test]
-async fn a_response_that_is_too_large_is_said_to_be() {
+async fn oversized_response_is_an_error() {
     let large = "HTTP/1.1 200 OK\r\nx-ours: 1\r\ncontent-length: 0002000\r\n\r\n";
     let large = Box::leak(format!("{large}{}", "x".repeat(2000)).into_boxed_str());
-    assert_eq!(check(large, End::Keep).await, Err(ExchangeError::TooLarge));
+    assert_eq!(
+        run_exchange(large, ConnectionEnd::KeepOpen).await,
+        Err(ExchangeError::TooLarge)
+    );
 }
 
 #[actix_rt::test]
-async fn nobody_there_is_no_connection() {
+async fn refused_connection_is_reported() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap();
     drop(listener);
-    let opened = Connection::open(&Parser::default(), addr, PATIENCE).await;
+    let opened = Connection::open(&Parser::default(), addr, TIMEOUT).await;
     assert_eq!(opened.err(), Some(ExchangeError::NotConnected));
 }
