--- a/crates/node/tests/bad_input.rs
+++ b/crates/node/tests/bad_input.rs
@@ -1,12 +1,12 @@
-//! What callers may send that is wrong, to a real process: a typed answer, a counter, and it goes on.
+//! Invalid input from callers: the node responds with a typed refusal, counts it and keeps running.
 
 mod common;
 
 use common::call;
 use common::publish;
 use common::status;
-use common::until_homes_are_ready;
-use common::until_status;
+use common::wait_for_homes;
+use common::wait_for_status;
 use common::NodeProcess;
 use common::LOOPBACK;
 use standin::Backend;
@@ -23,36 +23,36 @@
 operation press POST /free class=lookup idempotent deadline=60s # asked by Marco
 ";
 
-const BOUNDS: &str = "max_body = 1000\nmax_bodies = 1500\nbody_timeout = 200ms";
+const LIMITS: &str = "max_body = 1000\nmax_bodies = 1500\nbody_timeout = 200ms";
 
 async fn start() -> (NodeProcess, Backend) {
     let store = Store::start(LOOPBACK.into()).await.unwrap();
     let backend = Backend::start(LOOPBACK.into(), Work::default())
         .await
         .unwrap();
-    let node = NodeProcess::start_with("press", "milano-1", backend.addr, store.addr, BOUNDS);
+    let node = NodeProcess::start_with("press", "milano-1", backend.addr, store.addr, LIMITS);
     publish(&store, RULES).await;
-    until_status(node.http, "rules_version", "1").await;
-    until_status(node.http, "listed", "true").await;
-    until_homes_are_ready(&[node.http]).await;
+    wait_for_status(node.http, "rules_version", "1").await;
+    wait_for_status(node.http, "listed", "true").await;
+    wait_for_homes(&[node.http]).await;
     (node, backend)
 }
 
-/// Sends bytes as they are; gives the status line's code and the values of two headers.
+/// Sends raw bytes; returns the status code and the outcome and reason headers of the response.
 async fn send_raw(node: SocketAddr, bytes: &[u8]) -> (String, String, String) {
     let mut stream = TcpStream::connect(node).await.unwrap();
     stream.write_all(bytes).await.unwrap();
-    read_answer(&mut stream).await
+    read_response(&mut stream).await
 }
 
-async fn read_answer(stream: &mut TcpStream) -> (String, String, String) {
-    let mut answer = Vec::new();
-    while !answer.windows(4).any(|end| end == b"\r\n\r\n") {
-        if stream.read_buf(&mut answer).await.unwrap_or(0) == 0 {
+async fn read_response(stream: &mut TcpStream) -> (String, String, String) {
+    let mut response = Vec::new();
+    while !response.windows(4).any(|end| end == b"\r\n\r\n") {
+        if stream.read_buf(&mut response).await.unwrap_or(0) == 0 {
             break;
         }
     }
-    let head = String::from_utf8_lossy(&answer).into_owned();
+    let head = String::from_utf8_lossy(&response).into_owned();
     let header = |name: &str| {
         let value = head.lines().find_map(|line| line.strip_prefix(name));
         value.unwrap_or("").trim().to_owned()
@@ -65,23 +65,24 @@
     )
 }
 
-/// The answer to a raw request, and that its reason was counted once more.
+/// Checks the response to a raw request, and that its reason was counted once more.
 async fn check(node: SocketAddr, raw: &[u8], status_code: &str, reason: &str) {
     let name = format!("counter.not_run.{reason} ");
     let before: u64 = status(node, &name).await.parse().unwrap_or(0);
-    let answer = send_raw(node, raw).await;
+    let response = send_raw(node, raw).await;
     let expected = (status_code.into(), "not-run".into(), reason.into());
-    assert_eq!(answer, expected, "{}", String::from_utf8_lossy(raw));
+    assert_eq!(response, expected, "{}", String::from_utf8_lossy(raw));
     assert_eq!(status(node, &name).await, (before + 1).to_string());
 }
 
-fn post(path: &str, more: &str, body: &str) -> Vec<u8> {
+fn post(path: &str, extra_headers: &str, body: &str) -> Vec<u8> {
     let len = body.len();
-    format!("POST {path} HTTP/1.1\r\nhost: x\r\n{more}content-length: {len}\r\n\r\n{body}").into()
+    format!("POST {path} HTTP/1.1\r\nhost: x\r\n{extra_headers}content-length: {len}\r\n\r\n{body}")
+        .into()
 }
 
 #[actix_rt::test]
-async fn each_mistake_has_its_answer_and_counter() {
+async fn invalid_requests_are_refused_and_counted() {
     let (node, backend) = start().await;
     let http = node.http;
     let slots = "/press/slots";
@@ -134,14 +135,14 @@
     .await;
     assert_eq!(backend.runs.borrow().len(), 0);
 
-    let whole = call(http, "POST", slots, "k", "ink").await;
-    assert_eq!(whole, (200, "whole".into(), "ink/slots".into()));
+    let completed = call(http, "POST", slots, "k", "ink").await;
+    assert_eq!(completed, (200, "whole".into(), "ink/slots".into()));
 }
 
-/// A run has ended, and something that it left behind in its backend server still makes calls in
-/// its name. They have no deadline and no allowance any more, so nobody would ever stop them.
+/// A run has ended, but a task that it left behind in the backend server still makes child calls.
+/// They have no deadline and no retry allowance any more, so nothing would ever stop them.
 #[actix_rt::test]
-async fn a_run_that_is_over_has_no_children() {
+async fn child_call_of_ended_run_is_refused() {
     let (node, backend) = start().await;
     let stale = "bilberry-context: 1-1\r\n";
     check(
@@ -154,32 +155,33 @@
     assert_eq!(backend.runs.borrow().len(), 0);
 }
 
-/// Something that is no HTTP reaches the port. The library answers it by itself, without an outcome
-/// header; the process counts it and goes on.
+/// The port receives bytes that are not HTTP. The HTTP library responds by itself, without an
+/// outcome header; the node counts it and keeps running.
 #[actix_rt::test]
-async fn what_is_no_http_is_counted() {
+async fn malformed_http_is_counted() {
     let (node, _backend) = start().await;
     let (code, ..) = send_raw(node.http, b"\x16\x03\x01 hello\r\n\r\n").await;
     assert_eq!(code, "400");
-    until_status(node.http, "counter.not_run.bad-request ", "1").await;
+    wait_for_status(node.http, "counter.not_run.bad-request ", "1").await;
     let head = format!("GET / HTTP/1.1\r\nx: {}\r\n\r\n", "y".repeat(200_000));
     let (code, ..) = send_raw(node.http, head.as_bytes()).await;
     assert_eq!(code, "431");
-    until_status(node.http, "counter.not_run.too-large ", "1").await;
+    wait_for_status(node.http, "counter.not_run.too-large ", "1").await;
 }
 
-/// A caller announces a body and stalls. It would hold its place in the node's memory for ever.
+/// A caller declares a body and then stalls. Without a time limit, its buffer in the node would be
+/// held indefinitely.
 #[actix_rt::test]
-async fn a_stalled_body_has_a_time_limit() {
+async fn stalled_body_times_out() {
     let (node, _backend) = start().await;
     let stalled = b"POST /press/slots HTTP/1.1\r\nhost: x\r\ncontent-length: 10\r\n\r\nabc";
     check(node.http, stalled, "503", "deadline").await;
 }
 
-/// Many callers send bodies at once. Each is small enough, but together they would take more than
-/// the instance has, and the kernel would kill the process.
+/// Many callers send bodies at once. Each is within the limit, but together they would take more
+/// memory than the instance has, and the kernel would kill the process.
 #[actix_rt::test]
-async fn bodies_in_flight_are_bounded_together() {
+async fn total_size_of_bodies_in_flight_is_limited() {
     let (node, backend) = start().await;
     backend.work.borrow_mut().takes = Duration::from_secs(60);
     let body = "x".repeat(900);
@@ -199,9 +201,9 @@
     )
     .await;
 
-    // When the first caller goes, its work is cancelled and its place is free again.
+    // When the first caller disconnects, its run is cancelled and its memory is released.
     drop(first);
-    until_status(node.http, "runs", "0").await;
+    wait_for_status(node.http, "runs", "0").await;
     backend.work.borrow_mut().takes = Duration::ZERO;
     assert_eq!(
         call(node.http, "POST", "/press/free", "", &body).await.0,
@@ -209,12 +211,12 @@
     );
 }
 
-/// A backend server answers with more than is allowed. A shop must not be told that nobody knows
-/// what became of its booking, and the request is no reason to refuse the next ones.
+/// A backend server sends a response that exceeds the size limit. The booking must not be reported
+/// with an unknown outcome, and the run must not count as lost, which would quarantine the request.
 #[actix_rt::test]
-async fn an_answer_that_is_too_large_is_the_end_of_a_run() {
+async fn oversized_response_completes_run() {
     let (node, _backend) = start().await;
-    // The answer is the body and the path: one byte too long.
+    // The response consists of the body and the path: one byte over the limit.
     let body = "x".repeat(995);
     for _ in 0..3 {
         let (code, outcome, _) = call(node.http, "POST", "/press/slots", "large", &body).await;
--- a/crates/node/tests/common/mod.rs
+++ b/crates/node/tests/common/mod.rs
@@ -1,7 +1,7 @@
-//! Real processes for end-to-end tests: nodes and the operator's tool, beside stand-ins that run in
-//! the test's own process.
+//! Support for end-to-end tests: runs nodes and `bilberryctl` as separate processes, with stand-ins
+//! for the store and backend servers in the test process.
 
-#![allow(dead_code, reason = "each test file uses a part")]
+#![allow(dead_code, reason = "not every test file uses every item")]
 
 use indexmap::IndexMap;
 use standin::Backend;
@@ -20,14 +20,14 @@
 
 pub const LOOPBACK: ([u8; 4], u16) = ([127, 0, 0, 1], 0);
 
-/// A node's process; killed when dropped.
+/// A running node process; killed when dropped.
 pub struct NodeProcess {
     pub http: SocketAddr,
     pub peer: SocketAddr,
-    /// The first line of its output, which says where it listens.
-    listening: String,
+    /// The first line of its output, which lists the addresses it listens on.
+    startup_line: String,
     pub process: Process,
-    settings: PathBuf,
+    settings_file: PathBuf,
 }
 
 impl NodeProcess {
@@ -35,29 +35,29 @@
         Self::start_with(service, domain, backend, store, "")
     }
 
-    /// As [`NodeProcess::start`], with more lines for the section of the node.
+    /// Like [`NodeProcess::start`], with additional lines for the `[node]` section.
     pub fn start_with(
         service: &str,
         domain: &str,
         backend: SocketAddr,
         store: SocketAddr,
-        more: &str,
+        extra_lines: &str,
     ) -> Self {
         let text = format!(
             "[node]\nservice = {service}\nfailure_domain = {domain}\nregion = lombardia\n\
-             http_addr = 127.0.0.1:0\npeer_addr = 127.0.0.1:0\n{more}\n\
+             http_addr = 127.0.0.1:0\npeer_addr = 127.0.0.1:0\n{extra_lines}\n\
              [backend_server]\naddr = {backend}\n[store]\naddr = {store}\n\
              [logging]\nlevel = warn\n"
         );
         Self::start_from(&text)
     }
 
-    /// Starts with the text of a settings file.
+    /// Starts a node with this text as its settings file.
     pub fn start_from(text: &str) -> Self {
-        let settings = std::env::temp_dir().join(format!("node-{}.ini", uuid::Uuid::new_v4()));
-        std::fs::write(&settings, text).unwrap();
+        let settings_file = std::env::temp_dir().join(format!("node-{}.ini", uuid::Uuid::new_v4()));
+        std::fs::write(&settings_file, text).unwrap();
         let mut process = Command::new(env!("CARGO_BIN_EXE_bilberry-node"))
-            .arg(&settings)
+            .arg(&settings_file)
             .stdout(Stdio::piped())
             .spawn()
             .unwrap();
@@ -68,15 +68,15 @@
         Self {
             http: address(&line, "http="),
             peer: address(&line, "peer="),
-            listening: line,
+            startup_line: line,
             process,
-            settings,
+            settings_file,
         }
     }
 
-    /// Where it listens by this name.
+    /// The address listed under this key in the first line of output.
     pub fn address(&self, name: &str) -> SocketAddr {
-        address(&self.listening, name)
+        address(&self.startup_line, name)
     }
 
     pub fn signal(&self, signal: &str) {
@@ -97,8 +97,8 @@
 }
 
 impl NodeProcess {
-    /// Waits for the process to end, while the stand-ins of this thread go on.
-    pub async fn ended(&mut self) -> std::process::ExitStatus {
+    /// Waits for the process to exit without blocking the stand-ins, which run on this thread.
+    pub async fn wait_for_exit(&mut self) -> std::process::ExitStatus {
         loop {
             if let Some(status) = self.process.try_wait().unwrap() {
                 return status;
@@ -112,17 +112,17 @@
     fn drop(&mut self) {
         let _ = self.process.kill();
         let _ = self.process.wait();
-        let _ = std::fs::remove_file(&self.settings);
+        let _ = std::fs::remove_file(&self.settings_file);
     }
 }
 
-/// A backend server with its node beside it.
-pub struct Server {
+/// An instance: a stand-in backend server and its node.
+pub struct Instance {
     pub backend: Backend,
     pub node: NodeProcess,
 }
 
-impl Server {
+impl Instance {
     pub async fn start(service: &str, domain: &str, store: &Store, children: &[&str]) -> Self {
         let children = children.iter().map(|path| Child {
             method: awc::http::Method::POST,
@@ -144,8 +144,8 @@
     }
 }
 
-/// Runs `bilberryctl`; it stands beside the node's binary.
-pub async fn ctl(args: &[&str]) -> Output {
+/// Runs `bilberryctl`, which is in the same directory as the binary of the node.
+pub async fn run_ctl(args: &[&str]) -> Output {
     let path = PathBuf::from(env!("CARGO_BIN_EXE_bilberry-node")).with_file_name("bilberryctl");
     tokio::process::Command::new(path)
         .args(args)
@@ -154,12 +154,12 @@
         .unwrap()
 }
 
-/// Publishes rules with the operator's tool.
+/// Publishes rules with `bilberryctl`.
 pub async fn publish(store: &Store, rules: &str) {
     let file = std::env::temp_dir().join(format!("rules-{}", uuid::Uuid::new_v4()));
     std::fs::write(&file, rules).unwrap();
     let file = file.to_str().unwrap();
-    let output = ctl(&["publish", file, "--store", &store.addr.to_string()]).await;
+    let output = run_ctl(&["publish", file, "--store", &store.addr.to_string()]).await;
     assert!(
         output.status.success(),
         "{}",
@@ -168,10 +168,16 @@
     std::fs::remove_file(file).unwrap();
 }
 
-/// A caller's answer: status, outcome header, body.
-pub type Answer = (u16, String, String);
+/// Status, outcome header and body of a response.
+pub type CallResponse = (u16, String, String);
 
-pub async fn call(node: SocketAddr, method: &str, path: &str, key: &str, body: &str) -> Answer {
+pub async fn call(
+    node: SocketAddr,
+    method: &str,
+    path: &str,
+    key: &str,
+    body: &str,
+) -> CallResponse {
     let client = awc::Client::builder()
         .disable_redirects()
         .disable_timeout()
@@ -191,37 +197,39 @@
     )
 }
 
-/// The value of a line of the node's status page.
+/// Returns the value of a line of the node's status page.
 pub async fn status(node: SocketAddr, key: &str) -> String {
     let (_, _, page) = call(node, "GET", "/-/status", "", "").await;
     let line = page.lines().find_map(|line| line.strip_prefix(key));
     line.unwrap_or("").trim().to_owned()
 }
 
-/// Asks until the node says so; the test runner's own limit is the only one.
-pub async fn until_status(node: SocketAddr, key: &str, value: &str) {
+/// Polls the status page until the line has this value. The only time limit is that of the test
+/// runner.
+pub async fn wait_for_status(node: SocketAddr, key: &str, value: &str) {
     while status(node, key).await != value {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
 
-/// Asks until every key of every service has a home that may start work. Before that, orders are
-/// refused as not run, and rightly so: homes wait for slots and leases after each change of view.
-pub async fn until_homes_are_ready(nodes: &[SocketAddr]) {
-    while !homes_are_ready(nodes).await {
+/// Polls until every slot of every service has a home that may start runs. Before that, nodes
+/// rightly refuse orders as not run, because homes wait for slots and leases after each change of
+/// view.
+pub async fn wait_for_homes(nodes: &[SocketAddr]) {
+    while !are_homes_ready(nodes).await {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
 
-async fn homes_are_ready(nodes: &[SocketAddr]) -> bool {
+async fn are_homes_ready(nodes: &[SocketAddr]) -> bool {
     let mut slots: IndexMap<String, u32> = IndexMap::new();
     for node in nodes {
-        let number = async |key| status(*node, key).await.parse::<u32>().unwrap_or(0);
-        if number("gauge.home.lease_left").await < 1_000 {
+        let read_number = async |key| status(*node, key).await.parse::<u32>().unwrap_or(0);
+        if read_number("gauge.home.lease_left").await < 1_000 {
             return false;
         }
         let service = status(*node, "service").await;
-        *slots.entry(service).or_insert(0) += number("gauge.home.ready_slots").await;
+        *slots.entry(service).or_insert(0) += read_number("gauge.home.ready_slots").await;
     }
     slots
         .values()
--- a/crates/node/tests/links.rs
+++ b/crates/node/tests/links.rs
@@ -1,4 +1,4 @@
-//! Connections between nodes that go silent, break or carry nonsense, over real sockets.
+//! Links between nodes that go silent, are cut or carry invalid frames, over real sockets.
 
 mod common;
 mod relay;
@@ -6,10 +6,10 @@
 use common::call;
 use common::publish;
 use common::status;
-use common::until_homes_are_ready;
-use common::until_status;
+use common::wait_for_homes;
+use common::wait_for_status;
+use common::Instance;
 use common::NodeProcess;
-use common::Server;
 use common::LOOPBACK;
 use proto::Frame;
 use proto::Incarnation;
@@ -30,9 +30,9 @@
 limit order concurrency=50..50 queue=10s # asked by Marco
 ";
 
-/// An entry node, and an instance of `order` that others reach through the relay.
-async fn start_all(store: &Store, takes: Duration) -> (Server, Server, Relay) {
-    let entry = Server::start("catalogue", "milano-1", store, &[]).await;
+/// Starts an entry instance and an instance of `order` that others reach through the relay.
+async fn start_instances(store: &Store, takes: Duration) -> (Instance, Instance, Relay) {
+    let entry = Instance::start("catalogue", "milano-1", store, &[]).await;
     let relay = Relay::start().await;
     let work = Work {
         takes,
@@ -43,20 +43,26 @@
     let advertised = format!("advertised_addr = {}\n", relay.addr);
     let node = NodeProcess::start_with("order", "milano-2", backend.addr, store.addr, &advertised);
     relay.target.set(Some(node.peer));
-    let order = Server { backend, node };
+    let order_instance = Instance { backend, node };
     publish(store, RULES).await;
-    for server in [&entry, &order] {
-        until_status(server.node.http, "rules_version", "1").await;
-        until_status(server.node.http, "instances", "2").await;
+    for instance in [&entry, &order_instance] {
+        wait_for_status(instance.node.http, "rules_version", "1").await;
+        wait_for_status(instance.node.http, "instances", "2").await;
     }
-    until_homes_are_ready(&[entry.node.http, order.node.http]).await;
-    (entry, order, relay)
+    wait_for_homes(&[entry.node.http, order_instance.node.http]).await;
+    (entry, order_instance, relay)
 }
 
-type Calls = Vec<actix_rt::task::JoinHandle<common::Answer>>;
+type PendingCalls = Vec<actix_rt::task::JoinHandle<common::CallResponse>>;
 
-/// Sends calls with bodies of `size` bytes to the entry, all at once.
-fn send(entry: &Server, path: &str, count: usize, size: usize, keyed: bool) -> Calls {
+/// Starts calls with bodies of `size` bytes to the entry node, all at once.
+fn send_calls(
+    entry: &Instance,
+    path: &str,
+    count: usize,
+    size: usize,
+    keyed: bool,
+) -> PendingCalls {
     let http = entry.node.http;
     let path = format!("/order/{path}");
     let calls = (0..count).map(|n| {
@@ -70,126 +76,136 @@
     calls.collect()
 }
 
-fn order(entry: &Server, count: usize, size: usize) -> Calls {
-    send(entry, "orders", count, size, true)
+fn send_orders(entry: &Instance, count: usize, size: usize) -> PendingCalls {
+    send_calls(entry, "orders", count, size, true)
 }
 
-/// Lookups with large bodies and answers, which need no keys. Orders of that size would fill the table of records.
-fn search(entry: &Server, count: usize) -> Calls {
-    send(entry, "search", count, LARGE, false)
+/// Starts lookups with large bodies and responses, which need no keys. Orders of that size would
+/// fill the table of keyed records.
+fn send_searches(entry: &Instance, count: usize) -> PendingCalls {
+    send_calls(entry, "search", count, LARGE_BODY, false)
 }
 
-const LARGE: usize = 1_000_000;
+const LARGE_BODY: usize = 1_000_000;
 
 fn body(n: usize, size: usize) -> String {
-    let mark = format!("order {n} ");
-    mark.repeat(size / mark.len())
+    let pattern = format!("order {n} ");
+    pattern.repeat(size / pattern.len())
 }
 
-/// Checks that every call gets its own whole answer, and how many runs there were in all.
-async fn check(calls: Calls, size: usize, order: &Server, runs: u32) {
+/// Checks that every call gets its own complete response, and the total number of runs.
+async fn check_responses(calls: PendingCalls, size: usize, order_instance: &Instance, runs: u32) {
     for (n, one) in calls.into_iter().enumerate() {
-        let (code, outcome, answer) = one.await.unwrap();
+        let (code, outcome, response) = one.await.unwrap();
         assert_eq!((code, &*outcome), (200, "whole"), "call {n}");
-        let answer = answer.rsplit_once('/').map(|(body, _)| body);
-        assert!(answer == Some(&body(n, size)), "call {n}: another's or cut");
+        let response = response.rsplit_once('/').map(|(body, _)| body);
+        assert!(
+            response == Some(&body(n, size)),
+            "call {n}: truncated or of another call"
+        );
     }
-    assert_eq!(order.runs(), runs);
+    assert_eq!(order_instance.runs(), runs);
 }
 
-async fn until_runs(order: &Server, runs: u32) {
-    while order.runs() < runs {
+async fn wait_for_runs(order_instance: &Instance, runs: u32) {
+    while order_instance.runs() < runs {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
 }
 
-/// Something between two nodes loses track of their connection while orders run: nothing comes
-/// through any more, and no end is told. The shop would wait until its deadline, and be told that
-/// nobody knows what became of the order.
+/// A middlebox between two nodes loses the state of their connection while orders run: no data is
+/// transferred any more, and neither end is notified. The caller would wait until its deadline and
+/// get an unknown outcome.
 #[actix_rt::test]
-async fn an_answer_on_a_silent_connection_arrives_over_another() {
+async fn response_on_silent_connection_arrives_over_another() {
     let store = Store::start(LOOPBACK.into()).await.unwrap();
-    let (entry, servers, relay) = start_all(&store, Duration::from_millis(300)).await;
-    let calls = order(&entry, 4, 40);
-    until_runs(&servers, 4).await;
+    let (entry, order_instance, relay) = start_instances(&store, Duration::from_millis(300)).await;
+    let calls = send_orders(&entry, 4, 40);
+    wait_for_runs(&order_instance, 4).await;
     relay.silence();
-    check(calls, 40, &servers, 4).await;
+    check_responses(calls, 40, &order_instance, 4).await;
     assert_eq!(status(entry.node.http, "counter.link.silent").await, "1");
 }
 
-/// The same while large requests are being written: the connection takes no more bytes. An end that
-/// waited for its write to finish would not notice that it hears nothing.
+/// The same while large requests are being written, so that the connection accepts no more data. A
+/// node that waited for its write to finish would not notice that it receives nothing.
 #[actix_rt::test]
-async fn a_write_that_blocks_for_ever_does_not_hold_up_the_link() {
+async fn blocked_write_does_not_prevent_detection_of_silent_link() {
     let store = Store::start(LOOPBACK.into()).await.unwrap();
-    let (entry, servers, relay) = start_all(&store, Duration::ZERO).await;
-    check(order(&entry, 1, 40), 40, &servers, 1).await;
+    let (entry, order_instance, relay) = start_instances(&store, Duration::ZERO).await;
+    check_responses(send_orders(&entry, 1, 40), 40, &order_instance, 1).await;
     relay.silence();
-    check(order(&entry, 7, LARGE), LARGE, &servers, 8).await;
+    check_responses(
+        send_orders(&entry, 7, LARGE_BODY),
+        LARGE_BODY,
+        &order_instance,
+        8,
+    )
+    .await;
     assert_eq!(status(entry.node.http, "counter.link.silent").await, "1");
 }
 
-/// More is to be sent over such a connection than may wait for it. What does not fit, or was never
-/// written, is reported as not run; none of it may run all the same.
+/// More data is to be sent over such a connection than fits its queue. Requests that do not fit or
+/// were never written are reported as not run, and none of them may run.
 #[actix_rt::test]
-async fn what_does_not_fit_is_not_run() {
+async fn calls_beyond_queue_of_silent_link_are_not_run() {
     let store = Store::start(LOOPBACK.into()).await.unwrap();
-    let (entry, servers, relay) = start_all(&store, Duration::ZERO).await;
-    check(order(&entry, 1, 40), 40, &servers, 1).await;
+    let (entry, order_instance, relay) = start_instances(&store, Duration::ZERO).await;
+    check_responses(send_orders(&entry, 1, 40), 40, &order_instance, 1).await;
     relay.silence();
-    let mut whole = 1;
-    for one in search(&entry, 40) {
+    let mut completed = 1;
+    for one in send_searches(&entry, 40) {
         let (code, outcome, _) = one.await.unwrap();
         assert!(
             matches!((code, &*outcome), (200, "whole") | (503, "not-run")),
             "{code} {outcome}"
         );
-        whole += u32::from(code == 200);
+        completed += u32::from(code == 200);
     }
-    assert!(whole < 41, "nothing was refused");
-    assert_eq!(servers.runs(), whole);
+    assert!(completed < 41, "nothing was refused");
+    assert_eq!(order_instance.runs(), completed);
 }
 
-/// A connection breaks in the middle of a large answer. The part that came must not pass for an
-/// answer, and the order must not be done again to get the rest.
+/// A connection is closed in the middle of a large response. The truncated part must not be taken
+/// for a response, and the order must not run again to get the rest.
 #[actix_rt::test]
-async fn an_answer_that_was_cut_arrives_whole_over_another_connection() {
+async fn truncated_response_is_sent_again_over_another_connection() {
     let store = Store::start(LOOPBACK.into()).await.unwrap();
-    let (entry, servers, relay) = start_all(&store, Duration::ZERO).await;
+    let (entry, order_instance, relay) = start_instances(&store, Duration::ZERO).await;
     relay.cut_after(300_000);
-    check(order(&entry, 2, 500_000), 500_000, &servers, 2).await;
+    check_responses(send_orders(&entry, 2, 500_000), 500_000, &order_instance, 2).await;
 }
 
-/// Both nodes have something to say at the same time and dial each other. If each took the other's
-/// connection for the only one, both would be closed, again and again.
+/// Both nodes have messages to send and dial each other at the same time. If each kept only the
+/// connection that the other has dialled, both would be closed, over and over.
 #[actix_rt::test]
-async fn links_dialled_from_both_ends_are_settled() {
+async fn simultaneous_dials_result_in_one_link() {
     let store = Store::start(LOOPBACK.into()).await.unwrap();
-    let (entry, servers, _relay) = start_all(&store, Duration::from_millis(50)).await;
-    let back = (0..8).map(|n| {
-        let http = servers.node.http;
+    let (entry, order_instance, _relay) = start_instances(&store, Duration::from_millis(50)).await;
+    let opposite_calls = (0..8).map(|n| {
+        let http = order_instance.node.http;
         let path = format!("/catalogue/patterns/{n}");
         actix_rt::spawn(async move { call(http, "GET", &path, "", "").await })
     });
-    let back: Calls = back.collect();
-    check(order(&entry, 8, 40), 40, &servers, 8).await;
-    for one in back {
+    let opposite_calls: PendingCalls = opposite_calls.collect();
+    check_responses(send_orders(&entry, 8, 40), 40, &order_instance, 8).await;
+    for one in opposite_calls {
         assert_eq!(one.await.unwrap().0, 200);
     }
-    for node in [&entry.node, &servers.node] {
+    for node in [&entry.node, &order_instance.node] {
         assert_eq!(status(node.http, "counter.reattach").await, "");
         assert_eq!(status(node.http, "counter.link.dial-failed").await, "");
     }
 }
 
-/// Somebody sends a node what is no frame, one that is too large, or one of another version. Its
-/// connection is closed and counted; orders over other connections go on.
+/// A client sends a node malformed frames, a frame that is too large, or one of another protocol
+/// version. Its connection is closed and counted; orders over other connections continue.
 #[actix_rt::test]
-async fn nonsense_closes_its_own_connection_and_no_other() {
+async fn invalid_frames_close_only_their_connection() {
     let store = Store::start(LOOPBACK.into()).await.unwrap();
-    let (entry, servers, _relay) = start_all(&store, Duration::from_millis(300)).await;
-    let calls = order(&entry, 4, 40);
-    until_runs(&servers, 4).await;
+    let (entry, order_instance, _relay) = start_instances(&store, Duration::from_millis(300)).await;
+    let calls = send_orders(&entry, 4, 40);
+    wait_for_runs(&order_instance, 4).await;
     let hello = |version| {
         proto::encode(&Frame::Hello {
             version,
@@ -197,16 +213,16 @@
             to: None,
         })
     };
-    let good = frame(&hello(PROTOCOL_VERSION));
-    let nonsense = [
+    let valid_hello = frame(&hello(PROTOCOL_VERSION));
+    let invalid_inputs = [
         ("broken-frame", frame(&[0xFF; 40])),
         ("broken-frame", frame(&proto::encode(&Frame::Ping(1)))),
         ("frame-too-large", vec![0xFF; 4]),
         ("wrong-version", frame(&hello(PROTOCOL_VERSION + 1))),
-        ("no-hello", good[..5].to_vec()),
+        ("no-hello", valid_hello[..5].to_vec()),
     ];
-    for (_, bytes) in &nonsense {
-        let mut stream = TcpStream::connect(servers.node.peer).await.unwrap();
+    for (_, bytes) in &invalid_inputs {
+        let mut stream = TcpStream::connect(order_instance.node.peer).await.unwrap();
         stream.write_all(bytes).await.unwrap();
         if bytes.len() == 5 {
             stream.shutdown().await.unwrap();
@@ -215,12 +231,12 @@
         let _ = stream.read_to_end(&mut rest).await;
         assert_eq!(rest, [0; 0]);
     }
-    let http = servers.node.http;
-    until_status(http, "counter.link.broken-frame", "2").await;
+    let http = order_instance.node.http;
+    wait_for_status(http, "counter.link.broken-frame", "2").await;
     for name in ["frame-too-large", "wrong-version", "no-hello"] {
-        until_status(http, &format!("counter.link.{name}"), "1").await;
+        wait_for_status(http, &format!("counter.link.{name}"), "1").await;
     }
-    check(calls, 40, &servers, 4).await;
+    check_responses(calls, 40, &order_instance, 4).await;
     assert_eq!(status(entry.node.http, "counter.reattach").await, "");
 }
 
--- a/crates/node/tests/log_queue.rs
+++ b/crates/node/tests/log_queue.rs
@@ -1,4 +1,4 @@
-//! Log lines when nobody reads them.
+//! The log queue when its output blocks.
 
 use bilberry_node::LogQueue;
 use log4rs::append::Append;
@@ -8,21 +8,21 @@
 use std::sync::mpsc::Receiver;
 use std::sync::mpsc::Sender;
 
-/// An output that waits until it is let go, and then tells what it got.
-struct Gate {
-    open: Receiver<()>,
+/// An output that blocks until it is opened and then forwards what is written to it.
+struct BlockedOutput {
+    open_signal: Receiver<()>,
     is_open: bool,
-    got: Sender<String>,
+    written: Sender<String>,
 }
 
-impl Write for Gate {
+impl Write for BlockedOutput {
     fn write(&mut self, buf: &[u8]) -> std::io::Result<usize> {
         if !self.is_open {
-            self.open.recv().map_err(std::io::Error::other)?;
+            self.open_signal.recv().map_err(std::io::Error::other)?;
             self.is_open = true;
         }
         let text = String::from_utf8_lossy(buf).into_owned();
-        self.got.send(text).map_err(std::io::Error::other)?;
+        self.written.send(text).map_err(std::io::Error::other)?;
         Ok(buf.len())
     }
 
@@ -39,18 +39,18 @@
         .unwrap();
 }
 
-/// The reader of the output stops reading while a node goes on deciding. If writing a line waited
-/// for it, callers would get no answers because of a log.
+/// The reader of the log output stops reading. If logging blocked until the line was written,
+/// callers would get no responses.
 #[test]
-fn lines_that_nobody_reads_do_not_hold_up_a_node() {
+fn blocked_output_does_not_block_logging() {
     let (open, opened) = sync_channel(1);
-    let (got, lines) = std::sync::mpsc::channel();
-    let gate = Gate {
-        open: opened,
+    let (written, lines) = std::sync::mpsc::channel();
+    let output = BlockedOutput {
+        open_signal: opened,
         is_open: false,
-        got,
+        written,
     };
-    let queue = LogQueue::new(Box::new(PatternEncoder::new("{m}{n}")), gate);
+    let queue = LogQueue::new(Box::new(PatternEncoder::new("{m}{n}")), output);
     for n in 0..10_000 {
         append(&queue, &format!("event=test n={n}"));
     }
@@ -68,9 +68,9 @@
         .lines()
         .filter_map(|line| line.strip_prefix("event=lines_dropped count="));
     let dropped: u64 = dropped.map(|count| count.parse::<u64>().unwrap()).sum();
-    let written = text
+    let written_count = text
         .lines()
         .filter(|line| line.starts_with("event=test"))
         .count() as u64;
-    assert_eq!(written + dropped, 10_000);
+    assert_eq!(written_count + dropped, 10_000);
 }
--- a/crates/node/tests/outage.rs
+++ b/crates/node/tests/outage.rs
@@ -1,14 +1,14 @@
-//! Real processes while the store is away, or has forgotten its first records.
+//! Node processes while the store is unavailable or has deleted old records.
 
 mod common;
 
 use common::call;
 use common::publish;
 use common::status;
-use common::until_homes_are_ready;
-use common::until_status;
+use common::wait_for_homes;
+use common::wait_for_status;
+use common::Instance;
 use common::NodeProcess;
-use common::Server;
 use common::LOOPBACK;
 use standin::Backend;
 use standin::Store;
@@ -16,71 +16,71 @@
 
 const RULES: &str = "operation press POST /slots class=booking deadline=20s # asked by Marco";
 
-async fn listed_server(store: &Store) -> Server {
-    let server = Server::start("press", "milano-1", store, &[]).await;
+async fn start_listed_instance(store: &Store) -> Instance {
+    let instance = Instance::start("press", "milano-1", store, &[]).await;
     publish(store, RULES).await;
-    until_status(server.node.http, "rules_version", "1").await;
-    until_homes_are_ready(&[server.node.http]).await;
-    server
+    wait_for_status(instance.node.http, "rules_version", "1").await;
+    wait_for_homes(&[instance.node.http]).await;
+    instance
 }
 
-/// An instance is replaced while the store is away. Without the rules it could take no call, and the
-/// outage would spread to every shop whose caller reaches this node.
+/// An instance is replaced while the store is unavailable. Without the rules it could accept no
+/// call, and the outage would spread to every caller of this node.
 #[actix_rt::test]
-async fn a_start_in_an_outage_passes_calls_on() {
+async fn node_started_during_outage_forwards_calls() {
     let store = Store::start(LOOPBACK.into()).await.unwrap();
-    let server = listed_server(&store).await;
+    let instance = start_listed_instance(&store).await;
     store.faults.refusing.set(true);
 
-    let contacts = format!("contacts = {}", server.node.peer);
+    let contacts = format!("contacts = {}", instance.node.peer);
     let backend = Backend::start(LOOPBACK.into(), Work::default())
         .await
         .unwrap();
     let late = NodeProcess::start_with("order", "milano-2", backend.addr, store.addr, &contacts);
-    until_status(late.http, "rules_version", "1").await;
-    let whole = call(late.http, "POST", "/press/slots", "k", "ink").await;
-    assert_eq!(whole, (200, "whole".into(), "ink/slots".into()));
+    wait_for_status(late.http, "rules_version", "1").await;
+    let response = call(late.http, "POST", "/press/slots", "k", "ink").await;
+    assert_eq!(response, (200, "whole".into(), "ink/slots".into()));
     assert_eq!(status(late.http, "listed").await, "false");
     assert_eq!(status(late.http, "instances").await, "1");
 
     store.faults.refusing.set(false);
-    until_status(late.http, "listed", "true").await;
+    wait_for_status(late.http, "listed", "true").await;
 }
 
-/// The store serves one node and turns another away. Rules that are published meanwhile would be in
-/// force at one and not at the other for as long as that lasts.
+/// The store serves one node and refuses another. Rules published in the meantime would be in force
+/// at only one of the two for as long as that lasts.
 #[actix_rt::test]
-async fn new_rules_reach_a_node_that_the_store_turns_away() {
+async fn new_rules_reach_node_refused_by_store() {
     let store = Store::start(LOOPBACK.into()).await.unwrap();
-    let refused = store.another_listener().await.unwrap();
-    refused.faults.refusing.set(true);
-    let server = listed_server(&store).await;
-    let contacts = format!("contacts = {}", server.node.peer);
-    let cut_off = NodeProcess::start_with(
+    let refusing_store = store.another_listener().await.unwrap();
+    refusing_store.faults.refusing.set(true);
+    let instance = start_listed_instance(&store).await;
+    let contacts = format!("contacts = {}", instance.node.peer);
+    let refused_node = NodeProcess::start_with(
         "order",
         "milano-2",
-        server.backend.addr,
-        refused.addr,
+        instance.backend.addr,
+        refusing_store.addr,
         &contacts,
     );
-    until_status(cut_off.http, "rules_version", "1").await;
+    wait_for_status(refused_node.http, "rules_version", "1").await;
     publish(&store, RULES).await;
-    until_status(cut_off.http, "rules_version", "2").await;
+    wait_for_status(refused_node.http, "rules_version", "2").await;
 }
 
-/// A node is started after the store has forgotten all records but the newest of each key.
+/// A node is started after the store has deleted all records except the newest of each key.
 #[actix_rt::test]
-async fn a_start_after_retention_finds_rules_and_views() {
+async fn node_started_after_expiry_gets_rules_and_views() {
     let store = Store::start(LOOPBACK.into()).await.unwrap();
-    let server = listed_server(&store).await;
+    let instance = start_listed_instance(&store).await;
     publish(&store, RULES).await;
     store.expire();
 
-    let late = Server::start("order", "milano-2", &store, &[]).await;
-    until_status(late.node.http, "rules_version", "2").await;
-    until_status(late.node.http, "instances", "2").await;
-    until_status(server.node.http, "instances", "2").await;
-    until_homes_are_ready(&[server.node.http, late.node.http]).await;
-    let whole = call(late.node.http, "POST", "/press/slots", "k", "ink").await;
-    assert_eq!(whole, (200, "whole".into(), "ink/slots".into()));
+    let late = Instance::start("order", "milano-2", &store, &[]).await;
+    wait_for_status(late.node.http, "rules_version", "2").await;
+    wait_for_status(late.node.http, "instances", "2").await;
+    wait_for_status(instance.node.http, "instances", "2").await;
+    wait_for_homes(&[instance.node.http, late.node.http]).await;
+    let response = call(late.node.http, "POST", "/press/slots", "k", "ink").await;
+    assert_eq!(response, (200, "whole".into(), "ink/slots".into()));
 }
--- a/crates/node/tests/path.rs
+++ b/crates/node/tests/path.rs
@@ -1,12 +1,13 @@
-//! The whole path in separate processes: caller, nodes, backend servers, store, operator's tool.
+//! End-to-end test of a request through several services, with nodes and `bilberryctl` in separate
+//! processes.
 
 mod common;
 
 use common::call;
 use common::publish;
-use common::until_homes_are_ready;
-use common::until_status;
-use common::Server;
+use common::wait_for_homes;
+use common::wait_for_status;
+use common::Instance;
 use common::LOOPBACK;
 use standin::Store;
 
@@ -17,27 +18,27 @@
 operation royalty POST /charges class=payment deadline=5s # asked by the board
 ";
 
-async fn start_all(store: &Store) -> [Server; 4] {
-    let servers = [
-        Server::start("catalogue", "milano-1", store, &[]).await,
-        Server::start("order", "milano-1", store, &["/press/slots"]).await,
-        Server::start("press", "milano-2", store, &["/royalty/charges"]).await,
-        Server::start("royalty", "milano-2", store, &[]).await,
+async fn start_instances(store: &Store) -> [Instance; 4] {
+    let instances = [
+        Instance::start("catalogue", "milano-1", store, &[]).await,
+        Instance::start("order", "milano-1", store, &["/press/slots"]).await,
+        Instance::start("press", "milano-2", store, &["/royalty/charges"]).await,
+        Instance::start("royalty", "milano-2", store, &[]).await,
     ];
     publish(store, RULES).await;
-    for server in &servers {
-        until_status(server.node.http, "rules_version", "1").await;
-        until_status(server.node.http, "instances", "4").await;
+    for instance in &instances {
+        wait_for_status(instance.node.http, "rules_version", "1").await;
+        wait_for_status(instance.node.http, "instances", "4").await;
     }
-    until_homes_are_ready(&servers.each_ref().map(|server| server.node.http)).await;
-    servers
+    wait_for_homes(&instances.each_ref().map(|instance| instance.node.http)).await;
+    instances
 }
 
 #[actix_rt::test]
-async fn a_request_passes_three_services_and_runs_once_in_each() {
+async fn request_runs_once_in_each_of_three_services() {
     let store = Store::start(LOOPBACK.into()).await.unwrap();
-    let servers = start_all(&store).await;
-    let [catalogue, order, press, royalty] = &servers;
+    let instances = start_instances(&store).await;
+    let [catalogue, order, press, royalty] = &instances;
 
     let looked_up = call(order.node.http, "GET", "/catalogue/patterns/7", "", "").await;
     assert_eq!(looked_up, (200, "whole".into(), "/patterns/7".into()));
--- a/crates/node/tests/pipelining.rs
+++ b/crates/node/tests/pipelining.rs
@@ -1,9 +1,9 @@
-//! Callers that send further requests on a connection before the first is answered.
+//! HTTP pipelining: callers that send further requests before the response to the first.
 
 mod common;
 
 use common::publish;
-use common::until_status;
+use common::wait_for_status;
 use common::NodeProcess;
 use common::LOOPBACK;
 use standin::Backend;
@@ -17,8 +17,8 @@
 const RULES: &str =
     "operation press * /days/* class=lookup idempotent deadline=60s # asked by Anna\n";
 
-/// Requests that a node reads ahead of their answers on one connection.
-const READ_AHEAD: usize = 16;
+/// Maximum number of pipelined requests that a node reads from one connection.
+const MAX_PIPELINED: usize = 16;
 
 async fn start(takes: Duration) -> (NodeProcess, Backend) {
     let store = Store::start(LOOPBACK.into()).await.unwrap();
@@ -27,33 +27,33 @@
         ..Work::default()
     };
     let backend = Backend::start(LOOPBACK.into(), work).await.unwrap();
-    let bounds = "max_body = 1000\nbody_timeout = 10s";
-    let node = NodeProcess::start_with("press", "milano-1", backend.addr, store.addr, bounds);
+    let limits = "max_body = 1000\nbody_timeout = 10s";
+    let node = NodeProcess::start_with("press", "milano-1", backend.addr, store.addr, limits);
     publish(&store, RULES).await;
-    until_status(node.http, "rules_version", "1").await;
+    wait_for_status(node.http, "rules_version", "1").await;
     (node, backend)
 }
 
-fn get(day: usize, more: &str) -> String {
-    format!("GET /press/days/{day} HTTP/1.1\r\nhost: x\r\n{more}\r\n")
+fn get_request(day: usize, extra_headers: &str) -> String {
+    format!("GET /press/days/{day} HTTP/1.1\r\nhost: x\r\n{extra_headers}\r\n")
 }
 
-fn gets(days: std::ops::RangeInclusive<usize>) -> String {
-    days.map(|day| get(day, "")).collect()
+fn get_requests(days: std::ops::RangeInclusive<usize>) -> String {
+    days.map(|day| get_request(day, "")).collect()
 }
 
-async fn until_runs(backend: &Backend, runs: usize) {
+async fn wait_for_runs(backend: &Backend, runs: usize) {
     while backend.runs.borrow().len() < runs {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
 }
 
-fn takes(backend: &Backend, takes: Duration) {
+fn set_duration(backend: &Backend, takes: Duration) {
     backend.work.borrow_mut().takes = takes;
 }
 
-/// One answer's head and body; an empty head at the connection's end.
-async fn read_answer(stream: &mut TcpStream) -> (String, String) {
+/// Reads one response; returns its head and body, or an empty head if the connection is closed.
+async fn read_response(stream: &mut TcpStream) -> (String, String) {
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
         match stream.read_u8().await {
@@ -73,141 +73,171 @@
 async fn read_bodies(stream: &mut TcpStream, count: usize) -> Vec<String> {
     let mut bodies = Vec::new();
     for _ in 0..count {
-        bodies.push(read_answer(stream).await.1);
+        bodies.push(read_response(stream).await.1);
     }
     bodies
 }
 
-fn days(days: std::ops::RangeInclusive<usize>) -> Vec<String> {
+fn expected_bodies(days: std::ops::RangeInclusive<usize>) -> Vec<String> {
     days.map(|day| format!("/days/{day}")).collect()
 }
 
-/// A stall's till asks for the stock of nine articles at once, and the first is slow. Worked on one
-/// after another, the last answer comes after the sum of all their times, and most are too late.
+/// A client pipelines nine requests, the first of which is slow. If they ran one after another, the
+/// last response would take the sum of all run times, and most would be too late.
 #[actix_rt::test]
-async fn pipelined_requests_run_side_by_side_and_are_answered_in_order() {
+async fn pipelined_requests_run_concurrently_and_get_responses_in_order() {
     let (node, backend) = start(Duration::from_secs(2)).await;
     let mut stream = TcpStream::connect(node.http).await.unwrap();
-    stream.write_all(gets(1..=1).as_bytes()).await.unwrap();
-    until_runs(&backend, 1).await;
-    takes(&backend, Duration::ZERO);
-    stream.write_all(gets(2..=9).as_bytes()).await.unwrap();
-    let all = tokio::time::timeout(Duration::from_secs(30), until_runs(&backend, 9));
+    stream
+        .write_all(get_requests(1..=1).as_bytes())
+        .await
+        .unwrap();
+    wait_for_runs(&backend, 1).await;
+    set_duration(&backend, Duration::ZERO);
+    stream
+        .write_all(get_requests(2..=9).as_bytes())
+        .await
+        .unwrap();
+    let all = tokio::time::timeout(Duration::from_secs(30), wait_for_runs(&backend, 9));
     let first = tokio::select! {
         biased;
-        answer = read_answer(&mut stream) => Some(answer),
+        response = read_response(&mut stream) => Some(response),
         all = all => { all.unwrap(); None }
     };
     assert_eq!(
         first, None,
-        "the others ran only after the first was answered"
+        "the others ran only after the response to the first"
     );
-    assert_eq!(read_bodies(&mut stream, 9).await, days(1..=9));
+    assert_eq!(read_bodies(&mut stream, 9).await, expected_bodies(1..=9));
 }
 
-/// The till is closed while its requests run. Nobody waits for any of them, and each goes on taking
-/// up a place at its server that others need.
+/// A caller disconnects while its requests run. Nothing waits for their responses, and each would
+/// continue to occupy a slot of its server that others need.
 #[actix_rt::test]
-async fn a_caller_that_leaves_cancels_all_its_requests() {
+async fn disconnected_caller_cancels_all_its_requests() {
     let (node, backend) = start(Duration::from_secs(60)).await;
     let mut stream = TcpStream::connect(node.http).await.unwrap();
-    stream.write_all(gets(1..=5).as_bytes()).await.unwrap();
-    until_runs(&backend, 5).await;
+    stream
+        .write_all(get_requests(1..=5).as_bytes())
+        .await
+        .unwrap();
+    wait_for_runs(&backend, 5).await;
     drop(stream);
-    until_status(node.http, "runs", "0").await;
+    wait_for_status(node.http, "runs", "0").await;
 }
 
-/// A caller asks to close the connection with its second request, and has sent a third behind it. It
-/// takes the third for unread and sends it again elsewhere; run here too, it would run twice.
+/// A caller sends `connection: close` with its second request and a third request after it. It
+/// assumes that the third was not read and sends it again elsewhere, so if it ran here, it would
+/// run twice.
 #[actix_rt::test]
-async fn what_is_behind_the_last_request_is_not_run() {
+async fn request_after_connection_close_is_not_run() {
     let (node, backend) = start(Duration::ZERO).await;
     let mut stream = TcpStream::connect(node.http).await.unwrap();
-    let requests = [get(1, ""), get(2, "connection: close\r\n"), get(3, "")].concat();
+    let requests = [
+        get_request(1, ""),
+        get_request(2, "connection: close\r\n"),
+        get_request(3, ""),
+    ]
+    .concat();
     stream.write_all(requests.as_bytes()).await.unwrap();
-    assert_eq!(read_answer(&mut stream).await.1, "/days/1");
-    let (head, body) = read_answer(&mut stream).await;
+    assert_eq!(read_response(&mut stream).await.1, "/days/1");
+    let (head, body) = read_response(&mut stream).await;
     assert_eq!(body, "/days/2");
     assert!(head.contains("connection: close"), "{head}");
-    assert_eq!(read_answer(&mut stream).await.0, "");
+    assert_eq!(read_response(&mut stream).await.0, "");
     assert_eq!(backend.runs.borrow().len(), 2);
 }
 
-/// A node stops while requests of one connection run. Told to close with the first answer, the
-/// caller would send the others again, which run here already.
+/// A node stops while requests of one connection run. If it sent `connection: close` with the first
+/// response, the caller would send the others again although they are already running.
 #[actix_rt::test]
-async fn a_stopping_node_closes_with_the_last_answer_of_a_connection() {
+async fn stopping_node_closes_connection_with_last_response() {
     let (node, backend) = start(Duration::from_secs(1)).await;
     let mut stream = TcpStream::connect(node.http).await.unwrap();
-    stream.write_all(gets(1..=3).as_bytes()).await.unwrap();
-    until_runs(&backend, 3).await;
+    stream
+        .write_all(get_requests(1..=3).as_bytes())
+        .await
+        .unwrap();
+    wait_for_runs(&backend, 3).await;
     node.signal("-TERM");
-    let mut heads = Vec::new();
+    let mut has_close = Vec::new();
     for day in 1..=3 {
-        let (head, body) = read_answer(&mut stream).await;
+        let (head, body) = read_response(&mut stream).await;
         assert_eq!(body, format!("/days/{day}"));
-        heads.push(head.contains("connection: close"));
+        has_close.push(head.contains("connection: close"));
     }
-    assert_eq!(heads, [false, false, true]);
-    assert_eq!(read_answer(&mut stream).await.0, "");
+    assert_eq!(has_close, [false, false, true]);
+    assert_eq!(read_response(&mut stream).await.0, "");
 }
 
-/// A caller sends requests without end and reads no answer. What is read ahead is held in memory, so
-/// a few such callers would take all that the instance has.
+/// A caller sends requests continuously and reads no response. Requests that were read are held in
+/// memory, so without a limit, a few such callers would use up the memory of the instance.
 #[actix_rt::test]
-async fn requests_read_ahead_are_bounded() {
+async fn number_of_pipelined_requests_is_limited() {
     let (node, backend) = start(Duration::from_secs(1)).await;
     let mut stream = TcpStream::connect(node.http).await.unwrap();
-    // No more than fit: a run is known to take a second by the time that the rest is read, and what
-    // is too much for the server is shed.
-    stream.write_all(gets(1..=20).as_bytes()).await.unwrap();
-    until_runs(&backend, READ_AHEAD).await;
-    // All that was read was passed on in the same moment, long before the first answer.
-    assert_eq!(backend.runs.borrow().len(), READ_AHEAD);
-    takes(&backend, Duration::ZERO);
-    assert_eq!(read_bodies(&mut stream, 20).await, days(1..=20));
-}
-
-/// A proxy in front of a node sends bytes that are no request behind one that is. The first still
-/// gets its answer, and no byte behind the broken ones is taken for a request.
+    // Few enough not to be shed: when the rest is read, the node already knows that a run takes a
+    // second, and sheds what exceeds the capacity of the server.
+    stream
+        .write_all(get_requests(1..=20).as_bytes())
+        .await
+        .unwrap();
+    wait_for_runs(&backend, MAX_PIPELINED).await;
+    // All requests that were read were forwarded at once, long before the first response.
+    assert_eq!(backend.runs.borrow().len(), MAX_PIPELINED);
+    set_duration(&backend, Duration::ZERO);
+    assert_eq!(read_bodies(&mut stream, 20).await, expected_bodies(1..=20));
+}
+
+/// A proxy in front of a node sends a valid request followed by malformed bytes. The valid request
+/// still gets its response, and nothing after the malformed bytes is parsed as a request.
 #[actix_rt::test]
-async fn a_broken_request_ends_the_connection_after_the_answers_before_it() {
+async fn malformed_request_closes_connection_after_earlier_responses() {
     let (node, backend) = start(Duration::ZERO).await;
     let mut stream = TcpStream::connect(node.http).await.unwrap();
-    let bytes = [get(1, ""), "\x16\x03\x01 hello\r\n\r\n".into(), get(2, "")].concat();
+    let bytes = [
+        get_request(1, ""),
+        "\x16\x03\x01 hello\r\n\r\n".into(),
+        get_request(2, ""),
+    ]
+    .concat();
     stream.write_all(bytes.as_bytes()).await.unwrap();
-    assert_eq!(read_answer(&mut stream).await.1, "/days/1");
-    let (head, _) = read_answer(&mut stream).await;
+    assert_eq!(read_response(&mut stream).await.1, "/days/1");
+    let (head, _) = read_response(&mut stream).await;
     assert!(head.starts_with("http/1.1 400"), "{head}");
-    assert_eq!(read_answer(&mut stream).await.0, "");
+    assert_eq!(read_response(&mut stream).await.0, "");
     assert_eq!(backend.runs.borrow().len(), 1);
 }
 
-/// A body that is too large is refused before it was read whole. Its rest is not the next request,
-/// and the connection is still good for one.
+/// A body that exceeds the limit is refused before it was read completely. The rest of it must not
+/// be parsed as the next request, and the connection remains usable.
 #[actix_rt::test]
-async fn the_rest_of_a_refused_body_is_skipped() {
+async fn rest_of_refused_body_is_skipped() {
     let (node, _backend) = start(Duration::ZERO).await;
     let mut stream = TcpStream::connect(node.http).await.unwrap();
     let head = "POST /press/days/1 HTTP/1.1\r\nhost: x\r\ncontent-length: 200000\r\n\r\n";
     stream.write_all(head.as_bytes()).await.unwrap();
     stream.write_all(&[b'x'; 200_000]).await.unwrap();
-    stream.write_all(get(2, "").as_bytes()).await.unwrap();
-    let (head, _) = read_answer(&mut stream).await;
+    stream
+        .write_all(get_request(2, "").as_bytes())
+        .await
+        .unwrap();
+    let (head, _) = read_response(&mut stream).await;
     assert!(head.starts_with("http/1.1 413"), "{head}");
-    assert_eq!(read_answer(&mut stream).await.1, "/days/2");
+    assert_eq!(read_response(&mut stream).await.1, "/days/2");
 }
 
-/// A caller waits for leave to send its body. Without an interim answer it would wait for seconds.
+/// A caller sends `expect: 100-continue` and waits before sending its body. Without the interim
+/// response it would wait for seconds.
 #[actix_rt::test]
-async fn a_caller_that_asks_may_send_its_body() {
+async fn expect_continue_gets_interim_response() {
     let (node, _backend) = start(Duration::ZERO).await;
     let mut stream = TcpStream::connect(node.http).await.unwrap();
     let head = "POST /press/days/1 HTTP/1.1\r\nhost: x\r\nexpect: 100-continue\r\n\
                 transfer-encoding: chunked\r\n\r\n";
     stream.write_all(head.as_bytes()).await.unwrap();
-    let (interim, _) = read_answer(&mut stream).await;
+    let (interim, _) = read_response(&mut stream).await;
     assert!(interim.starts_with("http/1.1 100"), "{interim}");
     stream.write_all(b"3\r\nink\r\n0\r\n\r\n").await.unwrap();
-    assert_eq!(read_answer(&mut stream).await.1, "ink/days/1");
+    assert_eq!(read_response(&mut stream).await.1, "ink/days/1");
 }
--- a/crates/node/tests/platform.rs
+++ b/crates/node/tests/platform.rs
@@ -1,5 +1,5 @@
-//! Real nodes on the users' platform: a store, servers that announce themselves, clients that ask by
-//! host and path.
+//! Node processes with the protocol of the users' platform: a store, servers that announce
+//! themselves, and clients that address services by host and path.
 
 mod common;
 
@@ -16,21 +16,21 @@
 use tokio::net::TcpListener;
 use tokio::net::TcpStream;
 
-/// What a server does with a request.
+/// How a server handles requests.
 #[derive(Clone, Copy, PartialEq)]
-enum Mood {
-    Answers,
-    SaysItDidNotRun,
-    BreaksOff,
-    IsAnother,
-    IsUnwell,
+enum Behaviour {
+    Responds,
+    NotExecuted,
+    ClosesConnection,
+    OtherIncarnation,
+    Unhealthy,
 }
 
-/// A server that keeps the heads of the requests that it got.
+/// A backend server that records the heads of the requests it receives.
 struct Server {
     addr: SocketAddr,
     heads: Rc<RefCell<Vec<String>>>,
-    mood: Rc<Cell<Mood>>,
+    behaviour: Rc<Cell<Behaviour>>,
 }
 
 impl Server {
@@ -39,55 +39,59 @@
         let server = Self {
             addr: listener.local_addr().unwrap(),
             heads: Rc::default(),
-            mood: Rc::new(Cell::new(Mood::Answers)),
+            behaviour: Rc::new(Cell::new(Behaviour::Responds)),
         };
-        let (heads, mood) = (server.heads.clone(), server.mood.clone());
+        let (heads, behaviour) = (server.heads.clone(), server.behaviour.clone());
         actix_rt::spawn(async move {
             loop {
                 let (stream, _) = listener.accept().await.unwrap();
-                actix_rt::spawn(serve(stream, heads.clone(), mood.clone()));
+                actix_rt::spawn(serve(stream, heads.clone(), behaviour.clone()));
             }
         });
         server
     }
 }
 
-async fn serve(mut stream: TcpStream, heads: Rc<RefCell<Vec<String>>>, mood: Rc<Cell<Mood>>) {
+async fn serve(
+    mut stream: TcpStream,
+    heads: Rc<RefCell<Vec<String>>>,
+    behaviour: Rc<Cell<Behaviour>>,
+) {
     while let Some(head) = read_head(&mut stream).await {
         let id = header(&head, "x-bilberrycove-request-id").unwrap_or_default();
         if head.starts_with("GET /healthz ") {
-            let status = match mood.get() {
-                Mood::IsUnwell => "503 Unwell",
+            let status = match behaviour.get() {
+                Behaviour::Unhealthy => "503 Unwell",
                 _ => "200 OK",
             };
-            let answer = format!(
+            let response = format!(
                 "HTTP/1.1 {status}\r\nx-bilberrycove-instance-id: a\r\ncontent-length: 0\r\n\r\n"
             );
-            if stream.write_all(answer.as_bytes()).await.is_err() {
+            if stream.write_all(response.as_bytes()).await.is_err() {
                 return;
             }
             continue;
         }
         heads.borrow_mut().push(head);
-        let answer = match mood.get() {
-            Mood::Answers => format!(
+        let response = match behaviour.get() {
+            Behaviour::Responds => format!(
                 "HTTP/1.1 200 OK\r\nx-bilberrycove-request-id: {id}\r\ncontent-length: 3\r\n\r\nink"
             ),
-            Mood::SaysItDidNotRun => "HTTP/1.1 503 Full\r\nx-bilberrycove-not-executed: 1\r\n\
+            Behaviour::NotExecuted => "HTTP/1.1 503 Full\r\nx-bilberrycove-not-executed: 1\r\n\
                                       content-length: 0\r\n\r\n"
                 .to_owned(),
-            Mood::IsAnother => "HTTP/1.1 421 No\r\nx-bilberrycove-instance-id: b\r\n\
+            Behaviour::OtherIncarnation => "HTTP/1.1 421 No\r\nx-bilberrycove-instance-id: b\r\n\
                                 content-length: 0\r\n\r\n"
                 .to_owned(),
-            Mood::BreaksOff | Mood::IsUnwell => return,
+            Behaviour::ClosesConnection | Behaviour::Unhealthy => return,
         };
-        if stream.write_all(answer.as_bytes()).await.is_err() {
+        if stream.write_all(response.as_bytes()).await.is_err() {
             return;
         }
     }
 }
 
-/// Reads up to the end of a head; the requests here have no body.
+/// Reads the head of a request. The requests in these tests have no body.
 async fn read_head(stream: &mut TcpStream) -> Option<String> {
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
@@ -98,24 +102,24 @@
 
 fn header(head: &str, name: &str) -> Option<String> {
     let lines = head.lines().filter_map(|line| line.split_once(": "));
-    let mut values = lines.filter(|(told, _)| told.eq_ignore_ascii_case(name));
+    let mut values = lines.filter(|(key, _)| key.eq_ignore_ascii_case(name));
     values.next().map(|(_, value)| value.to_owned())
 }
 
-/// A node with its server.
-struct Machine {
+/// A backend server with its node.
+struct Instance {
     server: Server,
     node: NodeProcess,
-    ready: SocketAddr,
-    control: SocketAddr,
+    ready_addr: SocketAddr,
+    control_addr: SocketAddr,
 }
 
-impl Machine {
+impl Instance {
     async fn start(service: &str, store: &Store) -> Self {
-        Self::start_beside(service, Server::start().await, store).await
+        Self::start_with_server(service, Server::start().await, store).await
     }
 
-    async fn start_beside(service: &str, server: Server, store: &Store) -> Self {
+    async fn start_with_server(service: &str, server: Server, store: &Store) -> Self {
         let text = format!(
             "[node]\nservice = {service}\nfailure_domain = milano-1\nregion = lombardia\n\
              http_addr = 127.0.0.1:0\npeer_addr = 127.0.0.1:0\n\
@@ -127,24 +131,26 @@
         let node = NodeProcess::start_from(&text);
         Self {
             server,
-            ready: node.address("ready="),
-            control: node.address("control="),
+            ready_addr: node.address("ready="),
+            control_addr: node.address("control="),
             node,
         }
     }
 
-    async fn beat(&self, service: &str, id: &str, sequence: u64, state: &str) -> u16 {
+    async fn send_heartbeat(&self, service: &str, id: &str, sequence: u64, state: &str) -> u16 {
         let address = self.server.addr;
         let body = format!(
             r#"{{"service":"{service}","address":"{address}","slots":10,"state":"{state}",
                 "sequence":{sequence},"born":1}}"#
         );
         let path = format!("/bilberrycove/instances/{id}");
-        ask(self.control, "PUT", &path, "control", &body).await.0
+        send_request(self.control_addr, "PUT", &path, "control", &body)
+            .await
+            .0
     }
 
-    async fn until_ready(&self) {
-        while ask(self.ready, "GET", "/bilberrycove/readyz", "x", "")
+    async fn wait_for_ready(&self) {
+        while send_request(self.ready_addr, "GET", "/bilberrycove/readyz", "x", "")
             .await
             .0
             != 200
@@ -154,8 +160,8 @@
     }
 }
 
-/// Asks, and gives the status, the whole head and the body.
-async fn ask(
+/// Sends a request; returns the status, the complete head and the body of the response.
+async fn send_request(
     to: SocketAddr,
     method: &str,
     path: &str,
@@ -170,9 +176,9 @@
         body.len()
     );
     stream.write_all(request.as_bytes()).await.unwrap();
-    let mut answer = String::new();
-    stream.read_to_string(&mut answer).await.unwrap();
-    let (head, body) = answer.split_once("\r\n\r\n").unwrap();
+    let mut response = String::new();
+    stream.read_to_string(&mut response).await.unwrap();
+    let (head, body) = response.split_once("\r\n\r\n").unwrap();
     let status = head.split(' ').nth(1).unwrap().parse().unwrap();
     (status, head.to_owned(), body.to_owned())
 }
@@ -190,16 +196,16 @@
     store.put("keyed.op", "config", &config(version, prefix));
 }
 
-/// An entry beside a server of `order` and a node beside one of `press`, ready and known to each
-/// other.
-async fn start() -> (Store, Machine, Machine) {
+/// Starts an instance of `order` as the entry and one of `press`. Returns when both are ready and
+/// know each other.
+async fn start() -> (Store, Instance, Instance) {
     let store = Store::start(LOOPBACK.into()).await.unwrap();
     publish(&store, 3, "/slots/");
-    let entry = Machine::start("order", &store).await;
-    let press = Machine::start("press", &store).await;
-    entry.until_ready().await;
-    press.until_ready().await;
-    assert_eq!(press.beat("press", "a", 1, "ready").await, 200);
+    let entry = Instance::start("order", &store).await;
+    let press = Instance::start("press", &store).await;
+    entry.wait_for_ready().await;
+    press.wait_for_ready().await;
+    assert_eq!(press.send_heartbeat("press", "a", 1, "ready").await, 200);
     while book(&entry, "first").await.0 != 200 {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
@@ -207,12 +213,12 @@
     (store, entry, press)
 }
 
-async fn book(entry: &Machine, id: &str) -> (u16, String, String) {
-    ask(entry.node.http, "POST", "/slots/7?day=3", id, "").await
+async fn book(entry: &Instance, id: &str) -> (u16, String, String) {
+    send_request(entry.node.http, "POST", "/slots/7?day=3", id, "").await
 }
 
 #[actix_rt::test]
-async fn a_booking_takes_its_way_through_two_nodes() {
+async fn booking_is_forwarded_through_two_nodes() {
     let (_store, entry, press) = start().await;
     let (status, head, body) = book(&entry, "b1").await;
     assert_eq!((status, &*body), (200, "ink"));
@@ -220,104 +226,112 @@
         header(&head, "x-bilberrycove-request-id").as_deref(),
         Some("b1")
     );
-    let seen = press.server.heads.borrow()[0].clone();
+    let received = press.server.heads.borrow()[0].clone();
     assert!(
-        seen.starts_with("POST /slots/7?day=3 HTTP/1.1\r\n"),
-        "{seen}"
+        received.starts_with("POST /slots/7?day=3 HTTP/1.1\r\n"),
+        "{received}"
     );
-    let told = |name: &str| header(&seen, name).unwrap_or_default();
-    assert_eq!(told("host"), "shop.example");
-    assert_eq!(told("x-bilberrycove-request-id"), "b1");
-    assert_eq!(told("x-bilberrycove-expect-instance"), "a");
-    assert_eq!(told("x-bilberrycove-caller-service"), "order");
-    let left: u64 = told("x-bilberrycove-deadline-ms").parse().unwrap();
-    assert!(left <= 2000, "{left}");
-    let unknown = ask(entry.node.http, "GET", "/days/7", "b2", "").await;
-    assert_eq!(unknown.0, 404);
+    let received_header = |name: &str| header(&received, name).unwrap_or_default();
+    assert_eq!(received_header("host"), "shop.example");
+    assert_eq!(received_header("x-bilberrycove-request-id"), "b1");
+    assert_eq!(received_header("x-bilberrycove-expect-instance"), "a");
+    assert_eq!(received_header("x-bilberrycove-caller-service"), "order");
+    let remaining_ms: u64 = received_header("x-bilberrycove-deadline-ms")
+        .parse()
+        .unwrap();
+    assert!(remaining_ms <= 2000, "{remaining_ms}");
+    let unknown_route = send_request(entry.node.http, "GET", "/days/7", "b2", "").await;
+    assert_eq!(unknown_route.0, 404);
 }
 
-/// What the server says, or does not say, decides what the shop is promised. A booking that may
-/// have run must not be promised undone.
+/// The response of the server, or its absence, determines what the caller may be told. A booking
+/// that may have run must not be reported as not run.
 #[actix_rt::test]
-async fn what_may_have_run_is_not_promised_undone() {
+async fn booking_that_may_have_run_is_not_reported_as_not_run() {
     let (_store, entry, press) = start().await;
-    press.server.mood.set(Mood::BreaksOff);
+    press.server.behaviour.set(Behaviour::ClosesConnection);
     assert_eq!(book(&entry, "b1").await.0, 502);
     assert_eq!(press.server.heads.borrow().len(), 1);
-    press.server.mood.set(Mood::SaysItDidNotRun);
+    press.server.behaviour.set(Behaviour::NotExecuted);
     let (status, head, _) = book(&entry, "b2").await;
     assert_eq!(status, 503);
     assert!(header(&head, "retry-after").is_some());
-    press.server.mood.set(Mood::IsAnother);
+    press.server.behaviour.set(Behaviour::OtherIncarnation);
     assert_eq!(book(&entry, "b3").await.0, 503);
 }
 
-/// A server drains. Once that is acknowledged no booking reaches it, though the entry may not have
-/// heard of it yet.
+/// A server starts draining. After the acknowledgement no booking may reach it, although the entry
+/// may not know about the change yet.
 #[actix_rt::test]
-async fn a_draining_server_gets_nothing_after_its_acknowledgement() {
+async fn draining_server_gets_no_requests_after_acknowledgement() {
     let (_store, entry, press) = start().await;
-    assert_eq!(press.beat("press", "a", 2, "draining").await, 200);
+    assert_eq!(press.send_heartbeat("press", "a", 2, "draining").await, 200);
     for n in 0..5 {
         assert_eq!(book(&entry, &format!("b{n}")).await.0, 503);
     }
     assert_eq!(press.server.heads.borrow().len(), 0);
 }
 
-/// The store is away when a version comes, and back later. A node that gave up reading would keep
-/// serving a route that the operator has taken out.
+/// The store is unavailable when a configuration is published, and recovers later. A node that
+/// stopped reading would continue to serve a route that the operator has removed.
 #[actix_rt::test]
-async fn a_new_version_is_in_force_everywhere_once_the_store_is_back() {
+async fn new_configuration_takes_effect_after_store_recovers() {
     let (store, entry, press) = start().await;
     store.faults.refusing.set(true);
     publish(&store, 5, "/days/");
     tokio::time::sleep(Duration::from_millis(300)).await;
     store.faults.refusing.set(false);
-    for machine in [&entry, &press] {
-        while ask(machine.node.http, "GET", "/slots/7", "b", "").await.0 != 404 {
+    for instance in [&entry, &press] {
+        while send_request(instance.node.http, "GET", "/slots/7", "b", "")
+            .await
+            .0
+            != 404
+        {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     }
 }
 
-/// A node is stopped alone. It says at once that it takes no new clients, and a booking that comes
-/// before they have noticed is served all the same.
+/// A node is stopped without its server. Its readiness probe fails at once, and bookings from
+/// clients that have not noticed yet are still served.
 #[actix_rt::test]
-async fn a_stopping_node_serves_those_who_have_not_noticed() {
+async fn stopping_node_fails_readiness_and_serves_late_clients() {
     let (_store, mut entry, _press) = start().await;
     entry.node.signal("-TERM");
     loop {
-        let (status, ..) = ask(entry.ready, "GET", "/bilberrycove/readyz", "x", "").await;
+        let (status, ..) =
+            send_request(entry.ready_addr, "GET", "/bilberrycove/readyz", "x", "").await;
         if status == 503 {
             break;
         }
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
     assert_eq!(book(&entry, "late").await.0, 200);
-    assert!(entry.node.ended().await.success());
+    assert!(entry.node.wait_for_exit().await.success());
 }
 
-/// The node beside a leaving server is started anew, and a heartbeat from before arrives late. The new
-/// process asks the server itself, which says that it does not stay, and sends it nothing.
+/// The node of a draining server is restarted, and an earlier heartbeat arrives late. The new
+/// process checks the health of the server itself, finds that it is leaving, and sends it no
+/// requests.
 #[actix_rt::test]
-async fn a_new_process_asks_the_server_whether_it_stays() {
+async fn restarted_node_checks_health_of_server() {
     let (store, entry, press) = start().await;
     let server = Server {
         addr: press.server.addr,
         heads: press.server.heads.clone(),
-        mood: press.server.mood.clone(),
+        behaviour: press.server.behaviour.clone(),
     };
-    server.mood.set(Mood::IsUnwell);
+    server.behaviour.set(Behaviour::Unhealthy);
     drop(press.node);
-    let press = Machine::start_beside("press", server, &store).await;
-    press.until_ready().await;
-    assert_eq!(press.beat("press", "a", 1, "ready").await, 200);
+    let press = Instance::start_with_server("press", server, &store).await;
+    press.wait_for_ready().await;
+    assert_eq!(press.send_heartbeat("press", "a", 1, "ready").await, 200);
     for n in 0..5 {
         assert_eq!(book(&entry, &format!("b{n}")).await.0, 503);
     }
     assert_eq!(press.server.heads.borrow().len(), 0);
-    press.server.mood.set(Mood::Answers);
-    assert_eq!(press.beat("press", "a", 2, "ready").await, 200);
+    press.server.behaviour.set(Behaviour::Responds);
+    assert_eq!(press.send_heartbeat("press", "a", 2, "ready").await, 200);
     while book(&entry, "after").await.0 != 200 {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
--- a/crates/node/tests/relay/mod.rs
+++ b/crates/node/tests/relay/mod.rs
@@ -1,5 +1,6 @@
-//! A relay in front of a node, which can lose track of the connections through it: they go silent
-//! for good, while new ones work. Datagrams always pass.
+//! A TCP and UDP relay in front of a node. It can silence the connections through it, like a
+//! middlebox that has lost their state: they stay open but transfer nothing any more, while new
+//! connections work. Datagrams are always forwarded.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -19,17 +20,18 @@
 pub struct Relay {
     pub addr: SocketAddr,
     pub target: Rc<Cell<Option<SocketAddr>>>,
-    /// Connections with a number below this one are silent.
-    silent_below: Rc<Cell<usize>>,
-    opened: Rc<Cell<usize>>,
-    /// How many more bytes pass from the node before its connections are cut, once.
+    /// Connections with an index below this one are silenced.
+    silenced_below: Rc<Cell<usize>>,
+    accepted: Rc<Cell<usize>>,
+    /// How many more bytes from the node are forwarded before the connection that carries the last
+    /// of them is closed. Takes effect once.
     cut_after: Rc<Cell<Option<usize>>>,
 }
 
 impl Relay {
     pub async fn start() -> Self {
         let (tcp, udp) = loop {
-            // Little fits into a silent connection, so that writes to it block soon.
+            // A small receive buffer, so that writes to a silenced connection soon block.
             let socket = TcpSocket::new_v4().unwrap();
             socket.set_recv_buffer_size(64 << 10).unwrap();
             socket.bind(([127, 0, 0, 1], 0).into()).unwrap();
@@ -41,18 +43,19 @@
         let relay = Self {
             addr: tcp.local_addr().unwrap(),
             target: Rc::default(),
-            silent_below: Rc::default(),
-            opened: Rc::default(),
+            silenced_below: Rc::default(),
+            accepted: Rc::default(),
             cut_after: Rc::default(),
         };
         actix_rt::spawn(relay.clone().accept(tcp));
-        actix_rt::spawn(pass_datagrams(Rc::new(udp), relay.target.clone()));
+        actix_rt::spawn(forward_datagrams(Rc::new(udp), relay.target.clone()));
         relay
     }
 
-    /// Every connection that is open now says nothing any more, and takes in nothing.
+    /// Silences all connections that are open now: nothing is read from or written to them any
+    /// more.
     pub fn silence(&self) {
-        self.silent_below.set(self.opened.get());
+        self.silenced_below.set(self.accepted.get());
     }
 
     pub fn cut_after(&self, bytes: usize) {
@@ -61,31 +64,31 @@
 
     async fn accept(self, listener: TcpListener) {
         loop {
-            let (near, _) = listener.accept().await.unwrap();
+            let (client, _) = listener.accept().await.unwrap();
             let Some(target) = self.target.get() else {
                 continue;
             };
-            let Ok(far) = TcpStream::connect(target).await else {
+            let Ok(server) = TcpStream::connect(target).await else {
                 continue;
             };
-            let number = self.opened.get();
-            self.opened.set(number + 1);
-            let (near_in, near_out) = near.into_split();
-            let (far_in, far_out) = far.into_split();
+            let index = self.accepted.get();
+            self.accepted.set(index + 1);
+            let (client_reader, client_writer) = client.into_split();
+            let (server_reader, server_writer) = server.into_split();
             let relay = self.clone();
             actix_rt::spawn(async move {
                 tokio::select! {
-                    () = relay.pass(number, near_in, far_out, false) => {}
-                    () = relay.pass(number, far_in, near_out, true) => {}
+                    () = relay.forward(index, client_reader, server_writer, false) => {}
+                    () = relay.forward(index, server_reader, client_writer, true) => {}
                 }
             });
         }
     }
 
-    /// Passes bytes one way until the connection ends.
-    async fn pass(
+    /// Forwards bytes in one direction until the connection ends.
+    async fn forward(
         &self,
-        number: usize,
+        index: usize,
         mut from: OwnedReadHalf,
         mut to: OwnedWriteHalf,
         from_node: bool,
@@ -95,18 +98,18 @@
             let Ok(len @ 1..) = from.read(&mut buf).await else {
                 return;
             };
-            if number < self.silent_below.get() {
+            if index < self.silenced_below.get() {
                 return std::future::pending().await;
             }
-            let left = self.cut_after.get().filter(|_| from_node);
-            let len = left.map_or(len, |left| left.min(len));
+            let remaining = self.cut_after.get().filter(|_| from_node);
+            let len = remaining.map_or(len, |remaining| remaining.min(len));
             if to.write_all(&buf[..len]).await.is_err() {
                 return;
             }
-            if let Some(left) = left {
+            if let Some(remaining) = remaining {
                 self.cut_after
-                    .set(Some(left - len).filter(|left| *left > 0));
-                if left == len {
+                    .set(Some(remaining - len).filter(|remaining| *remaining > 0));
+                if remaining == len {
                     return;
                 }
             }
@@ -114,33 +117,33 @@
     }
 }
 
-async fn pass_datagrams(near: Rc<UdpSocket>, target: Rc<Cell<Option<SocketAddr>>>) {
-    let ways: RefCell<HashMap<SocketAddr, Rc<UdpSocket>>> = RefCell::default();
+async fn forward_datagrams(client: Rc<UdpSocket>, target: Rc<Cell<Option<SocketAddr>>>) {
+    let sockets: RefCell<HashMap<SocketAddr, Rc<UdpSocket>>> = RefCell::default();
     let mut buf = vec![0; 65_536];
     loop {
-        let Ok((len, from)) = near.recv_from(&mut buf).await else {
+        let Ok((len, from)) = client.recv_from(&mut buf).await else {
             continue;
         };
         let Some(target) = target.get() else { continue };
-        let known = ways.borrow().get(&from).cloned();
-        let way = match known {
-            Some(way) => way,
+        let known = sockets.borrow().get(&from).cloned();
+        let node_socket = match known {
+            Some(node_socket) => node_socket,
             None => {
-                let way = Rc::new(UdpSocket::bind("127.0.0.1:0").await.unwrap());
-                ways.borrow_mut().insert(from, way.clone());
-                actix_rt::spawn(pass_back(way.clone(), near.clone(), from));
-                way
+                let node_socket = Rc::new(UdpSocket::bind("127.0.0.1:0").await.unwrap());
+                sockets.borrow_mut().insert(from, node_socket.clone());
+                actix_rt::spawn(forward_replies(node_socket.clone(), client.clone(), from));
+                node_socket
             }
         };
-        let _ = way.send_to(&buf[..len], target).await;
+        let _ = node_socket.send_to(&buf[..len], target).await;
     }
 }
 
-async fn pass_back(way: Rc<UdpSocket>, near: Rc<UdpSocket>, to: SocketAddr) {
+async fn forward_replies(node_socket: Rc<UdpSocket>, client: Rc<UdpSocket>, to: SocketAddr) {
     let mut buf = vec![0; 65_536];
     loop {
-        if let Ok((len, _)) = way.recv_from(&mut buf).await {
-            let _ = near.send_to(&buf[..len], to).await;
+        if let Ok((len, _)) = node_socket.recv_from(&mut buf).await {
+            let _ = client.send_to(&buf[..len], to).await;
         }
     }
 }
--- a/crates/node/tests/settings.rs
+++ b/crates/node/tests/settings.rs
@@ -1,9 +1,9 @@
-//! Settings that are wrong: the process says what and ends at once.
+//! Settings files: defaults, and errors that end the process at once with a message.
 
 use bilberry_node::Settings;
 use std::process::Command;
 
-const GOOD: &str = "\
+const VALID_SETTINGS: &str = "\
 [node]
 service = press
 failure_domain = milano-1
@@ -16,16 +16,16 @@
 addr = 127.0.0.1:9100
 ";
 
-/// Puts `line` into its section, in place of an earlier line with this key.
-fn with(section: &str, line: &str) -> String {
+/// Adds `line` to its section of valid settings, replacing an earlier line with the same key.
+fn with_line(section: &str, line: &str) -> String {
     let key = line.split('=').next().unwrap();
-    let kept = GOOD.lines().scan("", |at, old| {
+    let kept = VALID_SETTINGS.lines().scan("", |current, old| {
         if old.starts_with('[') {
-            *at = old;
+            *current = old;
         }
-        Some((*at, old))
+        Some((*current, old))
     });
-    let kept = kept.filter(|(at, old)| *at != section || !old.starts_with(key));
+    let kept = kept.filter(|(header, old)| *header != section || !old.starts_with(key));
     let mut text: String = kept.map(|(_, old)| format!("{old}\n")).collect();
     if !text.contains(section) {
         text.push_str(&format!("{section}\n"));
@@ -34,21 +34,21 @@
 }
 
 fn check(section: &str, line: &str, expected: &str) {
-    let error = Settings::parse(&with(section, line)).unwrap_err();
+    let error = Settings::parse(&with_line(section, line)).unwrap_err();
     assert!(error.to_string().starts_with(expected), "{error}");
 }
 
 #[test]
-fn good_settings_have_defaults() {
-    let settings = Settings::parse(GOOD).unwrap();
+fn valid_settings_have_defaults() {
+    let settings = Settings::parse(VALID_SETTINGS).unwrap();
     assert_eq!(settings.store_stream, "bilberrycove");
     assert_eq!(settings.max_body, 1 << 20);
-    let large = Settings::parse(&with("[node]", "max_body = 3145728")).unwrap();
+    let large = Settings::parse(&with_line("[node]", "max_body = 3145728")).unwrap();
     assert!(large.max_bodies >= large.max_body);
 }
 
 #[test]
-fn each_value_is_checked() {
+fn invalid_values_are_rejected() {
     let node = "[node]";
     check(node, "service = a b", "[node] service = a b: takes 1 to 64");
     check(node, "service = -", "[node] service = -: takes");
@@ -102,10 +102,10 @@
     );
 }
 
-/// A node is told to listen at 0.0.0.0 for its peers, and announces that. The others would connect
-/// to themselves, and the node would be listed but never get a call.
+/// A node is configured to listen on 0.0.0.0 for its peers and advertises that address. The others
+/// would connect to themselves, and the node would be listed but never receive a call.
 #[test]
-fn an_address_that_nobody_can_reach_is_refused() {
+fn unreachable_address_is_rejected() {
     for addr in ["0.0.0.0:1", "[::]:1", "224.0.0.1:1", "255.255.255.255:1"] {
         check(
             "[node]",
@@ -115,12 +115,12 @@
     }
 }
 
-/// Listening everywhere is fine as long as the others are told one address.
+/// A node may listen on all addresses if it advertises a specific one.
 #[test]
-fn a_wildcard_needs_an_address_to_tell() {
-    let told = with("[node]", "advertised_addr = 10.0.0.1:7000");
-    let told = told.replace("peer_addr = 127.0.0.1:8081", "peer_addr = 0.0.0.0:8081");
-    let settings = Settings::parse(&told).unwrap();
+fn wildcard_address_requires_advertised_address() {
+    let text = with_line("[node]", "advertised_addr = 10.0.0.1:7000");
+    let text = text.replace("peer_addr = 127.0.0.1:8081", "peer_addr = 0.0.0.0:8081");
+    let settings = Settings::parse(&text).unwrap();
     assert!(settings.peer_addr.ip().is_unspecified());
     for addr in ["0.0.0.0:1", "10.0.0.1:0"] {
         let line = format!("advertised_addr = {addr}");
@@ -128,48 +128,48 @@
     }
 }
 
-/// A key is misspelt, or set twice. Passed over in silence, the node would run by a default, or by
-/// one of the two, and the operator would not know which.
+/// A key is misspelt or set twice. If that were ignored, the node would use a default or one of the
+/// two values, and the operator would not know which.
 #[test]
-fn unknown_and_repeated_keys_are_refused() {
+fn unknown_and_repeated_keys_are_rejected() {
     check("[node]", "contact = 1.2.3.4:5", "[node] contact: unknown");
     check("[nodes]", "service = x", "[nodes] service: unknown");
-    let twice = GOOD.replace("region =", "region = a\nregion =");
+    let twice = VALID_SETTINGS.replace("region =", "region = a\nregion =");
     let error = Settings::parse(&twice).unwrap_err().to_string();
     assert_eq!(error, "[node] region: stands twice");
 }
 
 #[test]
-fn the_process_ends_at_once_with_code_2() {
+fn process_exits_with_code_2() {
     let file = std::env::temp_dir().join(format!("bad-{}.ini", uuid::Uuid::new_v4()));
-    std::fs::write(&file, with("[node]", "peer_addr = 0.0.0.0:1")).unwrap();
+    std::fs::write(&file, with_line("[node]", "peer_addr = 0.0.0.0:1")).unwrap();
     let node = Command::new(env!("CARGO_BIN_EXE_bilberry-node"))
         .arg(&file)
         .output()
         .unwrap();
     std::fs::remove_file(&file).unwrap();
     assert_eq!(node.status.code(), Some(2));
-    let said = String::from_utf8(node.stderr).unwrap();
+    let stderr = String::from_utf8(node.stderr).unwrap();
     assert!(
-        said.contains("[node] peer_addr = 0.0.0.0:1: takes IP:PORT"),
-        "{said}"
+        stderr.contains("[node] peer_addr = 0.0.0.0:1: takes IP:PORT"),
+        "{stderr}"
     );
 }
 
-/// The text between the first fence that opens with `fence` and its end.
-fn block(page: &'static str, fence: &str) -> &'static str {
+/// Returns the contents of the first code block that starts with `fence`.
+fn code_block(page: &'static str, fence: &str) -> &'static str {
     let start = page.find(fence).unwrap() + fence.len();
     let end = page[start..].find("```").unwrap();
     &page[start..start + end]
 }
 
-/// An operator copies the examples of the configuration page.
+/// Operators copy the examples of the configuration page, so they must be valid.
 #[test]
-fn the_examples_of_the_page_are_right() {
+fn examples_of_configuration_page_are_valid() {
     const PAGE: &str = include_str!("../../../docs/CONFIGURATION.md");
-    let settings = Settings::parse(block(PAGE, "```ini\n")).unwrap();
+    let settings = Settings::parse(code_block(PAGE, "```ini\n")).unwrap();
     assert_eq!(settings.contacts.len(), 2);
     let rules = PAGE.split("## Rules").nth(1).unwrap();
-    let rules = rules::Rules::parse(block(rules, "```\n")).unwrap();
+    let rules = rules::Rules::parse(code_block(rules, "```\n")).unwrap();
     assert_eq!(rules.operations.len(), 5);
 }
--- a/crates/node/tests/stop.rs
+++ b/crates/node/tests/stop.rs
@@ -1,12 +1,12 @@
-//! Planned stops and kills of node processes.
+//! Graceful stops and kills of node processes.
 
 mod common;
 
 use common::call;
 use common::publish;
-use common::until_homes_are_ready;
-use common::until_status;
-use common::Server;
+use common::wait_for_homes;
+use common::wait_for_status;
+use common::Instance;
 use common::LOOPBACK;
 use indexmap::IndexMap;
 use standin::Store;
@@ -18,30 +18,30 @@
 limit catalogue concurrency=400..400 queue=10s # asked by Giulia
 ";
 
-/// Two instances of a service and one of another, which is the entry.
-async fn start_all(store: &Store) -> [Server; 3] {
-    let servers = [
-        Server::start("catalogue", "milano-1", store, &[]).await,
-        Server::start("order", "milano-1", store, &[]).await,
-        Server::start("order", "milano-2", store, &[]).await,
+/// Starts an instance of `catalogue`, which is the entry, and two instances of `order`.
+async fn start_instances(store: &Store) -> [Instance; 3] {
+    let instances = [
+        Instance::start("catalogue", "milano-1", store, &[]).await,
+        Instance::start("order", "milano-1", store, &[]).await,
+        Instance::start("order", "milano-2", store, &[]).await,
     ];
     publish(store, RULES).await;
-    for server in &servers {
-        until_status(server.node.http, "rules_version", "1").await;
-        until_status(server.node.http, "instances", "3").await;
+    for instance in &instances {
+        wait_for_status(instance.node.http, "rules_version", "1").await;
+        wait_for_status(instance.node.http, "instances", "3").await;
     }
-    until_homes_are_ready(&servers.each_ref().map(|server| server.node.http)).await;
-    servers
+    wait_for_homes(&instances.each_ref().map(|instance| instance.node.http)).await;
+    instances
 }
 
-/// An operator replaces an instance while its backend server works on slow orders. A shop would see
-/// an order cut off, or done again by the other instance.
+/// An operator replaces an instance while its backend server works on slow orders. Without a
+/// graceful stop, an order would be cut off or run again by the other instance.
 #[actix_rt::test]
-async fn a_planned_stop_cuts_off_nothing() {
+async fn graceful_stop_completes_running_orders() {
     let store = Store::start(LOOPBACK.into()).await.unwrap();
-    let [entry, mut leaving, staying] = start_all(&store).await;
-    for server in [&leaving, &staying] {
-        server.backend.work.borrow_mut().takes = Duration::from_millis(400);
+    let [entry, mut leaving, staying] = start_instances(&store).await;
+    for instance in [&leaving, &staying] {
+        instance.backend.work.borrow_mut().takes = Duration::from_millis(400);
     }
     let mut calls = Vec::new();
     for n in 0..16 {
@@ -62,15 +62,15 @@
         );
     }
     assert_eq!(leaving.runs() + staying.runs(), 16);
-    assert!(leaving.node.ended().await.success());
+    assert!(leaving.node.wait_for_exit().await.success());
 }
 
-/// An operator's script sends a hangup, as after a change of the settings file. If that ended the
-/// process, every request in it would be cut off.
+/// A script of the operator sends SIGHUP, as is usual after a change of the settings file. If that
+/// ended the process, every request in it would be cut off.
 #[actix_rt::test]
-async fn a_hangup_cuts_off_nothing() {
+async fn sighup_does_not_stop_node() {
     let store = Store::start(LOOPBACK.into()).await.unwrap();
-    let [mut entry, ..] = start_all(&store).await;
+    let [mut entry, ..] = start_instances(&store).await;
     entry.backend.work.borrow_mut().takes = Duration::from_millis(300);
     let http = entry.node.http;
     let lookup =
@@ -84,21 +84,21 @@
     assert!(entry.node.process.try_wait().unwrap().is_none());
 }
 
-/// A home dies without a word while its backend server works on orders, and its place is taken by
-/// nobody. A shop must not be told that its order was not taken, and no order may run twice; new
-/// orders have to be served again by the instance that is left.
+/// The home of orders is killed while its backend server works on them, and is not replaced. An
+/// order that may have run must not be reported as not run, and no order may run twice. The
+/// remaining instances have to serve new orders.
 #[actix_rt::test]
-async fn after_a_kill_nothing_runs_twice_and_orders_go_on() {
+async fn orders_run_once_and_continue_after_kill() {
     let store = Store::start(LOOPBACK.into()).await.unwrap();
-    let [entry, mut killed, staying] = start_all(&store).await;
-    let third = Server::start("order", "verona-1", &store, &[]).await;
-    let nodes = [&entry, &killed, &staying, &third].map(|server| server.node.http);
+    let [entry, mut killed, staying] = start_instances(&store).await;
+    let third = Instance::start("order", "verona-1", &store, &[]).await;
+    let nodes = [&entry, &killed, &staying, &third].map(|instance| instance.node.http);
     for node in nodes {
-        until_status(node, "instances", "4").await;
+        wait_for_status(node, "instances", "4").await;
     }
-    until_homes_are_ready(&nodes).await;
-    for server in [&killed, &staying, &third] {
-        server.backend.work.borrow_mut().takes = Duration::from_millis(400);
+    wait_for_homes(&nodes).await;
+    for instance in [&killed, &staying, &third] {
+        instance.backend.work.borrow_mut().takes = Duration::from_millis(400);
     }
     let orders = |from: usize| {
         let http = entry.node.http;
@@ -113,22 +113,22 @@
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
     killed.node.process.kill().unwrap();
-    let mut whole = 0;
+    let mut completed = 0;
     for order in first {
         let (_, outcome, _) = order.await.unwrap();
         assert!(matches!(&*outcome, "whole" | "unknown"), "{outcome}");
-        whole += u32::from(outcome == "whole");
+        completed += u32::from(outcome == "whole");
     }
-    assert!(whole < 18, "the killed node answered");
+    assert!(completed < 18, "the killed node answered");
 
-    // Its slots find new homes, once it is evicted and its leases have run out.
-    let left = [entry.node.http, staying.node.http, third.node.http];
-    for node in left {
-        until_status(node, "instances", "3").await;
-    }
-    until_homes_are_ready(&left).await;
-    // What is sent again may be answered as unknown, but not done again; a key that the node makes
-    // is certainly new.
+    // Its slots get new homes once it is evicted and its leases have expired.
+    let remaining = [entry.node.http, staying.node.http, third.node.http];
+    for node in remaining {
+        wait_for_status(node, "instances", "3").await;
+    }
+    wait_for_homes(&remaining).await;
+    // Orders sent again may have an unknown outcome, but must not run again. The orders after them
+    // have no key, so that the node generates a new one for each.
     for order in orders(0) {
         order.await.unwrap();
     }
@@ -137,8 +137,8 @@
         assert_eq!(code, 200);
     }
     let mut runs: IndexMap<String, u32> = IndexMap::new();
-    for server in [&killed, &staying, &third] {
-        for (key, count) in &*server.backend.runs.borrow() {
+    for instance in [&killed, &staying, &third] {
+        for (key, count) in &*instance.backend.runs.borrow() {
             *runs.entry(key.clone()).or_insert(0) += count;
         }
     }
@@ -146,16 +146,16 @@
     assert!(runs.values().all(|runs| *runs == 1), "{runs:?}");
 }
 
-/// An instance is stopped while it has lookups of callers of its own and of another node's. Its last
-/// answers are ready in the moment in which nothing keeps the process any more. If it ended right
-/// then, they would not go out, and customers at the counter would see a broken page.
+/// An instance is stopped while it runs lookups of its own callers and of callers of another node.
+/// Its last responses are ready at the moment at which nothing keeps the process running any more.
+/// If it exited immediately, these responses would be lost.
 #[actix_rt::test]
-async fn the_last_answers_of_a_planned_stop_go_out() {
+async fn last_responses_are_sent_before_exit() {
     let store = Store::start(LOOPBACK.into()).await.unwrap();
-    let [mut leaving, other, _] = start_all(&store).await;
+    let [mut leaving, other, _] = start_instances(&store).await;
     leaving.backend.work.borrow_mut().takes = Duration::from_millis(700);
-    let lookups = [&leaving, &other].map(|server| {
-        let http = server.node.http;
+    let lookups = [&leaving, &other].map(|instance| {
+        let http = instance.node.http;
         let sent = (0..150).map(|n| {
             let path = format!("/catalogue/patterns/{http}/{n}");
             actix_rt::spawn(async move { call(http, "GET", &path, "", "").await })
@@ -170,5 +170,5 @@
         let (code, outcome, _) = lookup.await.unwrap();
         assert_eq!((code, &*outcome), (200, "whole"));
     }
-    assert!(leaving.node.ended().await.success());
+    assert!(leaving.node.wait_for_exit().await.success());
 }
--- a/crates/node/tests/uploads.rs
+++ b/crates/node/tests/uploads.rs
@@ -1,10 +1,10 @@
-//! Uploads: large bodies that must reach a server whole and once.
+//! Uploads: large request bodies that must reach a server completely and only once.
 
 mod common;
 
 use common::publish;
-use common::until_homes_are_ready;
-use common::until_status;
+use common::wait_for_homes;
+use common::wait_for_status;
 use common::NodeProcess;
 use common::LOOPBACK;
 use standin::Store;
@@ -20,26 +20,26 @@
 const RULES: &str =
     "operation press POST /artwork class=print-job deadline=60s # asked by Eilidh\n";
 
-/// Larger than any buffer on the way.
+/// Larger than any buffer on the path.
 const SIZE: usize = 400_000;
 
-/// What the server does with an upload.
+/// How the server handles an upload.
 #[derive(Clone, Copy, PartialEq)]
-enum Habit {
-    /// Reads it whole, then answers.
-    Whole,
-    /// Answers after the head, and reads on.
-    Early,
-    /// Reads a part, and breaks off.
-    BreaksOff,
+enum Behaviour {
+    /// Reads it completely, then responds.
+    ReadsFirst,
+    /// Responds after the head, then reads the body.
+    RespondsFirst,
+    /// Reads half of the body, then closes the connection.
+    ClosesConnection,
 }
 
-/// A server, the bodies that it has read whole and how many uploads it has begun.
+/// A server that records the bodies it has read completely and counts the uploads it has started.
 #[derive(Clone)]
 struct Server {
     addr: SocketAddr,
-    habit: Rc<Cell<Habit>>,
-    begun: Rc<Cell<u32>>,
+    behaviour: Rc<Cell<Behaviour>>,
+    started: Rc<Cell<u32>>,
     bodies: Rc<RefCell<Vec<Vec<u8>>>>,
 }
 
@@ -48,8 +48,8 @@
         let listener = TcpListener::bind(SocketAddr::from(LOOPBACK)).await.unwrap();
         let server = Self {
             addr: listener.local_addr().unwrap(),
-            habit: Rc::new(Cell::new(Habit::Whole)),
-            begun: Rc::default(),
+            behaviour: Rc::new(Cell::new(Behaviour::ReadsFirst)),
+            started: Rc::default(),
             bodies: Rc::default(),
         };
         let serving = server.clone();
@@ -66,18 +66,18 @@
     async fn serve(&self, mut stream: TcpStream) -> Option<()> {
         loop {
             let head = read_head(&mut stream).await?;
-            self.begun.set(self.begun.get() + 1);
+            self.started.set(self.started.get() + 1);
             let length = header(&head, "content-length").unwrap_or(0);
-            match self.habit.get() {
-                Habit::Whole => {
+            match self.behaviour.get() {
+                Behaviour::ReadsFirst => {
                     self.read_body(&mut stream, length).await?;
-                    answer(&mut stream).await?;
+                    respond(&mut stream).await?;
                 }
-                Habit::Early => {
-                    answer(&mut stream).await?;
+                Behaviour::RespondsFirst => {
+                    respond(&mut stream).await?;
                     self.read_body(&mut stream, length).await?;
                 }
-                Habit::BreaksOff => {
+                Behaviour::ClosesConnection => {
                     stream.read_exact(&mut vec![0; length / 2]).await.ok()?;
                     return None;
                 }
@@ -93,9 +93,9 @@
     }
 }
 
-async fn answer(stream: &mut TcpStream) -> Option<()> {
-    let answer = b"HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\nkept";
-    stream.write_all(answer).await.ok()
+async fn respond(stream: &mut TcpStream) -> Option<()> {
+    let response = b"HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\nkept";
+    stream.write_all(response).await.ok()
 }
 
 async fn read_head(stream: &mut TcpStream) -> Option<String> {
@@ -117,8 +117,8 @@
     let server = Server::start().await;
     let node = NodeProcess::start_with("press", "milano-1", server.addr, store.addr, "");
     publish(&store, RULES).await;
-    until_status(node.http, "rules_version", "1").await;
-    until_homes_are_ready(&[node.http]).await;
+    wait_for_status(node.http, "rules_version", "1").await;
+    wait_for_homes(&[node.http]).await;
     (node, server)
 }
 
@@ -126,7 +126,7 @@
     (0..SIZE).map(|n| (n % 251) as u8).collect()
 }
 
-/// Sends an upload, in chunks or with its length; gives the status.
+/// Sends an upload, chunked or with `content-length`; returns the status.
 async fn upload(node: SocketAddr, chunked: bool) -> u16 {
     let mut stream = TcpStream::connect(node).await.unwrap();
     let framing = if chunked {
@@ -153,10 +153,10 @@
     head.split(' ').nth(1).unwrap().parse().unwrap()
 }
 
-/// A promoter sends the artwork of a show, in chunks or with its length. The stall is blank if a byte
-/// of it is missing.
+/// Artwork is uploaded with a content length and with chunked coding. It is useless if a single
+/// byte is missing.
 #[actix_rt::test]
-async fn a_large_body_reaches_the_server_whole() {
+async fn large_body_reaches_server_completely() {
     let (node, server) = start().await;
     for chunked in [false, true] {
         assert_eq!(upload(node.http, chunked).await, 200);
@@ -164,14 +164,14 @@
     assert_eq!(*server.bodies.borrow(), [body(), body()]);
 }
 
-/// The server says that it has the artwork before it has read it all, and reads on. The rest is still
-/// the upload's, and the next upload on the connection is not taken for it.
+/// The server responds before it has read the complete body and then continues reading. The rest
+/// still belongs to this upload, and the next upload on the connection must not be taken for it.
 #[actix_rt::test]
-async fn a_server_that_answers_early_gets_the_rest() {
+async fn server_that_responds_early_gets_rest_of_body() {
     let (node, server) = start().await;
-    server.habit.set(Habit::Early);
+    server.behaviour.set(Behaviour::RespondsFirst);
     assert_eq!(upload(node.http, false).await, 200);
-    server.habit.set(Habit::Whole);
+    server.behaviour.set(Behaviour::ReadsFirst);
     assert_eq!(upload(node.http, true).await, 200);
     while server.bodies.borrow().len() < 2 {
         tokio::time::sleep(std::time::Duration::from_millis(5)).await;
@@ -179,13 +179,14 @@
     assert_eq!(*server.bodies.borrow(), [body(), body()]);
 }
 
-/// The server breaks off in the middle of an upload. It may have kept what it had, so nobody sends the
-/// artwork a second time, and the promoter is not told that it never arrived.
+/// The server closes the connection in the middle of an upload. It may have stored what it
+/// received, so the upload must not be sent again, and the client must not be told that it never
+/// arrived.
 #[actix_rt::test]
-async fn an_upload_that_was_begun_is_not_sent_again() {
+async fn interrupted_upload_is_not_sent_again() {
     let (node, server) = start().await;
-    server.habit.set(Habit::BreaksOff);
+    server.behaviour.set(Behaviour::ClosesConnection);
     let status = upload(node.http, false).await;
     assert!(matches!(status, 502 | 504), "{status}");
-    assert_eq!(server.begun.get(), 1);
+    assert_eq!(server.started.get(), 1);
 }
