--- a/crates/node/tests/links.rs
+++ b/crates/node/tests/links.rs
@@ -95,8 +95,8 @@
 
 /// Checks that every call gets its own complete response, and the total number of runs.
 async fn check_responses(calls: PendingCalls, size: usize, order_instance: &Instance, runs: u32) {
-    for (n, one) in calls.into_iter().enumerate() {
-        let (code, outcome, response) = one.await.unwrap();
+    for (n, pending_call) in calls.into_iter().enumerate() {
+        let (code, outcome, response) = pending_call.await.unwrap();
         assert_eq!((code, &*outcome), (200, "whole"), "call {n}");
         let response = response.rsplit_once('/').map(|(body, _)| body);
         assert!(
@@ -154,8 +154,8 @@
     check_responses(send_orders(&entry, 1, 40), 40, &order_instance, 1).await;
     relay.silence();
     let mut completed = 1;
-    for one in send_searches(&entry, 40) {
-        let (code, outcome, _) = one.await.unwrap();
+    for pending_call in send_searches(&entry, 40) {
+        let (code, outcome, _) = pending_call.await.unwrap();
         assert!(
             matches!((code, &*outcome), (200, "whole") | (503, "not-run")),
             "{code} {outcome}"
@@ -189,8 +189,8 @@
     });
     let opposite_calls: PendingCalls = opposite_calls.collect();
     check_responses(send_orders(&entry, 8, 40), 40, &order_instance, 8).await;
-    for one in opposite_calls {
-        assert_eq!(one.await.unwrap().0, 200);
+    for pending_call in opposite_calls {
+        assert_eq!(pending_call.await.unwrap().0, 200);
     }
     for node in [&entry.node, &order_instance.node] {
         assert_eq!(status(node.http, "counter.reattach").await, "");
--- a/crates/node/tests/pipelining.rs
+++ b/crates/node/tests/pipelining.rs
@@ -48,8 +48,8 @@
     }
 }
 
-fn set_duration(backend: &Backend, takes: Duration) {
-    backend.work.borrow_mut().takes = takes;
+fn set_run_time(backend: &Backend, run_time: Duration) {
+    backend.work.borrow_mut().takes = run_time;
 }
 
 /// Reads one response; returns its head and body, or an empty head if the connection is closed.
@@ -93,7 +93,7 @@
         .await
         .unwrap();
     wait_for_runs(&backend, 1).await;
-    set_duration(&backend, Duration::ZERO);
+    set_run_time(&backend, Duration::ZERO);
     stream
         .write_all(get_requests(2..=9).as_bytes())
         .await
@@ -185,7 +185,7 @@
     wait_for_runs(&backend, MAX_PIPELINED).await;
     // All requests that were read were forwarded at once, long before the first response.
     assert_eq!(backend.runs.borrow().len(), MAX_PIPELINED);
-    set_duration(&backend, Duration::ZERO);
+    set_run_time(&backend, Duration::ZERO);
     assert_eq!(read_bodies(&mut stream, 20).await, expected_bodies(1..=20));
 }
 
--- a/crates/node/tests/stop.rs
+++ b/crates/node/tests/stop.rs
@@ -55,9 +55,9 @@
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
     leaving.node.signal("-TERM");
-    for one in calls {
+    for pending_call in calls {
         assert_eq!(
-            one.await.unwrap(),
+            pending_call.await.unwrap(),
             (200, "whole".into(), "ink/orders".into())
         );
     }
@@ -119,7 +119,7 @@
         assert!(matches!(&*outcome, "whole" | "unknown"), "{outcome}");
         completed += u32::from(outcome == "whole");
     }
-    assert!(completed < 18, "the killed node answered");
+    assert!(completed < 18, "all runs of the killed node completed");
 
     // Its slots get new homes once it is evicted and its leases have expired.
     let remaining = [entry.node.http, staying.node.http, third.node.http];
--- a/crates/node/tests/uploads.rs
+++ b/crates/node/tests/uploads.rs
@@ -108,7 +108,7 @@
 
 fn header(head: &str, name: &str) -> Option<usize> {
     let lines = head.lines().filter_map(|line| line.split_once(": "));
-    let mut values = lines.filter(|(told, _)| told.eq_ignore_ascii_case(name));
+    let mut values = lines.filter(|(key, _)| key.eq_ignore_ascii_case(name));
     values.next()?.1.parse().ok()
 }
 
