--- a/crates/httpconn/src/request.rs
+++ b/crates/httpconn/src/request.rs
@@ -13,7 +13,8 @@
 /// # Examples
 ///
 /// ```
-/// let request = bilberry_httpconn::encode_request("GET", "/days", &[], &[("host", "a.example")], b"");
+/// let host = ("host", "a.example");
+/// let request = bilberry_httpconn::encode_request("GET", "/days", &[], &[host], b"");
 /// assert_eq!(&request[..], b"GET /days HTTP/1.1\r\nhost: a.example\r\n\r\n");
 /// ```
 pub fn encode_request(
