--- a/crates/node/src/dialect.rs
+++ b/crates/node/src/dialect.rs
@@ -15,7 +15,7 @@
 use bytes::Bytes;
 use bytes::BytesMut;
 use engine::RunEnd;
-use httpconn::Whole;
+use httpconn::CompleteResponse;
 use proto::Outcome;
 use proto::Reason;
 use proto::Request;
@@ -85,11 +85,11 @@
     pub(crate) encode_health_check: fn(&str, &str) -> BytesMut,
     /// Whether the response to a health check says that this incarnation is healthy and keeps
     /// accepting work.
-    pub(crate) is_healthy: fn(&Whole, &str) -> bool,
+    pub(crate) is_healthy: fn(&CompleteResponse, &str) -> bool,
     /// Whether a response of the backend server belongs to the request.
     pub(crate) matches_request: fn(&HeaderMap, &Request) -> bool,
     /// Derives the result of a run from its complete response.
-    pub(crate) classify_response: Box<dyn Fn(Whole) -> RunEnd>,
+    pub(crate) classify_response: Box<dyn Fn(CompleteResponse) -> RunEnd>,
     /// What the caller gets instead of a response that is too large. The work is done; if this
     /// counted as a broken connection, the request would run again and be suspected of crashing
     /// servers.
--- a/crates/node/src/dialect/platform.rs
+++ b/crates/node/src/dialect/platform.rs
@@ -12,8 +12,8 @@
 use actix_http::StatusCode;
 use bytes::Bytes;
 use engine::RunEnd;
-use httpconn::Whole;
-use platform::Verdict;
+use httpconn::CompleteResponse;
+use platform::ResponseKind;
 use proto::Outcome;
 use proto::Reason;
 use proto::Refusal;
@@ -31,19 +31,19 @@
         reject_head: Box::new(reject_head),
         respond: Box::new(respond),
         encode_run: Box::new(|run: &OutgoingRun<'_>| {
-            platform::request_to_server(run.request, run.remaining, run.expected_server)
+            platform::encode_server_request(run.request, run.remaining, run.expected_server)
         }),
-        encode_health_check: platform::health_check,
+        encode_health_check: platform::encode_health_check,
         is_healthy: platform::is_healthy,
-        matches_request: |headers, request| platform::belongs_to(headers, &request.id),
+        matches_request: |headers, request| platform::matches_request(headers, &request.id),
         classify_response: Box::new(classify_response),
         oversized_response,
     }
 }
 
 fn read_head(req: &HttpRequest, service: &str) -> Result<RequestHead, Reason> {
-    let head = platform::head(req.head(), service)?;
-    let headers = platform::to_travel(head.headers);
+    let head = platform::parse_head(req.head(), service)?;
+    let headers = platform::compact_headers(head.headers);
     let request = Request {
         id: head.id,
         host: head.host,
@@ -54,8 +54,8 @@
         context: None,
         parent: head.parent,
         idempotency_key: None,
-        credential: head.key,
-        caller_timeout: head.patience,
+        credential: head.key_digest,
+        caller_timeout: head.caller_timeout,
         request,
     })
 }
@@ -79,13 +79,13 @@
     }
 }
 
-fn classify_response(response: Whole) -> RunEnd {
-    match platform::judge(response) {
-        Verdict::Ran(response) => RunEnd::Response(Response {
-            headers: platform::to_travel(response.headers),
+fn classify_response(response: CompleteResponse) -> RunEnd {
+    match platform::classify_response(response) {
+        ResponseKind::Executed(response) => RunEnd::Response(Response {
+            headers: platform::compact_headers(response.headers),
             ..response
         }),
-        Verdict::Refused { retry_after } => RunEnd::Refused { retry_after },
-        Verdict::Misdirected => RunEnd::Misdirected,
+        ResponseKind::Refused { retry_after } => RunEnd::Refused { retry_after },
+        ResponseKind::Misdirected => RunEnd::Misdirected,
     }
 }
