--- a/crates/engine/src/admission.rs
+++ b/crates/engine/src/admission.rs
@@ -1,4 +1,6 @@
-//! What this node has heard of others' admission levels, and whether a call passes them.
+//! Admission levels that other nodes have reported, and the check of calls against them.
+//!
+//! A call whose admission value is below the level of a service that it needs would be shed there.
 
 use crate::operation_key::OperationKey;
 use crate::outgoing::Outgoing;
@@ -19,24 +21,27 @@
 use stdx::Bounded;
 use stdx::Time;
 
-/// Instances and operations whose levels are kept.
+/// How many instances, and how many operations, levels are kept for.
 const MAX_TRACKED_LEVELS: usize = 2048;
 
-/// Levels heard of.
+/// The admission levels that other nodes have reported.
 #[derive(Debug)]
 pub(crate) struct AdmissionLevels {
-    /// By instance, from its own answers.
+    /// Each instance's own level, from its answers.
     instances: Bounded<Incarnation, Heard>,
-    /// By operation, of the services below it.
+    /// What is known of the services that each operation calls, directly or indirectly.
     operations: Bounded<OperationKey, OperationStats>,
     ranks: Ranks,
 }
 
-/// What lies below an operation.
+/// What earlier runs of an operation have shown.
 #[derive(Debug)]
 struct OperationStats {
+    /// The highest level among the services that its runs call.
     level_below: Heard,
+    /// How many calls its last run made, directly and indirectly.
     calls_below: u16,
+    /// How long its runs take on this node's backend server.
     run_times: RunTimes,
 }
 
@@ -51,18 +56,18 @@
 }
 
 impl AdmissionLevels {
-    /// Other rules are in force.
+    /// Replaces the priority ranks after other rules have come into force.
     pub(crate) fn set_ranks(&mut self, ranks: Ranks) {
         self.ranks = ranks;
     }
 
-    /// The random value of an action that begins with this operation: higher, the more urgent it
-    /// is.
-    pub(crate) fn dice(&self, operation: &Operation, dice: u16) -> u16 {
-        self.ranks.dice(operation.class, operation.priority, dice)
+    /// Maps a random value into the range that the priority of an action's first operation has. The
+    /// result is higher, the more urgent the priority.
+    pub(crate) fn ranked_random(&self, operation: &Operation, random: u16) -> u16 {
+        self.ranks.dice(operation.class, operation.priority, random)
     }
 
-    /// An instance reports its own level.
+    /// Records the level that an instance reports of itself.
     pub(crate) fn record_instance_level(&mut self, now: Time, from: Incarnation, level: u16) {
         if let Some(heard) = self.instances.get_mut(&from) {
             return heard.hear(now, level);
@@ -72,29 +77,29 @@
         self.instances.insert(from, heard);
     }
 
-    /// A run of an operation that is still under way met a level below it.
+    /// Records the level that a run has met in its calls while it is still in progress.
     pub(crate) fn record_level_below(&mut self, now: Time, operation: &OperationKey, level: u16) {
         self.stats_mut(now, operation).level_below.hear(now, level);
     }
 
-    /// A run of an operation met something below it.
+    /// Records the level that a finished run has met and the number of calls that it made.
     pub(crate) fn record_below(&mut self, now: Time, operation: &OperationKey, below: Below) {
-        let path = self.stats_mut(now, operation);
-        path.level_below.hear(now, below.level);
-        path.calls_below = below.calls;
+        let stats = self.stats_mut(now, operation);
+        stats.level_below.hear(now, below.level);
+        stats.calls_below = below.calls;
     }
 
     fn stats_mut(&mut self, now: Time, operation: &OperationKey) -> &mut OperationStats {
         if self.operations.get(operation).is_none() {
-            let path = OperationStats {
+            let stats = OperationStats {
                 level_below: Heard::new(now),
                 calls_below: 0,
                 run_times: RunTimes::default(),
             };
-            self.operations.insert(operation.clone(), path);
+            self.operations.insert(operation.clone(), stats);
         }
-        let path = self.operations.get_mut(operation);
-        path.expect("it was entered just now")
+        let stats = self.operations.get_mut(operation);
+        stats.expect("the entry was inserted above if it was missing")
     }
 
     fn instance_level(&self, now: Time, incarnation: Incarnation) -> u16 {
@@ -102,61 +107,62 @@
         heard.map_or(0, |heard| heard.get(now))
     }
 
-    /// The level of the services below an operation.
+    /// The highest level among the services that an operation calls, directly or indirectly.
     pub(crate) fn level_below(&self, now: Time, operation: &OperationKey) -> u16 {
-        let path = self.operations.get(operation);
-        path.map_or(0, |path| path.level_below.get(now))
+        let stats = self.operations.get(operation);
+        stats.map_or(0, |stats| stats.level_below.get(now))
     }
 
-    /// A run of an operation on the own backend server took this long.
+    /// Records how long a run of an operation took on this node's backend server.
     pub(crate) fn record_run_time(&mut self, now: Time, operation: &OperationKey, took: Duration) {
         self.stats_mut(now, operation).run_times.learn(took);
     }
 
-    /// After how long such a run is late, if that is known.
+    /// The time after which a run of an operation counts as late, if enough runs were recorded.
     pub(crate) fn late_after(&self, operation: &OperationKey) -> Option<Duration> {
         self.operations.get(operation)?.run_times.late_after()
     }
 
-    /// The calls that the last run of an operation made.
+    /// The number of calls that the last run of an operation made, directly and indirectly.
     pub(crate) fn calls_below(&self, operation: &OperationKey) -> u16 {
         self.operations
             .get(operation)
-            .map_or(0, |path| path.calls_below)
+            .map_or(0, |stats| stats.calls_below)
     }
 }
 
 impl Engine {
-    /// Whom a call goes to, or why it goes nowhere.
+    /// Chooses the instance that a call is sent to, or refuses the call.
     ///
-    /// Work that a deeper service will shed is refused here: without this the services above it
-    /// would work for nothing, and their load would not fall though little gets done. A call whose
-    /// key may have been sent before goes to the key's home all the same, because only the home
-    /// knows whether it ran; the home sheds it.
+    /// Work that a deeper service would shed is refused here. Otherwise the services above it would
+    /// spend their capacity on requests that fail in the end, and their load would not fall. A call
+    /// whose key may have been sent before is not shed here: it still goes to the key's home node,
+    /// the only one that knows whether it ran, and the home node sheds it.
     pub(crate) fn admit(&mut self, now: Time, call: &mut Outgoing) -> Result<Instance, Refusal> {
-        // The home of a key that may have been sent before knows whether it ran.
-        let unknown = call.key.is_none() || call.fresh;
-        if let Some(refusal) = self.quarantined(now, &call.request).filter(|_| unknown) {
+        // Only the home node of a key that may have been sent before knows whether it ran.
+        let never_sent = call.key.is_none() || call.fresh;
+        if let Some(refusal) = self.quarantined(now, &call.request).filter(|_| never_sent) {
             return Err(refusal);
         }
         let value = admission_value(call.class, call.dice);
-        // What its first hop admitted is not shed further down: the work done so far would be lost.
-        let begins_here = call.depth == 0;
-        let sheds = self.cfg.policy.levels && unknown && begins_here;
-        let path = self.admission.level_below(now, &call.operation);
-        if sheds && value < path {
-            return Err(shed_refusal(path, call.class, call.dice));
+        // Calls of an admitted action are not shed on later hops: the work done so far would be
+        // lost.
+        let is_root = call.depth == 0;
+        let may_shed = self.cfg.policy.levels && never_sent && is_root;
+        let level_below = self.admission.level_below(now, &call.operation);
+        if may_shed && value < level_below {
+            return Err(shed_refusal(level_below, call.class, call.dice));
         }
-        if sheds {
-            call.passed_level = path;
+        if may_shed {
+            call.passed_level = level_below;
         }
         let (target, level) = match call.key {
             Some((key, _)) => {
                 let home = self.home_of(&call.request.service, key);
                 let level = home.as_ref().map(|home| self.instance_level(now, home));
-                (home, level.filter(|level| sheds && value < *level))
+                (home, level.filter(|level| may_shed && value < *level))
             }
-            None if begins_here => self.choose_admitting(now, call, value),
+            None if is_root => self.choose_admitting(now, call, value),
             None if self.cfg.policy.by_load => (self.choose_server(now, call), None),
             None => (self.choose_round_robin(call), None),
         };
@@ -167,8 +173,8 @@
         }
     }
 
-    /// Chooses among the instances that would not shed the call. If all would, it gives the level
-    /// of the one that is nearest to admitting it.
+    /// Chooses among the instances that would not shed the call. If all would, returns the lowest
+    /// of their levels instead.
     fn choose_admitting(
         &mut self,
         now: Time,
@@ -182,50 +188,50 @@
             return (self.choose_server(now, call), None);
         }
         let avoided = call.avoid.len();
-        let mut passed = None;
-        let mut sheds = None;
+        let mut lowest_admitting = None;
+        let mut lowest_shedding = None;
         for (incarnation, level) in self.instance_levels(now, &call.request.service) {
             if call.avoid[..avoided].contains(&incarnation) {
                 continue;
             }
-            let least = if value < level {
+            let lowest = if value < level {
                 call.avoid.push(incarnation);
-                &mut sheds
+                &mut lowest_shedding
             } else {
-                &mut passed
+                &mut lowest_admitting
             };
-            *least = Some(least.map_or(level, |least: u16| least.min(level)));
+            *lowest = Some(lowest.map_or(level, |lowest: u16| lowest.min(level)));
         }
         let chosen = self.choose_server(now, call);
         call.avoid.truncate(avoided);
-        call.passed_level = call.passed_level.max(passed.unwrap_or(0));
-        let level = sheds.filter(|_| chosen.is_none());
+        call.passed_level = call.passed_level.max(lowest_admitting.unwrap_or(0));
+        let level = lowest_shedding.filter(|_| chosen.is_none());
         (chosen, level)
     }
 
-    /// All instances of a service in turn, whatever their load.
+    /// Chooses among all instances of a service in rotation, whatever their load.
     fn choose_round_robin(&mut self, call: &Outgoing) -> Option<Instance> {
         let turn = self.allocate_id() as usize;
         let peers = self.members.usable(&call.request.service);
         let peers = peers.map(|peer| &peer.instance);
-        let fits = |instance: &&Instance| !call.avoid.contains(&instance.incarnation);
-        let mut all: Vec<&Instance> = peers.filter(fits).collect();
-        if self.own_instance.service == call.request.service && fits(&&self.own_instance) {
-            all.push(&self.own_instance);
+        let allowed = |instance: &&Instance| !call.avoid.contains(&instance.incarnation);
+        let mut candidates: Vec<&Instance> = peers.filter(allowed).collect();
+        if self.own_instance.service == call.request.service && allowed(&&self.own_instance) {
+            candidates.push(&self.own_instance);
         }
-        let turn = turn.checked_rem(all.len())?;
-        Some(all[turn].clone())
+        let turn = turn.checked_rem(candidates.len())?;
+        Some(candidates[turn].clone())
     }
 
-    /// The highest level that a call meets: below its operation, or at the instance that it went
-    /// to. Others may have room, but mostly nothing is known of those that are far away, and a call
-    /// that finds the near ones full goes there by itself.
+    /// The higher of the level below a call's operation and the level of the instance that it was
+    /// sent to. Other instances are not considered: mostly nothing is known of the distant ones,
+    /// and a call that finds the near ones full is routed to the distant ones anyway.
     pub(crate) fn highest_level(&self, now: Time, call: &Outgoing) -> u16 {
         let below = self.admission.level_below(now, &call.operation);
         below.max(self.instance_level(now, &call.target))
     }
 
-    /// The instances of a service that may be used, and their levels.
+    /// The usable instances of a service and their levels.
     fn instance_levels<'a>(
         &'a self,
         now: Time,
@@ -247,7 +253,7 @@
     }
 }
 
-/// A refusal that says when it is worth coming back.
-pub(crate) fn shed_refusal(level: u16, class: Class, dice: u16) -> Refusal {
-    Refusal::new(Reason::Shed, come_back(level, class, dice))
+/// A refusal of a call that is shed at this level, with the time after which a retry may pass.
+pub(crate) fn shed_refusal(level: u16, class: Class, random: u16) -> Refusal {
+    Refusal::new(Reason::Shed, come_back(level, class, random))
 }
--- a/crates/engine/src/answer_cache.rs
+++ b/crates/engine/src/answer_cache.rs
@@ -1,4 +1,4 @@
-//! Answers given lately, for calls that come again over a new connection.
+//! Recent answers, for calls that are sent again over a new connection.
 
 use indexmap::IndexMap;
 use proto::Answer;
@@ -8,38 +8,43 @@
 use std::collections::VecDeque;
 use stdx::Bounded;
 
-/// The most answers that are kept. A silent connection is noticed within a few seconds; this is
-/// more than one node answers in that time.
+/// The most answers that are kept. A silent connection is detected within a few seconds; one node
+/// gives fewer answers than this in that time.
 const MAX_ANSWERS: usize = 4096;
 
-/// The most bytes that the answers' bodies take up.
+/// The most bytes that the cached responses may take up together.
 const MAX_BODY_BYTES: usize = 4 << 20;
 
-/// The most callers' nodes of which forgotten answers are remembered; several times the fleet.
+/// The most calling nodes for which the highest evicted call number is kept; several times the
+/// number of nodes in the fleet.
 const MAX_CALLERS: usize = 4096;
 
-/// Answers given lately.
+/// A bounded cache of recent answers.
 ///
-/// A connection that is given up may still deliver its frames, after the same calls came over the
-/// next one and were answered. If such a frame were taken for a new call when its answer has been
-/// forgotten, work would run that its caller was told had not run. So what is forgotten is
-/// remembered as a number: up to it, a call that is not in the table may have been answered before.
+/// An abandoned connection may still deliver its frames after the same calls have been received
+/// over the next connection and answered. If the answer has been evicted by then and the frame were
+/// taken for a new call, work would run that its caller was told had not run. So for each calling
+/// node the cache keeps the highest call number that was evicted: a call up to that number that is
+/// not in the cache may have been answered before.
 #[derive(Debug)]
 pub(crate) struct AnswerCache {
     answers: IndexMap<CallId, Answer>,
+    /// The cached calls, oldest first.
     order: VecDeque<CallId>,
+    /// What the cached responses take up.
     bytes: usize,
+    /// The highest number of an evicted call, by the node that sent it.
     evicted_up_to: Bounded<Incarnation, u64>,
 }
 
-/// What is known of a call that has come.
+/// What the cache knows of a received call.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum CachedAnswer<'a> {
-    /// It was answered with this.
+    /// The call was answered with this.
     Found(&'a Answer),
-    /// It may have been answered; nobody can tell any more.
+    /// The call may have been answered, but its answer would have been evicted.
     Evicted,
-    /// It was not answered.
+    /// The call was not answered.
     Absent,
 }
 
--- a/crates/engine/src/append_queue.rs
+++ b/crates/engine/src/append_queue.rs
@@ -1,24 +1,26 @@
-//! What this node has to say in the topic: a bounded queue, one append in flight.
+//! Records that this node has to append to the membership log: a bounded queue, one append in
+//! flight.
 
 use proto::Incarnation;
 use stdx::plain;
 use stdx::Time;
 
-/// The most that waits. What is left out is asked for again by whoever wanted it.
+/// The most queued evictions. An eviction that finds the queue full is dropped, and its source asks
+/// for it again.
 const MAX_QUEUED: usize = 64;
 
 plain! {
-    /// What is to be said. The record is made when it is sent, because it has to follow from all
-    /// records before it. In the order of their urgency.
+    /// Which record to append, the most urgent first. The record itself is built when it is sent,
+    /// because its content depends on all records before it.
     #[derive(PartialOrd, Ord)]
     pub(crate) enum AppendKey {
-        /// This node leaves.
+        /// This node leaves the service.
         Leave,
-        /// This node announces itself.
+        /// This node joins the service.
         Join,
-        /// Another node is taken for dead.
+        /// Another node is considered dead.
         Evict(Incarnation),
-        /// The oldest departure is dropped.
+        /// The oldest recorded departure is dropped from the state.
         DropDeparture,
     }
 }
@@ -26,15 +28,16 @@
 #[derive(Debug)]
 struct QueuedAppend {
     key: AppendKey,
+    /// Not to be sent before this time.
     due: Time,
     attempts: u32,
 }
 
-/// What the topic does not show yet.
+/// Appends whose records this node has not yet read back from the log.
 #[derive(Debug, Default)]
 pub(crate) struct AppendQueue {
     entries: Vec<QueuedAppend>,
-    /// The append that waits for its answer. Its entry may be gone meanwhile.
+    /// The append whose result is pending. Its entry may have been removed in the meantime.
     in_flight: Option<(u64, AppendKey)>,
 }
 
@@ -43,9 +46,9 @@
         self.entries.iter().any(|entry| entry.key == key)
     }
 
-    /// Whether there is room for something new.
+    /// Whether the queue has room for another append.
     pub(crate) fn has_room(&self, key: AppendKey) -> bool {
-        // What this node says of itself always fits.
+        // There is at most one append of each other kind, so those always fit.
         !matches!(key, AppendKey::Evict(_)) || self.entries.len() < MAX_QUEUED
     }
 
@@ -61,12 +64,12 @@
         self.entries.retain(|entry| entry.key != key);
     }
 
-    /// Keeps only what `wanted` still wants said.
+    /// Removes the appends that `wanted` rejects.
     pub(crate) fn retain(&mut self, wanted: impl Fn(AppendKey) -> bool) {
         self.entries.retain(|entry| wanted(entry.key));
     }
 
-    /// When [`AppendQueue::start`] has something to start.
+    /// The time at which [`AppendQueue::start`] next returns an append.
     pub(crate) fn next_due(&self) -> Option<Time> {
         if self.in_flight.is_some() {
             return None;
@@ -86,14 +89,16 @@
         Some(entry.key)
     }
 
-    /// The append in flight has ended; says which it was and how often it was tried.
+    /// Ends the append in flight, and returns its key and the number of attempts so far.
     pub(crate) fn finish(&mut self, number: u64) -> Option<(AppendKey, u32)> {
-        let (_, key) = self.in_flight.take_if(|(id, _)| *id == number)?;
+        let (_, key) = self
+            .in_flight
+            .take_if(|(in_flight, _)| *in_flight == number)?;
         let entry = self.entries.iter().find(|entry| entry.key == key);
         Some((key, entry.map_or(1, |entry| entry.attempts)))
     }
 
-    /// Does not try again before `due`.
+    /// Delays the next attempt until `due`.
     pub(crate) fn postpone(&mut self, key: AppendKey, due: Time) {
         for entry in &mut self.entries {
             if entry.key == key {
--- a/crates/engine/src/calls.rs
+++ b/crates/engine/src/calls.rs
@@ -1,4 +1,4 @@
-//! Calls of this node to others (and to itself): routing, retries, deadlines, lost connections.
+//! Calls from this node to nodes, itself included: routing, retries, deadlines, lost connections.
 
 use crate::job::Job;
 use crate::operation_key::operation_key;
@@ -28,11 +28,11 @@
 use std::time::Duration;
 use stdx::Time;
 
-/// How often a call that certainly did not run may go elsewhere for free.
+/// How often a call that provably did not run may be sent to another node without spending a retry.
 const MAX_REDIRECTS: u8 = 3;
 
 impl Engine {
-    /// Sends a new request's first attempt.
+    /// Creates the call of a new request and sends its first attempt.
     pub(crate) fn start_call(&mut self, now: Time, draft: Draft) {
         let call = Outgoing {
             token: draft.token,
@@ -65,14 +65,15 @@
             avoid: Vec::new(),
             request: draft.request,
         };
-        // A call of a run that was itself tried again is a retry too.
+        // Calls of a retried run are retries themselves, and the budget is a ratio to first
+        // attempts.
         if !call.again {
             self.retry_budget.sent(now, &call.request.service);
         }
         self.route(now, call);
     }
 
-    /// Chooses a target and sends one attempt.
+    /// Chooses a target and sends an attempt, or ends the call if it is refused.
     fn route(&mut self, now: Time, mut call: Outgoing) {
         if now >= call.deadline {
             let refusal = call.unjudged(self.refusal(Reason::Deadline));
@@ -87,7 +88,7 @@
         }
     }
 
-    /// Sends one attempt.
+    /// Sends an attempt to this target and lends it the retries that the call has left.
     pub(crate) fn send_to_target(&mut self, now: Time, mut call: Outgoing, target: Instance) {
         call.target = target;
         call.lent = if self.reserves_retry(&call) {
@@ -102,8 +103,8 @@
         if let Some(open) = self.open_requests.get_mut(&call.token) {
             open.call = id;
         }
-        if let Some(earlier) = &call.earlier {
-            self.hedged_attempts.insert(earlier.id, id);
+        if let Some(original) = &call.earlier {
+            self.hedged_attempts.insert(original.id, id);
         }
         call.attempts += 1;
         self.timers.set(call.deadline, Timer::Deadline(id));
@@ -112,14 +113,18 @@
         self.calls.insert(id, call);
     }
 
-    /// What is lent is gone if the answer is lost, so one retry stays where alone it can be spent then.
-    /// A second run needs all for the calls below it, and where one would not be enough for those, it
-    /// is of use only farther down: kept at each hop, no read of a deep tree would ever be tried again.
+    /// Whether one retry is kept back instead of lent with the attempt.
+    ///
+    /// Lent retries are gone if the answer is lost, and only this node can retry the call then. But
+    /// a run that is itself a retry needs all of them for the calls below it. And where one retry
+    /// would not be enough for the calls below, it is of use only on lower hops: with one kept back
+    /// at each hop, no read of a deep tree would ever be retried.
     fn reserves_retry(&self, call: &Outgoing) -> bool {
         let below = self.admission.calls_below(&call.operation);
         call.idempotent && !call.again && call.account.left() > below
     }
 
+    /// Sends the frame of an attempt.
     pub(crate) fn send_attempt(&mut self, now: Time, id: CallId, call: &Outgoing) {
         let leg = if call.key.is_some() {
             Leg::Home
@@ -146,14 +151,14 @@
         self.send(&call.target, frame);
     }
 
-    /// What is left for the callee: its answer has to travel back.
+    /// The time that the callee has: the time left, less what the answer needs to travel back.
     fn callee_remaining_ms(&self, now: Time, call: &Outgoing) -> u32 {
-        let travel = match self.place(&call.target) {
+        let travel_time = match self.place(&call.target) {
             Place::SameDomain => Duration::from_millis(1),
             Place::SameRegion => Duration::from_millis(2),
             Place::OtherRegion => Duration::from_millis(25),
         };
-        let remaining = now.until(call.deadline).saturating_sub(travel);
+        let remaining = now.until(call.deadline).saturating_sub(travel_time);
         u32::try_from(remaining.as_millis()).unwrap_or(u32::MAX)
     }
 
@@ -164,13 +169,13 @@
         if self.discards_original_answer(id, &answer) {
             return;
         }
-        // An answer to an attempt that was given up, or a second one to the same attempt, is late.
+        // There is no such call if its attempt was abandoned or has been answered before.
         let Some(mut call) = self.take_call(id) else {
             return;
         };
         call.account.give_back(call.lent, answer.unspent);
         call.calls_below = call.calls_below.saturating_add(answer.below.calls);
-        // A refusal says how many calls lie below only if the run has got there.
+        // A refusal reports calls below only if the run had already made some.
         match answer.outcome {
             Outcome::NotRun(refusal) if answer.below.calls == 0 => {
                 if refusal.reason == Reason::Shed && answer.below.level > 0 {
@@ -200,31 +205,32 @@
         }
     }
 
-    /// A call that did not run goes elsewhere, if that may help.
+    /// Sends a call that did not run to another instance, if that may help, or ends it.
     pub(crate) fn on_not_run(&mut self, now: Time, mut call: Outgoing, refusal: Refusal) {
         let reason = refusal.reason;
-        let elsewhere = match reason {
+        let redirect = match reason {
             Reason::Moving | Reason::Draining => self.has_other_target(&call),
-            // Never sent, and no refusal: the same node may take it over another connection.
+            // The call was never sent and not refused, so the same node may accept it over another
+            // connection.
             Reason::PeerLost => true,
             _ => false,
         };
-        if elsewhere && call.redirects < MAX_REDIRECTS {
+        if redirect && call.redirects < MAX_REDIRECTS {
             call.redirects += 1;
             self.count(Counter::Redirect(reason));
             call.avoid.push(call.target.incarnation);
             return self.route(now, call);
         }
-        let busy = matches!(
+        let may_be_transient = matches!(
             reason,
             Reason::QueueFull | Reason::ServerRefused | Reason::ServerLost
         );
-        if busy && self.try_spend_retry(now, &mut call) {
+        if may_be_transient && self.try_spend_retry(now, &mut call) {
             self.count(Counter::Retry(reason));
             call.avoid.push(call.target.incarnation);
             return self.route(now, call);
         }
-        // These come from a node that did not look for the key's record.
+        // These refusals come from a node that did not look up the key's record.
         let refusal = match reason {
             Reason::Moving | Reason::NoLease | Reason::Draining | Reason::PeerLost => {
                 call.unjudged(refusal)
@@ -234,8 +240,10 @@
         self.finish_call(now, call, Outcome::NotRun(refusal));
     }
 
-    /// A call with a key goes to the key's home only. While this node knows no other home, sending
-    /// the call there again would get the same refusal a few times over, within milliseconds.
+    /// Whether a call that its target refused can be sent to another node.
+    ///
+    /// A call with a key is sent to the key's home node only. While this node knows no other home
+    /// node, repeated attempts would get the same refusal several times within milliseconds.
     fn has_other_target(&self, call: &Outgoing) -> bool {
         let Some((key, _)) = call.key else {
             return true;
@@ -244,9 +252,11 @@
         home.is_some_and(|home| home.incarnation != call.target.incarnation)
     }
 
-    /// Nobody will tell how the attempt ended. Only an idempotent call may be tried again.
-    /// The calls below count as retries then, so there must be enough for all of them: with less
-    /// the second run could not end, and would be wasted.
+    /// Retries a call whose attempt was lost, if that is allowed, or ends it.
+    ///
+    /// It stays unknown whether the attempt ran, so only an idempotent call may be retried. All
+    /// calls of the second run count as retries, so there must be enough left for all of them; with
+    /// fewer the second run could not finish, and its work would be wasted.
     pub(crate) fn on_attempt_lost(&mut self, now: Time, mut call: Outgoing, reason: Reason) {
         call.maybe_ran = true;
         let below = self.admission.calls_below(&call.operation);
@@ -261,8 +271,9 @@
         self.finish_call(now, call, Outcome::Unknown(reason));
     }
 
-    /// Takes a retry from the action and from this node's part of the fleet's retries at the service,
-    /// which keeps them a small share of the calls to it even if every action has some left.
+    /// Spends a retry of the action and one of this node's share of the fleet's retry budget for
+    /// the service, and returns whether both were available. The budget keeps retries a small share
+    /// of the calls to the service even if every action has some left.
     pub(crate) fn try_spend_retry(&mut self, now: Time, call: &mut Outgoing) -> bool {
         if now >= call.deadline {
             return false;
@@ -274,10 +285,10 @@
         if call.account.left() == 0 || call.own_retries == 0 {
             return false;
         }
-        let limited = self.cfg.policy.retry_budget;
+        let has_budget = self.cfg.policy.retry_budget;
         let nodes = self.members.fleet_size();
         let service = &call.request.service;
-        if limited && !self.retry_budget.spend(now, service, call.class, nodes) {
+        if has_budget && !self.retry_budget.spend(now, service, call.class, nodes) {
             self.count(Counter::RetryBudgetSpent);
             return false;
         }
@@ -293,6 +304,7 @@
         self.finish_call(now, call, Outcome::Unknown(Reason::Deadline));
     }
 
+    /// Cancels a call whose caller has disconnected.
     pub(crate) fn abandon_call(&mut self, now: Time, id: CallId) {
         let Some(call) = self.take_call(id) else {
             return;
@@ -301,22 +313,23 @@
         self.finish_call(now, call, Outcome::Unknown(Reason::CallerGone));
     }
 
+    /// Ends a call, unless the original attempt of a hedged call may still bring a response.
     fn finish_call(&mut self, now: Time, mut call: Outgoing, outcome: Outcome) {
-        if let Some(earlier) = call.earlier.take() {
+        if let Some(original) = call.earlier.take() {
             if self.awaits_original(now, &call, &outcome) {
-                return self.resume_original(call, earlier);
+                return self.resume_original(call, original);
             }
-            self.cancel_original(earlier);
+            self.cancel_original(original);
         }
         let met = Below {
             level: self.highest_level(now, &call),
-            // The first attempt was counted when the call began.
+            // The parent job counted the first attempt when the call began.
             calls: call
                 .calls_below
                 .saturating_add(call.attempts.saturating_sub(1)),
         };
         self.report_to_parent(now, &call, met);
-        // A later attempt that did not run says nothing of an earlier one that may have.
+        // If the last attempt did not run, an earlier one may still have run.
         let outcome = match outcome {
             Outcome::NotRun(refusal) if call.maybe_ran => Outcome::Unknown(refusal.reason),
             outcome => outcome,
@@ -325,8 +338,10 @@
         self.close_request(now, call.token, call.account.left(), outcome);
     }
 
-    /// A run's own first hop hears at once what the run meets. Heard of only at the end of the run,
-    /// a level below would let in too much for the time of a whole call tree.
+    /// Records what a call has met in the job of the run that made it, and in the admission levels.
+    ///
+    /// The levels are updated while the run is still in progress. Updated only at its end, a raised
+    /// level below would admit too much for the duration of a complete call tree.
     fn report_to_parent(&mut self, now: Time, call: &Outgoing, met: Below) {
         let operation = call.operation.clone();
         let Some(job) = self.parent_job(call.token) else {
@@ -340,6 +355,7 @@
         }
     }
 
+    /// Writes a decision-log entry for the end of a call.
     fn log_answered(&mut self, now: Time, call: &Outgoing, level: u16, outcome: &Outcome) {
         self.outputs.push(Output::Note(Note::Answered {
             request: call.request.id.clone(),
@@ -360,6 +376,7 @@
         self.jobs.get_mut(&parent)
     }
 
+    /// Removes a call and its deadline timer.
     pub(crate) fn take_call(&mut self, id: CallId) -> Option<Outgoing> {
         let call = self.calls.swap_remove(&id)?;
         self.selector.on_ended(call.target.incarnation);
@@ -367,6 +384,7 @@
         Some(call)
     }
 
+    /// The calls whose present attempt was sent to this peer.
     pub(crate) fn calls_to(&self, peer: Incarnation) -> Vec<CallId> {
         let to_peer = self
             .calls
--- a/crates/engine/src/config.rs
+++ b/crates/engine/src/config.rs
@@ -1,73 +1,79 @@
-//! Bounds and times of an engine.
+//! Limits, time-outs and modes of an engine.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Bounds and times of an engine; filled once and passed down.
+/// Limits, time-outs and modes of an engine. Set once, before the engine is created.
 #[derive(Debug, Clone)]
 pub struct Config {
-    /// Seed of all random choices.
+    /// Seeds the generator of all random choices.
     pub seed: u64,
-    /// Hints where other nodes may be, for a start while the log is down.
+    /// Addresses at which other nodes may be found when the log is unavailable at startup.
     pub contacts: Vec<SocketAddr>,
-    /// Membership.
+    /// Failure detection and gossip.
     pub membership: membership::Config,
-    /// Which mechanisms of the policy under load are on.
+    /// Which overload mechanisms are enabled.
     pub policy: policy::Switches,
-    /// Records and leases.
+    /// Idempotency records and leases.
     pub once: once::Config,
-    /// The most requests that may be in flight from this node.
+    /// The most requests from callers and from this node's backend server that may be in flight.
     pub max_open_requests: usize,
     /// The longest `Idempotency-Key`, in bytes.
     pub max_key_len: usize,
-    /// The deepest call tree.
+    /// The greatest depth of a call tree.
     pub max_depth: u8,
-    /// How long to wait before a lost append is tried again.
+    /// The initial back-off before an append whose result was lost is tried again.
     pub append_retry_delay: Duration,
-    /// How long a stop waits until the log has taken its `Leave`.
+    /// How long a stopping node waits until its `Leave` record is in the log, and then until other
+    /// home nodes have taken over its slots.
     pub leave_timeout: Duration,
-    /// How rules files are read.
+    /// Parses a rules file.
     pub parse_rules: journal::ParseRules,
-    /// What becomes of a non-idempotent call that comes without a key.
+    /// How a non-idempotent call without an idempotency key is handled.
     pub keyless_calls: KeylessCalls,
-    /// The backend server announces itself, and gets no work before it has, nor once it has said
-    /// that it leaves. Otherwise it is taken to be there for as long as the node runs.
+    /// The backend server sends heartbeats, and gets work only after its first heartbeat and until
+    /// it announces that it leaves. Otherwise it is assumed to be up for as long as the node runs.
     pub server_announces: bool,
-    /// A few nodes of each failure domain read the store for all, which have the rest from their peers.
-    /// Otherwise each node reads for itself, as homes of keys have to.
+    /// Only a few nodes of each failure domain read the store, and the others get its content from
+    /// peers. Otherwise each node reads the store itself, which home nodes of keys have to do.
     pub shared_store_reads: bool,
-    /// How long a stopping node goes on taking new requests from its callers, who need a moment to
-    /// notice. They run on other nodes' backend servers.
+    /// How long a stopping node still accepts new requests, because its callers need a moment to
+    /// notice the stop. Such requests run on other nodes' backend servers.
     pub stop_grace_period: Duration,
-    /// How retries are allowed within one action.
+    /// How many retries one action gets.
     pub tree_retries: TreeRetries,
-    /// What the whole fleet may try again at each service.
+    /// How many retries the whole fleet may make at each service.
     pub retry_budget: policy::FleetRetries,
-    /// A key is refused by every node within this time after its revocation; unbounded without it.
+    /// Every node refuses a revoked key within this time after its revocation; without a bound if
+    /// `None`.
     pub revocation_bound: Option<Duration>,
-    /// How strictly the quotas of organisations hold.
+    /// How strictly the quotas of organisations are enforced.
     pub quota_bounds: organisation::QuotaBounds,
 }
 
-/// What becomes of a non-idempotent call that comes without a key.
+/// How a non-idempotent call without an idempotency key is handled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum KeylessCalls {
-    /// It is given one, which the answer tells, and has a home like any other key.
+    /// The node generates a key, returns it with the answer, and routes the call to the key's home
+    /// node.
     GenerateKey,
-    /// Its entry owns it: it goes to an instance that is near and has room, and to another one only
-    /// after proof that it did not run. Nobody could ask for it again, so it needs no record.
+    /// The node that accepted the request owns the call: it sends the call to a near instance with
+    /// free capacity, and to another one only after proof that it did not run. Nobody can send the
+    /// same call again, so it needs no record.
     OwnedByIngress,
 }
 
-/// How many calls of one action may be tried again, its own and those below it together.
+/// How many retries one action gets, for its first call and all calls below it together.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum TreeRetries {
-    /// As many as its operation says.
+    /// As many as its operation allows.
     PerOperation,
-    /// As many as its operation says, and one for each so many of the calls that the last run of the
-    /// operation made, rounded up; each call as often as its own operation says. One lost read of eight
-    /// loses the work of all. With one retry for the whole action, a service that loses one answer in
-    /// twenty loses one such action in seventeen.
+    /// As many as its operation allows, plus one for every this many calls that the last run of the
+    /// operation made, rounded up. Each single call is retried at most as often as its own
+    /// operation allows.
+    ///
+    /// An action that makes eight reads fails if one of them is lost. With one retry for the whole
+    /// action, a service that loses one answer in twenty makes one such action in seventeen fail.
     ScaledByCalls(u16),
 }
 
--- a/crates/engine/src/counter.rs
+++ b/crates/engine/src/counter.rs
@@ -1,32 +1,32 @@
-//! What is counted.
+//! Counters of the engine and the node, and the names of their metrics.
 
 use proto::Class;
 use proto::Reason;
 use stdx::plain;
 
 plain! {
-    /// What happened to a connection between nodes, or to what came over one.
+    /// An event on a connection between nodes, or on a message between nodes.
     #[derive(Hash)]
     pub enum LinkEvent {
-        /// What came is no frame.
+        /// Received data could not be decoded as a frame.
         MalformedFrame,
-        /// A frame is larger than any may be.
+        /// A frame exceeded the maximum size.
         FrameTooLarge,
-        /// The other end speaks another version.
+        /// The peer uses another protocol version.
         WrongVersion,
-        /// Somebody connected and did not say who it is.
+        /// A peer connected and did not send a hello frame.
         NoHello,
-        /// What came is no datagram.
+        /// Received data could not be decoded as a datagram.
         MalformedDatagram,
-        /// The other end said nothing after it was asked.
+        /// The peer did not answer a ping.
         Silent,
         /// A write made no progress.
         Stalled,
-        /// A frame did not fit into a link's queue.
+        /// A frame did not fit into a connection's send queue.
         QueueFull,
-        /// No connection could be made.
+        /// A connection attempt failed.
         DialFailed,
-        /// No connection was tried, because the last try failed a moment ago.
+        /// No connection was attempted, because the last attempt had just failed.
         DialDeferred,
     }
 }
@@ -49,88 +49,89 @@
 }
 
 plain! {
-    /// One thing to count; the shell passes it on to the metrics.
+    /// An event to count. The node adds it to the metrics.
     #[derive(Hash)]
     pub enum Counter {
-        /// A request came from a caller or the own backend server.
+        /// A request arrived from a caller or from this node's backend server.
         Request(Class),
-        /// A request was answered whole.
+        /// A request was answered with a complete response.
         Completed(Class),
-        /// A request was answered as not run.
+        /// A request was answered with proof that it did not run.
         NotRun(Reason),
-        /// A request was answered as unknown.
+        /// A request was answered without knowing whether it ran.
         Unknown(Reason),
-        /// A call was tried again, because the try before ended for this reason.
+        /// A call was retried, because the previous attempt ended for this reason.
         Retry(Reason),
-        /// A read was sent to a second instance, because its answer is late.
+        /// A read was also sent to a second instance, because its answer was late.
         Hedge,
-        /// An answer that was late came before that of the second instance.
+        /// The original attempt of a hedged read answered before the second instance did.
         OriginalAnsweredFirst,
-        /// A call was not tried again, because this node's retries are too many of its calls.
+        /// A call was not retried, because this node's retry budget for the service was spent.
         RetryBudgetSpent,
-        /// A call went to another node without having run, at no cost to the allowance.
+        /// A call that did not run was sent to another node, without spending a retry.
         Redirect(Reason),
-        /// A call was sent again over a new connection, under the same id.
+        /// A call was sent again over a new connection with the same id.
         Reattach,
-        /// A re-send attached to the run in flight.
+        /// A repeated request was attached to the run in flight.
         ResendAttached,
-        /// A re-send got the recorded response.
+        /// A repeated request got the recorded response.
         ResponseReplayed,
-        /// Work was started on the own backend server.
+        /// A run was started on this node's backend server.
         Run(Class),
-        /// A new incarnation of the own backend server announced itself.
+        /// A new incarnation of this node's backend server sent its first heartbeat.
         ServerStarted,
-        /// A heartbeat of the backend server came after a newer one.
+        /// A heartbeat of the backend server arrived after a newer one.
         LateHeartbeat,
-        /// A heartbeat of a server of another service came here.
+        /// A heartbeat arrived from a server of another service.
         WrongServiceHeartbeat,
-        /// A request was in flight when the backend server broke off.
+        /// A request was in flight when the connection to the backend server broke, and is
+        /// suspected of having crashed the server.
         CrashSuspect,
-        /// A run ended without a whole response.
+        /// A run ended without a complete response.
         RunLost,
-        /// A record of the log could not be read.
+        /// A record of the log, or a state received from a peer, could not be decoded.
         MalformedRecord,
-        /// A publication was rejected.
+        /// A published rules file was rejected.
         PublicationRejected,
-        /// Rules or views were taken from a peer, or anew from the store.
+        /// Rules or views were restored from a peer, or read again from the store.
         StateRestored,
-        /// A peer was asked for rules and views.
+        /// A peer was asked for its rules and views.
         StateFetch,
-        /// A rules file came in force.
+        /// A rules file came into force.
         RulesInForce,
-        /// Another record came before an append; it is made anew.
+        /// An append failed because another record was appended first; it is built again.
         AppendConflict,
-        /// An append got no answer; it is tried again unless the log shows it.
+        /// An append got no answer; it is tried again unless the record is found in the log.
         AppendLost,
-        /// The queue of appends was full.
+        /// An append was dropped because the queue of appends was full.
         AppendDropped,
-        /// The node stopped though the log had not taken its `Leave`.
+        /// The node stopped before its `Leave` record was in the log.
         LeaveNotAppended,
-        /// A frame or datagram made no sense here.
+        /// A message could not be decoded, or was not valid for this node in its present state.
         UnexpectedMessage,
-        /// A peer was silent for a moment though it was asked something.
+        /// A peer did not answer a ping in time.
         PeerQuiet,
-        /// Something happened to a connection between nodes.
+        /// An event on a connection between nodes.
         Link(LinkEvent),
         /// A peer's state changed.
         PeerChanged,
-        /// This node asked the log to take out a dead peer.
+        /// This node queued an append that evicts a dead peer.
         EvictionRequested,
-        /// The table of peers is full; one that only rumours tell of was left out.
+        /// A peer known only through gossip was ignored because the table of peers was full.
         PeerTableFull,
-        /// A view of this node's service was taken.
+        /// A view of this node's service was applied.
         ViewApplied,
-        /// A slot moved here from another node.
+        /// A slot was transferred to this node from another one.
         SlotMoved,
-        /// The log's views leave this incarnation out.
+        /// The views in the log no longer list this incarnation.
         Expelled,
-        /// An invariant did not hold: a bug.
+        /// An invariant was violated, which is a bug.
         InvariantViolated,
     }
 }
 
 impl Counter {
-    /// The metric's name.
+    /// The name of the metric.
     ///
     /// # Examples
     ///
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -1,4 +1,4 @@
-//! The engine's state, and how inputs reach the controllers.
+//! The engine's state, and the dispatch of inputs to the controllers.
 
 use crate::admission::AdmissionLevels;
 use crate::answer_cache::AnswerCache;
@@ -46,95 +46,96 @@
 use std::time::Duration;
 use stdx::Time;
 
-/// How many entries the tables of what is in flight have.
+/// The numbers of entries in the tables of requests, calls and runs in flight.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct TableSizes {
-    /// Requests of callers and of the own backend server.
+    /// Requests from callers and from this node's backend server.
     pub requests: usize,
-    /// Calls to nodes.
+    /// Calls to nodes, this one included.
     pub calls: usize,
-    /// Calls from nodes.
+    /// Calls from nodes, this one included.
     pub inbound: usize,
-    /// Work for the own backend server, queued or running.
+    /// Jobs of this node's backend server, queued or running.
     pub jobs: usize,
-    /// Runs of keys that somebody waits for.
+    /// Runs of idempotency keys that calls wait for.
     pub keys: usize,
 }
 
-/// How long a leaving node still takes calls that only it can take: those for keys that it is home
-/// to, until the log names the next home.
+/// How long a stopping node still starts work for calls that only it can run: those with keys whose
+/// home node it is, until the log names the next home node.
 const KEYED_CALLS_GRACE: Duration = Duration::from_millis(2500);
 
-/// A node's decisions and state.
+/// The state of a node and the decisions that it makes on inputs.
 #[derive(Debug)]
 pub struct Engine {
     pub(crate) cfg: Config,
     pub(crate) own_instance: Instance,
     pub(crate) rng: StdRng,
-    /// What nodes share through the store.
+    /// The rules and views that the nodes share through the store.
     pub(crate) journal: State,
     pub(crate) log: LogLink,
     pub(crate) fetch: FetchSchedule,
     pub(crate) members: Membership,
     pub(crate) selector: Selector,
     pub(crate) peer_notes: PeerNotes,
-    /// The views have changed since the members were told.
+    /// The views have changed since the membership controller was last updated.
     pub(crate) views_changed: bool,
     pub(crate) home: Home,
     pub(crate) server: Server,
-    /// The own backend server, once it has announced itself.
+    /// This node's backend server, once its first heartbeat has arrived.
     pub(crate) own_server: Option<OwnServer>,
-    /// Requests of callers and of the own backend server, in flight.
+    /// Requests in flight from callers and from this node's backend server.
     pub(crate) open_requests: IndexMap<Token, OpenRequest>,
-    /// Requests that wait for the answer to another one.
+    /// Requests that wait for the answer to an identical one, which the value names.
     pub(crate) followers: IndexMap<Token, Token>,
-    /// Calls to nodes (this one included), by the id of the present attempt.
+    /// Calls to nodes, this one included, by the id of the present attempt.
     pub(crate) calls: IndexMap<CallId, Outgoing>,
-    /// Attempts whose answers are late, and those that were sent after them.
+    /// For each original attempt of a hedged call, the hedge attempt that was sent after it.
     pub(crate) hedged_attempts: IndexMap<CallId, CallId>,
-    /// Calls from nodes (this one included) that are not answered yet.
+    /// Calls from nodes, this one included, that are not answered yet.
     pub(crate) inbound: IndexMap<CallId, Inbound>,
-    /// Answers given lately, for calls that attach again.
+    /// Recent answers, for calls that are sent again over a new connection.
     pub(crate) answer_cache: AnswerCache,
-    /// Work for the own backend server, queued or running.
+    /// Jobs of this node's backend server, queued or running.
     pub(crate) jobs: IndexMap<RunId, Job>,
-    /// The job of each request that has an id of its caller's.
+    /// The job of each request that its caller gave an id.
     pub(crate) jobs_by_request_id: IndexMap<Arc<str>, RunId>,
-    /// Who waits for the run of a key.
+    /// The runs of idempotency keys and the calls that wait for them.
     pub(crate) key_runs: IndexMap<KeyHash, KeyRun>,
-    /// What the run met that is being answered just now.
+    /// What the run whose answer is being sent has met in its calls.
     pub(crate) ended_run_below: Below,
     pub(crate) admission: AdmissionLevels,
     pub(crate) resends: Resends,
     pub(crate) suspects: Suspects,
-    /// This node's part of the fleet's retries at each service.
+    /// This node's share of the fleet's retry budget for each service.
     pub(crate) retry_budget: Retries,
-    /// Whether the rules here are the newest, as far as keys of organisations go.
+    /// Evidence that the rules here are the newest, which decides whether keys of organisations can
+    /// be trusted.
     pub(crate) freshness: Freshness,
-    /// This node asks the store on behalf of its failure domain.
+    /// This node queries the store on behalf of its failure domain.
     pub(crate) is_domain_leader: bool,
-    /// Whether keys were trusted when that was last looked at.
+    /// Whether keys of organisations were trusted when that was last checked.
     pub(crate) keys_were_trusted: bool,
-    /// What is lent and borrowed of the quotas of organisations.
+    /// The quota tokens of organisations that this node has lent and borrowed.
     pub(crate) quota: QuotaLink,
-    /// Calls that wait for a slot on its way here.
+    /// Calls that wait for the transfer of their slot to this node.
     pub(crate) held_calls: HeldCalls,
-    /// When a stop no longer waits for its slots to be taken.
+    /// When a stopping node no longer waits until other nodes have taken over its slots.
     pub(crate) handover_deadline: Option<Time>,
     pub(crate) timers: Timers,
     pub(crate) stopping: bool,
-    /// From then on a stopping node starts no work at all on its backend server.
+    /// From this time on a stopping node starts no work on its backend server.
     pub(crate) closed_at: Time,
-    /// Until then a stopping node still takes new requests from its callers.
+    /// Until this time a stopping node still accepts new requests from its callers.
     pub(crate) accepts_until: Time,
     last_id: u64,
-    /// Frames of this node to itself.
+    /// Frames that this node has sent to itself.
     loopback: VecDeque<Frame>,
     pub(crate) outputs: Vec<Output>,
 }
 
 impl Engine {
-    /// An engine that has just started; it takes no work before it has rules.
+    /// Creates an engine. It accepts no work before it has rules.
     ///
     /// # Examples
     ///
@@ -142,14 +143,14 @@
     /// use bilberry_engine::{Config, Engine};
     /// use proto::{Incarnation, Instance};
     ///
-    /// let me = Instance {
+    /// let instance = Instance {
     ///     incarnation: Incarnation(1),
     ///     service: "press".into(),
     ///     failure_domain: "milano-1".into(),
     ///     region: "lombardia".into(),
     ///     addr: ([127, 0, 0, 1], 7000).into(),
     /// };
-    /// assert_eq!(Engine::new(Config::default(), me).rules_version(), 0);
+    /// assert_eq!(Engine::new(Config::default(), instance).rules_version(), 0);
     /// ```
     pub fn new(cfg: Config, own_instance: Instance) -> Self {
         let defaults = rules::Limit::default();
@@ -209,7 +210,7 @@
         }
     }
 
-    /// Handles one input. `now` must not go backwards.
+    /// Handles one input. `now` must never be earlier than in the previous call.
     pub fn handle(&mut self, now: Time, input: Input) -> Vec<Output> {
         match input {
             Input::Request {
@@ -269,7 +270,8 @@
         }
         self.fire_timers(now);
         self.drain_loopback(now);
-        // What came from this node itself may have freed a place, or have to leave the queue.
+        // Frames of this node to itself may have freed capacity, or queued work that has to leave
+        // the queue.
         self.pump_server(now);
         self.drain_loopback(now);
         self.fetch_if_due(now);
@@ -278,7 +280,7 @@
         std::mem::take(&mut self.outputs)
     }
 
-    /// When [`Input::Tick`] has to come at the latest.
+    /// The latest time at which the next [`Input::Tick`] must be passed in.
     pub fn next_timer(&self) -> Option<Time> {
         [
             self.timers.next(),
@@ -296,17 +298,17 @@
         .min()
     }
 
-    /// The version of the rules in force; 0 before there are any.
+    /// The version of the rules in force, or 0 if there are none yet.
     pub fn rules_version(&self) -> u64 {
         self.journal.version
     }
 
-    /// The offset from which the topic of views has to be read.
+    /// The offset from which the membership log has to be read next.
     pub fn next_offset(&self) -> u64 {
         self.journal.next
     }
 
-    /// What the topic of views says, as far as it was read.
+    /// The state that results from the membership log as far as it was read.
     pub fn journal(&self) -> &State {
         &self.journal
     }
@@ -316,19 +318,19 @@
         self.stopping
     }
 
-    /// Whether this node takes callers: rules are in force, and it is not about to stop.
+    /// Whether this node accepts requests: rules are in force, and it is not stopping.
     pub fn is_ready(&self) -> bool {
         self.has_rules() && !self.stopping
     }
 
-    /// Whether any other node is known to be there.
+    /// Whether any other node is known to be alive.
     pub fn has_peers(&self) -> bool {
         self.members
             .peers()
             .any(|peer| peer.state == PeerState::Alive)
     }
 
-    /// How much is in flight.
+    /// The sizes of the tables of requests, calls and runs in flight.
     pub fn table_sizes(&self) -> TableSizes {
         TableSizes {
             requests: self.open_requests.len(),
@@ -339,6 +341,7 @@
         }
     }
 
+    /// Runs all timers that are due.
     fn fire_timers(&mut self, now: Time) {
         while let Some(timer) = self.timers.pop(now) {
             match timer {
@@ -358,11 +361,11 @@
         self.pump_server(now);
     }
 
-    /// Handles what this node sent itself, as if it had come from another.
+    /// Handles the frames that this node sent to itself as if another node had sent them.
     fn drain_loopback(&mut self, now: Time) {
-        let me = self.own_instance.incarnation;
+        let own_incarnation = self.own_instance.incarnation;
         while let Some(frame) = self.loopback.pop_front() {
-            self.on_frame(now, me, frame);
+            self.on_frame(now, own_incarnation, frame);
         }
     }
 
@@ -377,7 +380,7 @@
                 request,
                 crashes,
             } => self.on_suspect(now, from, &service, request, crashes),
-            // The shell answers the frames that are about the connection itself.
+            // The I/O layer handles the frames that concern the connection itself.
             frame => {
                 if !self.on_home_frame(now, from, frame) {
                     self.count(Counter::UnexpectedMessage);
@@ -386,6 +389,7 @@
         }
     }
 
+    /// Sends a frame to a node, which may be this one.
     pub(crate) fn send(&mut self, to: &Instance, frame: Frame) {
         if to.incarnation == self.own_instance.incarnation {
             self.loopback.push_back(frame);
@@ -401,7 +405,7 @@
         self.outputs.push(Output::Count(counter));
     }
 
-    /// A number that this incarnation has never used.
+    /// Returns a number that this incarnation has not used before.
     pub(crate) fn allocate_id(&mut self) -> u64 {
         self.last_id += 1;
         self.last_id
@@ -418,6 +422,7 @@
         self.leave_log(now);
     }
 
+    /// Reports that the process may exit, once a stopping node has finished its work.
     fn check_stopped(&mut self, now: Time) {
         let idle = self.open_requests.is_empty()
             && self.inbound.is_empty()
--- a/crates/engine/src/fetch.rs
+++ b/crates/engine/src/fetch.rs
@@ -1,5 +1,5 @@
-//! Rules and views from peers: while the store does not answer, and for the nodes that leave reading it to
-//! others.
+//! Fetches rules and views from peers: while the store does not answer, and on nodes that leave
+//! reading the store to others.
 
 use crate::Counter;
 use crate::Engine;
@@ -16,69 +16,72 @@
 use std::time::Duration;
 use stdx::Time;
 
-/// How long a node that reads the store waits for the store itself before it asks a peer.
+/// How long a node that reads the store waits for new content from the store before it asks a peer.
 const STORE_GRACE: Duration = Duration::from_millis(500);
 
-/// How long one that does not read it waits for word from its own failure domain before it asks a peer
-/// farther away. Bytes between domains are billed.
+/// How long a node that does not read the store waits for a peer of its own failure domain to
+/// announce new content before it asks a peer of another domain. Traffic between domains is billed.
 const OWN_DOMAIN_DELAY: Duration = Duration::from_millis(100);
 
-/// The time after which a peer is asked again that has not told what it has.
+/// The time after which an unanswered fetch is repeated.
 const FETCH_RETRY_INTERVAL: Duration = Duration::from_millis(400);
 
-/// A node that has asked so often in vain reads the store.
+/// After more fetches in a row than this without success a node reads the store.
 const MAX_FAILED_FETCHES: u32 = 2;
 
-/// After so many fetches in a row a peer that says that it has more is left alone until it, or another,
-/// says so again: this node may not be able to use it.
+/// After this many fetches in a row a node stops fetching newer content until a peer announces it
+/// again, because this node may be unable to use it.
 const MAX_CONSECUTIVE_FETCHES: u32 = 5;
 
-/// The longest wait between two fetches while there are no rules at all.
+/// The longest wait between two fetches while this node has no rules.
 const MAX_STARTUP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How many others a node tells that new rules are in force.
+/// How many random peers a node notifies of new rules and views.
 const PROGRESS_FANOUT: usize = 3;
 
-/// What is missing and who has it.
+/// When to fetch missing rules and views, and from which peer.
 #[derive(Debug, Default)]
 pub(crate) struct FetchSchedule {
+    /// When the next fetch is due.
     pub(crate) due: Option<Time>,
-    /// A peer that knows more than this node, and how far it is.
+    /// The peer with the newest known progress beyond this node's, and that progress.
     newest_peer: Option<(SocketAddr, Progress)>,
-    /// Fetches in a row that were asked for.
+    /// The number of fetches in a row.
     consecutive_fetches: u32,
-    /// Peers that tell at the same time are not all asked.
+    /// No fetch starts before this time, so that peers which announce the same content at once are
+    /// not all asked.
     not_before: Time,
 }
 
 impl Engine {
-    /// This node's state for a peer that knows so much; nothing if this node knows no more itself.
+    /// This node's encoded state for a peer with this progress, or `None` if this node knows
+    /// nothing newer.
     pub fn state_newer_than(&self, theirs: Progress) -> Option<Bytes> {
         let has_more = self.log.ready && self.journal.progress().has_more_than(theirs);
         has_more.then(|| Bytes::from(proto::encode(&self.journal)))
     }
 
-    /// Whether this node reads the store, or leaves that to others and hears of what is new from them.
+    /// Whether this node reads the store itself. Otherwise it gets new content from its peers.
     pub fn reads_store(&self, now: Time) -> bool {
         !self.cfg.shared_store_reads || !self.has_rules() || self.members.watches_store(now)
     }
 
-    /// A peer says how much it knows.
+    /// Schedules a fetch if a peer reports progress beyond this node's.
     pub(crate) fn on_peer_progress(&mut self, now: Time, from: SocketAddr, theirs: Progress) {
         if !theirs.has_more_than(self.journal.progress()) {
             return;
         }
         let near = self.is_in_own_domain(from);
-        let better = |(other, known): (SocketAddr, Progress)| {
+        let is_better = |(other, known): (SocketAddr, Progress)| {
             theirs.has_more_than(known)
                 || (near && theirs == known && !self.is_in_own_domain(other))
         };
-        if self.fetch.newest_peer.is_none_or(better) {
+        if self.fetch.newest_peer.is_none_or(is_better) {
             self.fetch.newest_peer = Some((from, theirs));
         }
         let wait = match self.waits_for_store(now) {
-            // Each publication reaches some nodes a little earlier. Asking at once would have all the
-            // others fetch what the store is about to give them.
+            // A publication reaches some nodes a little earlier than others. Without this wait the
+            // others would all fetch what they are about to read from the store.
             true => STORE_GRACE,
             false if near || !self.has_rules() => Duration::ZERO,
             false => OWN_DOMAIN_DELAY,
@@ -86,9 +89,10 @@
         self.schedule_fetch(now, wait);
     }
 
+    /// Whether this node expects to read new content from the store soon.
     fn waits_for_store(&self, now: Time) -> bool {
-        let starts = self.cfg.shared_store_reads && !self.has_rules();
-        !self.log.down && !starts && self.reads_store(now)
+        let is_starting = self.cfg.shared_store_reads && !self.has_rules();
+        !self.log.down && !is_starting && self.reads_store(now)
     }
 
     fn is_in_own_domain(&self, addr: SocketAddr) -> bool {
@@ -96,25 +100,28 @@
         peer.is_some_and(|peer| peer.instance.failure_domain == self.own_instance.failure_domain)
     }
 
-    /// Tells others at once how much this node knows. Probes tell as well, but only one peer a second, and
-    /// old and new rules would stand side by side for long. One that has it from the store tells its
-    /// whole failure domain, which leaves reading to it; all tell a few, wherever they are.
+    /// Announces this node's progress to peers at once.
+    ///
+    /// Probes carry the progress as well, but reach only one peer a second, so old and new rules
+    /// would be in force side by side for long. A node that got the content from the store notifies
+    /// its whole failure domain, which leaves reading the store to it. Each node also notifies a
+    /// few random peers anywhere.
     pub(crate) fn announce_progress(&mut self, from_store: bool) {
         let whole_domain = from_store && self.cfg.shared_store_reads;
         let others = self.members.peers();
         let others = others.filter(|peer| peer.state != PeerState::Dead);
-        let (mut told, mut rest) = (Vec::new(), Vec::new());
+        let (mut notified, mut rest) = (Vec::new(), Vec::new());
         for peer in others.map(|peer| &peer.instance) {
             match whole_domain && peer.failure_domain == self.own_instance.failure_domain {
-                true => told.push(peer.addr),
+                true => notified.push(peer.addr),
                 false => rest.push(peer.addr),
             }
         }
         rest.retain(|addr| *addr != self.own_instance.addr);
         for _ in 0..PROGRESS_FANOUT.min(rest.len()) {
-            told.push(rest.swap_remove(self.rng.random_range(0..rest.len())));
+            notified.push(rest.swap_remove(self.rng.random_range(0..rest.len())));
         }
-        for to in told {
+        for to in notified {
             let datagram = Datagram::Member {
                 version: PROTOCOL_VERSION,
                 progress: self.journal.progress(),
@@ -126,6 +133,7 @@
         }
     }
 
+    /// Notes that the store does not answer. A node that has not read it yet fetches from peers.
     pub(crate) fn on_log_unreachable(&mut self, now: Time) {
         self.log.down = true;
         if !self.log.ready {
@@ -133,32 +141,35 @@
         }
     }
 
+    /// Schedules a fetch, unless an earlier one is scheduled.
     pub(crate) fn schedule_fetch(&mut self, now: Time, after: Duration) {
         let due = (now + after).max(self.fetch.not_before);
         self.fetch.due = Some(self.fetch.due.map_or(due, |other| other.min(due)));
     }
 
+    /// Sends a fetch if one is due, and schedules the next one.
     pub(crate) fn fetch_if_due(&mut self, now: Time) {
         if self.fetch.due.is_none_or(|due| due > now) {
             return;
         }
         self.fetch.due = None;
         let known = self.journal.progress();
-        let ahead = self.fetch.newest_peer;
-        let ahead = ahead.filter(|(_, theirs)| theirs.has_more_than(known));
-        if ahead.is_none() && self.log.ready {
+        let newest_peer = self.fetch.newest_peer;
+        let newest_peer = newest_peer.filter(|(_, theirs)| theirs.has_more_than(known));
+        if newest_peer.is_none() && self.log.ready {
             self.fetch = FetchSchedule::default();
             return;
         }
-        let in_vain = self.fetch.consecutive_fetches >= MAX_CONSECUTIVE_FETCHES && self.log.ready;
-        if in_vain {
+        let gives_up = self.fetch.consecutive_fetches >= MAX_CONSECUTIVE_FETCHES && self.log.ready;
+        if gives_up {
             self.fetch = FetchSchedule::default();
             return;
         }
         self.fetch.not_before = now + FETCH_RETRY_INTERVAL;
-        // Who told first may be gone by now, or cut off from here.
-        let first = ahead.filter(|_| self.fetch.consecutive_fetches % 2 == 0);
-        let from = first
+        // The announcing peer may be gone or unreachable by now, so every other fetch asks a random
+        // one.
+        let announcer = newest_peer.filter(|_| self.fetch.consecutive_fetches % 2 == 0);
+        let from = announcer
             .map(|(from, _)| from)
             .or_else(|| self.random_peer_addr());
         if let Some(from) = from {
@@ -175,17 +186,18 @@
                 self.outputs.push(Output::ReadLog);
             }
         } else {
-            // The log tells the rest, or the next probe does.
+            // The log or the next probe brings what may still be missing.
             self.fetch = FetchSchedule::default();
         }
     }
 
-    /// A contact address or a node that the state names already.
+    /// The address of a random node: a listed instance, a peer that is alive, or a configured
+    /// contact.
     fn random_peer_addr(&mut self) -> Option<SocketAddr> {
         let listed = self.journal.instances().map(|instance| instance.addr);
-        let living = self.members.peers();
-        let living = living.filter(|peer| peer.state == PeerState::Alive);
-        let known = listed.chain(living.map(|peer| peer.instance.addr));
+        let alive = self.members.peers();
+        let alive = alive.filter(|peer| peer.state == PeerState::Alive);
+        let known = listed.chain(alive.map(|peer| peer.instance.addr));
         let mut addrs: Vec<SocketAddr> = known.chain(self.cfg.contacts.iter().copied()).collect();
         addrs.retain(|addr| *addr != self.own_instance.addr);
         if addrs.is_empty() {
@@ -195,7 +207,7 @@
         Some(addrs[index])
     }
 
-    /// A peer's state, as [`Engine::state_newer_than`] gave it there.
+    /// Adopts a peer's state, which [`Engine::state_newer_than`] returned there.
     pub(crate) fn on_peer_state(&mut self, now: Time, state: &[u8]) {
         let change = match proto::decode(state) {
             Ok(state) => self.journal.adopt_with(state, self.cfg.parse_rules),
@@ -206,7 +218,7 @@
                 self.log.ready = true;
                 self.on_restored(now);
                 self.announce_progress(false);
-                // A node that leaves reading to others has all that there is.
+                // A node that does not read the store has nothing more to read.
                 if !self.cfg.shared_store_reads {
                     self.outputs.push(Output::ReadLog);
                 }
--- a/crates/engine/src/freshness.rs
+++ b/crates/engine/src/freshness.rs
@@ -1,4 +1,5 @@
-//! The controller of the evidence that the rules here are the newest.
+//! Collects evidence that the rules of this node are the newest, which keys of organisations need
+//! to be trusted.
 
 use crate::Engine;
 use crate::Note;
@@ -14,11 +15,12 @@
 use std::time::Duration;
 use stdx::Time;
 
-/// So many of the first tries go to neighbours, the others to any node.
+/// This many first attempts go to nodes of the own failure domain, the others to any node.
 const OWN_DOMAIN_ATTEMPTS: u32 = 2;
 
 impl Engine {
-    /// Evidence is needed only where a key can be revoked.
+    /// Whether evidence is needed: only if keys exist and have to be refused in time after a
+    /// revocation.
     fn needs_freshness(&self) -> bool {
         self.cfg.revocation_bound.is_some() && self.journal.rules.organisations.is_some()
     }
@@ -30,6 +32,7 @@
         self.freshness.next_timer(self.is_domain_leader)
     }
 
+    /// Queries the store or peers if evidence is due.
     pub(crate) fn tick_freshness(&mut self, now: Time) {
         if !self.needs_freshness() {
             return;
@@ -55,7 +58,8 @@
         }
     }
 
-    /// The nodes that lead the own failure domain, then any: the whole domain may be cut off from the store.
+    /// The peer to query: first the leaders of the own failure domain, then any peer, because the
+    /// whole domain may be cut off from the store.
     fn freshness_peer(&mut self, attempt: u32) -> Option<SocketAddr> {
         if attempt < OWN_DOMAIN_ATTEMPTS {
             let leader = self.members.domain_leader(attempt as usize);
@@ -63,9 +67,9 @@
                 return Some(leader.addr);
             }
         }
-        let live = self.members.peers();
-        let live = live.filter(|peer| peer.state == PeerState::Alive);
-        let addrs: Vec<SocketAddr> = live.map(|peer| peer.instance.addr).collect();
+        let alive = self.members.peers();
+        let alive = alive.filter(|peer| peer.state == PeerState::Alive);
+        let addrs: Vec<SocketAddr> = alive.map(|peer| peer.instance.addr).collect();
         if addrs.is_empty() {
             return None;
         }
@@ -80,7 +84,8 @@
     ) {
         match message {
             FreshnessMessage::Query { number } => {
-                // A node without evidence says so, so that another is asked at once.
+                // A node without evidence answers with the maximum age, so that the other node
+                // queries another one at once.
                 let age = self.freshness.age(now).unwrap_or(Duration::MAX);
                 let age_ms = age.as_millis().saturating_add(1);
                 let report = FreshnessMessage::Report {
@@ -96,7 +101,7 @@
                 age_ms,
             } => {
                 if rules > self.journal.version {
-                    // What was confirmed there are not the rules that are held here.
+                    // The evidence is for newer rules than this node has.
                     let theirs = Progress {
                         version: rules,
                         next: self.journal.next,
@@ -110,20 +115,22 @@
         }
     }
 
+    /// The store has confirmed which version is the newest.
     pub(crate) fn on_rules_checked(&mut self, now: Time, asked: Time, version: u64) {
         if version > self.journal.version {
-            // They were entered before, and could not be read.
+            // The rules were passed in before this input, but could not be read.
             return self.on_rules_unchecked(now);
         }
         self.freshness.on_store_confirmed(asked);
         self.log_key_trust_change(now);
     }
 
+    /// The store did not confirm the version of the rules here.
     pub(crate) fn on_rules_unchecked(&mut self, now: Time) {
         self.freshness.on_store_failed(now);
     }
 
-    /// Writes down when keys begin or cease to be trusted.
+    /// Writes a decision-log entry when keys begin or cease to be trusted.
     fn log_key_trust_change(&mut self, now: Time) {
         let trusts = self.freshness.may_trust(now);
         if trusts == std::mem::replace(&mut self.keys_were_trusted, trusts) {
--- a/crates/engine/src/gauges.rs
+++ b/crates/engine/src/gauges.rs
@@ -1,38 +1,38 @@
-//! What is measured rather than counted.
+//! Gauges: values that are sampled, as opposed to counters.
 
 use crate::Engine;
 use stdx::Time;
 
-/// A value at this moment, by the metric's name.
+/// The name of a metric and its present value.
 pub type Gauge = (&'static str, u64);
 
 impl Engine {
-    /// The sizes of all tables, and what the controllers hold at this moment. Load and level are
-    /// in the units of [`proto::LoadReport`], the rest of the lease in milliseconds.
+    /// The sizes of all tables and the present state of the controllers. Utilisation and level are
+    /// in the units of [`proto::LoadReport`], the remaining time of the lease in milliseconds.
     ///
     /// # Examples
     ///
     /// ```
     /// # use bilberry_engine::{Config, Engine};
-    /// # let me = proto::Instance {
+    /// # let instance = proto::Instance {
     /// #     incarnation: proto::Incarnation(1),
     /// #     service: "press".into(),
     /// #     failure_domain: "milano-1".into(),
     /// #     region: "lombardia".into(),
     /// #     addr: ([127, 0, 0, 1], 7000).into(),
     /// # };
-    /// let engine = Engine::new(Config::default(), me);
+    /// let engine = Engine::new(Config::default(), instance);
     /// assert!(engine.gauges(stdx::Time::ZERO).contains(&("requests", 0)));
     /// ```
     pub fn gauges(&self, now: Time) -> Vec<Gauge> {
-        let tables = self.table_sizes();
+        let sizes = self.table_sizes();
         let load = self.load_report();
         vec![
-            ("requests", tables.requests as u64),
-            ("calls", tables.calls as u64),
-            ("inbound", tables.inbound as u64),
-            ("jobs", tables.jobs as u64),
-            ("keys", tables.keys as u64),
+            ("requests", sizes.requests as u64),
+            ("calls", sizes.calls as u64),
+            ("inbound", sizes.inbound as u64),
+            ("jobs", sizes.jobs as u64),
+            ("keys", sizes.keys as u64),
             ("peers", self.members.peers().count() as u64),
             ("instances", self.journal.instances().count() as u64),
             ("rules_version", self.journal.version),
--- a/crates/engine/src/hedge.rs
+++ b/crates/engine/src/hedge.rs
@@ -1,8 +1,8 @@
-//! Reads that take longer than others are sent to a second instance (Dean and Barroso, "The Tail at Scale", CACM
-//! 2013).
+//! Hedged reads: a read that takes longer than others is also sent to a second instance (Dean and
+//! Barroso, "The Tail at Scale", CACM 2013).
 //!
-//! The first instance may only be slow, and its answer is taken if it comes first: what is ready is
-//! delivered. A second attempt is a retry and takes its place in all bounds of retries.
+//! The first instance may only be slow, so its answer is used if it arrives first. The second
+//! attempt counts as a retry in all limits on retries.
 
 use crate::job::JobOwner;
 use crate::outgoing::Earlier;
@@ -20,8 +20,9 @@
 use stdx::Time;
 
 impl Engine {
-    /// Has this node look again when a run on its server takes longer than others. Only reads that make no
-    /// calls are sent twice: a second run of a whole tree costs more than it saves.
+    /// Sets a timer for the time at which a run on this node's backend server counts as late. Only
+    /// reads that make no calls are hedged: a second run of a complete call tree costs more than it
+    /// saves.
     pub(crate) fn set_hedge_timer(&mut self, now: Time, run: RunId) {
         let Some(job) = self.jobs.get_mut(&run) else {
             return;
@@ -29,19 +30,23 @@
         let Some(operation) = &job.operation else {
             return;
         };
-        let may = self.cfg.policy.hedges && job.idempotent && !job.keyed;
-        if !may || self.admission.calls_below(operation) > 0 {
+        let may_hedge = self.cfg.policy.hedges && job.idempotent && !job.keyed;
+        if !may_hedge || self.admission.calls_below(operation) > 0 {
             return;
         }
-        let late = self.admission.late_after(operation);
-        if let Some(at) = late.map(|late| now + late).filter(|at| *at < job.deadline) {
+        let late_after = self.admission.late_after(operation);
+        if let Some(at) = late_after
+            .map(|after| now + after)
+            .filter(|at| *at < job.deadline)
+        {
             job.late_at = Some(at);
             self.timers.set(at, Timer::LateRun(run));
         }
     }
 
-    /// Tells the entry that the server may have lost the run. The wait for the server is not part of the
-    /// time: under load second attempts would only make more of it.
+    /// Notifies the calling node that the backend server may have lost the run. The run's time does
+    /// not include its wait in the queue: second attempts because of long queues would add to the
+    /// load.
     pub(crate) fn on_late_run(&mut self, run: RunId) {
         let Some(job) = self.jobs.get(&run) else {
             return;
@@ -53,7 +58,7 @@
         }
     }
 
-    /// Learns how long runs of an operation take here.
+    /// Records how long a run took, if it ended with a complete response.
     pub(crate) fn record_run_time(&mut self, now: Time, run: RunId, ended: Ended) {
         let Ended::Whole { took, .. } = ended else {
             return;
@@ -64,13 +69,13 @@
         }
     }
 
-    /// A call is late where it runs.
+    /// Sends a call to a second instance after its target has reported that the run is late.
     pub(crate) fn on_late_notice(&mut self, now: Time, id: CallId) {
         let Some(mut call) = self.calls.swap_remove(&id) else {
             return;
         };
-        let may = call.idempotent && call.key.is_none() && call.earlier.is_none();
-        if !may || !self.try_spend_retry(now, &mut call) {
+        let may_hedge = call.idempotent && call.key.is_none() && call.earlier.is_none();
+        if !may_hedge || !self.try_spend_retry(now, &mut call) {
             self.calls.insert(id, call);
             return;
         }
@@ -90,31 +95,32 @@
         self.send_to_target(now, call, target);
     }
 
-    /// Looks at an answer to an attempt after which another one was sent. A whole one takes the later
-    /// attempt's place; any other is dropped while that one is under way.
+    /// Handles an answer to the original attempt of a hedged call, and returns whether to discard
+    /// it. A complete response is used and the hedge attempt is cancelled. Any other answer is
+    /// discarded while the hedge attempt is in flight.
     pub(crate) fn discards_original_answer(&mut self, id: CallId, answer: &Answer) -> bool {
-        let Some(later) = self.hedged_attempts.swap_remove(&id) else {
+        let Some(hedge) = self.hedged_attempts.swap_remove(&id) else {
             return false;
         };
-        let Some(call) = self.calls.get_mut(&later) else {
+        let Some(call) = self.calls.get_mut(&hedge) else {
             return true;
         };
-        let Some(earlier) = call.earlier.take() else {
+        let Some(original) = call.earlier.take() else {
             return true;
         };
         if !matches!(answer.outcome, Outcome::Whole(_)) {
-            self.selector.on_ended(earlier.target.incarnation);
+            self.selector.on_ended(original.target.incarnation);
             return true;
         }
         self.count(Counter::OriginalAnsweredFirst);
-        if let Some(call) = self.take_call(later) {
-            self.send(&call.target, Frame::Cancel(later));
-            self.track_original(call, earlier);
+        if let Some(call) = self.take_call(hedge) {
+            self.send(&call.target, Frame::Cancel(hedge));
+            self.track_original(call, original);
         }
         false
     }
 
-    /// Whether the earlier attempt may still bring what the later one did not.
+    /// Whether the original attempt may still bring a response after the hedge attempt has failed.
     pub(crate) fn awaits_original(&self, now: Time, call: &Outgoing, outcome: &Outcome) -> bool {
         let is_over = match outcome {
             Outcome::Whole(_) => true,
@@ -124,27 +130,28 @@
         !is_over && now < call.deadline
     }
 
-    /// The later attempt has failed: the call waits for the earlier one again.
-    pub(crate) fn resume_original(&mut self, mut call: Outgoing, earlier: Earlier) {
-        self.hedged_attempts.swap_remove(&earlier.id);
+    /// Makes the call wait for its original attempt again after the hedge attempt has failed.
+    pub(crate) fn resume_original(&mut self, mut call: Outgoing, original: Earlier) {
+        self.hedged_attempts.swap_remove(&original.id);
         call.maybe_ran = true;
-        self.track_original(call, earlier);
+        self.track_original(call, original);
     }
 
-    fn track_original(&mut self, mut call: Outgoing, earlier: Earlier) {
-        call.target = earlier.target;
-        call.lent = earlier.lent;
+    /// Makes the original attempt the present one.
+    fn track_original(&mut self, mut call: Outgoing, original: Earlier) {
+        call.target = original.target;
+        call.lent = original.lent;
         if let Some(open) = self.open_requests.get_mut(&call.token) {
-            open.call = earlier.id;
+            open.call = original.id;
         }
-        self.timers.set(call.deadline, Timer::Deadline(earlier.id));
-        self.calls.insert(earlier.id, call);
+        self.timers.set(call.deadline, Timer::Deadline(original.id));
+        self.calls.insert(original.id, call);
     }
 
-    /// Nobody waits for the earlier attempt any more.
-    pub(crate) fn cancel_original(&mut self, earlier: Earlier) {
-        self.hedged_attempts.swap_remove(&earlier.id);
-        self.selector.on_ended(earlier.target.incarnation);
-        self.send(&earlier.target, Frame::Cancel(earlier.id));
+    /// Cancels the original attempt, whose answer is no longer needed.
+    pub(crate) fn cancel_original(&mut self, original: Earlier) {
+        self.hedged_attempts.swap_remove(&original.id);
+        self.selector.on_ended(original.target.incarnation);
+        self.send(&original.target, Frame::Cancel(original.id));
     }
 }
--- a/crates/engine/src/identity.rs
+++ b/crates/engine/src/identity.rs
@@ -1,4 +1,4 @@
-//! Who a request is from: the organisation whose key its caller holds.
+//! Authentication: finds the organisation whose key came with a request.
 
 use crate::request::Arrival;
 use crate::request::Parents;
@@ -11,15 +11,15 @@
 use stdx::Time;
 
 impl Engine {
-    /// Finds out whose request it is and gives it the organisation's priority; says which quota it counts
-    /// against.
+    /// Finds the organisation of a request, assigns the organisation's priority, and returns the
+    /// quota that the request counts against.
     pub(crate) fn filter_identity(
         &self,
         now: Time,
         arrival: &mut Arrival,
         mut operation: Operation,
     ) -> Result<(Operation, Option<(OrganisationId, Quota)>), Reason> {
-        // Whatever came with the request, the organisation is what this node finds.
+        // An organisation named by the request itself is not trusted.
         arrival.request.organisation = "".into();
         let Some(organisations) = &self.journal.rules.organisations else {
             return Ok((operation, None));
@@ -41,19 +41,20 @@
         Ok((operation, organisation.quota.map(|quota| (id, quota))))
     }
 
-    /// Whether a run of the own backend server makes this call. It is part of a request that was admitted.
+    /// Whether a run of this node's backend server makes this call. Such a call is part of a
+    /// request that was authenticated before.
     fn is_child_call(&self, parents: &Parents) -> bool {
         let known = |id| self.jobs_by_request_id.contains_key(id);
         parents.context.is_some() || parents.parent.as_ref().is_some_and(known)
     }
 }
 
-/// Whether a request may be decided by what the rules here say of its key.
+/// Checks whether the rules here are recent enough to accept a known key or refuse an unknown one.
 fn check_credential(now: Time, freshness: &Freshness, is_known: bool) -> Result<(), Reason> {
     match is_known {
         true if freshness.may_trust(now) => Ok(()),
         false if freshness.is_complete(now) => Err(Reason::UnknownOrganisation),
-        // It may have been revoked, or added.
+        // The key may have been revoked or added in newer rules.
         _ => Err(Reason::RulesUnconfirmed),
     }
 }
--- a/crates/engine/src/ingress.rs
+++ b/crates/engine/src/ingress.rs
@@ -1,4 +1,4 @@
-//! Requests from callers and from the own backend server: the filter chain.
+//! Requests from callers and from this node's backend server: the filter chain.
 
 use crate::job::JobOwner;
 use crate::operation_key::operation_key;
@@ -33,17 +33,18 @@
 use stdx::Time;
 
 impl Engine {
+    /// Passes a new request through the filters, or lets it wait for its organisation's quota.
     pub(crate) fn on_request(&mut self, now: Time, mut arrival: Arrival) {
-        let dice = self.rng.random();
+        let random = self.rng.random();
         let admitted = self
-            .filter_rules(&mut arrival.request, dice)
+            .filter_rules(&mut arrival.request, random)
             .and_then(|operation| self.filter_identity(now, &mut arrival, operation));
         match admitted {
-            Ok((operation, None)) => self.process_arrival(now, arrival, operation, dice, None),
+            Ok((operation, None)) => self.process_arrival(now, arrival, operation, random, None),
             Ok((operation, Some((organisation, quota)))) => {
                 match self.quota.borrower.take(now, organisation, quota) {
                     Some(credit) => {
-                        self.process_arrival(now, arrival, operation, dice, Some(credit))
+                        self.process_arrival(now, arrival, operation, random, Some(credit))
                     }
                     None => self.wait_for_quota(now, arrival, organisation),
                 }
@@ -52,14 +53,17 @@
         }
     }
 
-    /// Admits a request that has waited for its organisation's quota. The rules may have changed meanwhile.
+    /// Continues with a request that has waited for its organisation's quota. It passes the first
+    /// filters again, because the rules may have changed in the meantime.
     pub(crate) fn on_quota_granted(&mut self, now: Time, mut arrival: Arrival, credit: Credit) {
-        let dice = self.rng.random();
+        let random = self.rng.random();
         let admitted = self
-            .filter_rules(&mut arrival.request, dice)
+            .filter_rules(&mut arrival.request, random)
             .and_then(|operation| self.filter_identity(now, &mut arrival, operation));
         match admitted {
-            Ok((operation, _)) => self.process_arrival(now, arrival, operation, dice, Some(credit)),
+            Ok((operation, _)) => {
+                self.process_arrival(now, arrival, operation, random, Some(credit))
+            }
             Err(reason) => {
                 self.return_credit(now, Some(credit));
                 self.refuse_arrival(&arrival, reason);
@@ -67,12 +71,13 @@
         }
     }
 
+    /// Passes a request through the filters that come after its organisation's quota, and opens it.
     fn process_arrival(
         &mut self,
         now: Time,
         arrival: Arrival,
         operation: Operation,
-        dice: u16,
+        random: u16,
         credit: Option<Credit>,
     ) {
         let Arrival {
@@ -90,7 +95,7 @@
         let latest = at + operation.deadline;
         let patience = patience.map(|patience| patience.saturating_sub(now.since(at)));
         let draft = self
-            .filter_context(now, token, parents, dice, operation, request)
+            .filter_context(now, token, parents, random, operation, request)
             .map(|draft| limit_deadline(draft, now, patience, latest))
             .and_then(|draft| self.filter_key(draft, &caller, key));
         match draft {
@@ -98,7 +103,7 @@
                 let draft = Draft { credit, ..draft };
                 match self.filter_resend(now, &caller, draft) {
                     Some(draft) => self.open_request(now, draft),
-                    // It has its answer, or waits for that to another request.
+                    // The request was answered, or waits for the answer to an identical one.
                     None => self.return_credit(now, credit),
                 }
             }
@@ -113,7 +118,7 @@
         self.refuse_unopened(Refused::from(arrival), self.refusal(reason));
     }
 
-    /// Refuses a request that no record was looked at for.
+    /// Refuses a request before it was opened, so that no record of its key was looked up.
     pub(crate) fn refuse_unopened(&mut self, refused: Refused, refusal: Refusal) {
         let Refused {
             token,
@@ -122,9 +127,9 @@
             keyed,
         } = refused;
         let reason = refusal.reason;
-        // Nobody has looked whether an earlier attempt with this key ran.
-        let unjudged = keyed && !reason.is_callers_mistake();
-        let refusal = if unjudged {
+        // No node has checked whether an earlier attempt with this key ran.
+        let unverified = keyed && !reason.is_callers_mistake();
+        let refusal = if unverified {
             refusal.of_this_attempt()
         } else {
             refusal
@@ -138,8 +143,9 @@
         self.refuse(token, refusal);
     }
 
-    /// Refuses what this node cannot judge or no rule allows.
-    fn filter_rules(&mut self, request: &mut Request, dice: u16) -> Result<Operation, Reason> {
+    /// Finds the operation of a request and the service that it is routed to. Refuses requests that
+    /// no rule allows, and all requests while there are no rules or the table of requests is full.
+    fn filter_rules(&mut self, request: &mut Request, random: u16) -> Result<Operation, Reason> {
         if !self.has_rules() {
             return Err(Reason::NoRules);
         }
@@ -149,7 +155,7 @@
         let rules = &self.journal.rules;
         let rule = rules.decide(request).ok_or(Reason::NoSuchOperation)?;
         if let Rule::Route(route) = rule {
-            request.service = route.target(dice).clone();
+            request.service = route.target(random).clone();
         }
         let mut operation = rule.operation().clone();
         if !self.cfg.policy.ranks {
@@ -158,13 +164,13 @@
         Ok(operation)
     }
 
-    /// Finds the run that a child call belongs to, or makes a new root.
+    /// Finds the run that a child call belongs to, or starts a new action.
     fn filter_context(
         &mut self,
         now: Time,
         token: Token,
         parents: Parents,
-        dice: u16,
+        random: u16,
         operation: Operation,
         request: Request,
     ) -> Result<Draft, Reason> {
@@ -178,7 +184,7 @@
             }
         };
         let Some(run) = run else {
-            return self.root_draft(now, token, dice, operation, request);
+            return self.root_draft(now, token, random, operation, request);
         };
         let job = self.jobs.get_mut(&run).ok_or(Reason::ParentGone)?;
         if job.depth >= self.cfg.max_depth {
@@ -212,22 +218,23 @@
         })
     }
 
+    /// Drafts the first call of a new action.
     fn root_draft(
         &mut self,
         now: Time,
         token: Token,
-        dice: u16,
+        random: u16,
         operation: Operation,
         request: Request,
     ) -> Result<Draft, Reason> {
-        // A planned stop still finishes its runs, whose child calls come with a context.
+        // A stopping node still finishes its runs, whose child calls carry a context.
         if self.stopping && now >= self.accepts_until {
             return Err(Reason::Draining);
         }
         Ok(Draft {
             token,
             action: ActionId(self.rng.random()),
-            dice: self.admission.dice(&operation, dice),
+            dice: self.admission.ranked_random(&operation, random),
             class: operation.class,
             priority: operation.priority,
             passed_level: 0,
@@ -247,7 +254,7 @@
         })
     }
 
-    /// The retries of an action that begins with this operation.
+    /// The number of retries that an action with this first operation gets.
     fn tree_retries(&self, operation: &Operation) -> u16 {
         match self.cfg.tree_retries {
             TreeRetries::ScaledByCalls(calls_each) if operation.retries > 0 => {
@@ -258,7 +265,7 @@
         }
     }
 
-    /// Gives a non-idempotent call its key.
+    /// Assigns an idempotency key to a non-idempotent call.
     fn filter_key(
         &mut self,
         mut draft: Draft,
@@ -276,7 +283,7 @@
         }
         let fingerprint = Fingerprint::of(&draft.request);
         let service = draft.request.service.clone();
-        // A keyed run may be asked for again, and its second attempt must not make new children.
+        // A call with a key may be sent again, and its second run must not make new child calls.
         let parent_keyed = draft.parent.is_some_and(|run| self.is_first_run(run));
         if key.is_none() && !parent_keyed && self.cfg.keyless_calls == KeylessCalls::OwnedByIngress
         {
@@ -310,15 +317,17 @@
         Ok(draft)
     }
 
-    /// Whether no other run of the same call can have made child calls: it has a key itself, and its
-    /// home starts one run. If that run is refused after it made some, see `on_run_ended`.
+    /// Whether no other run of the same call can have made child calls: the call has a key, and the
+    /// key's home node starts only one run. `on_run_ended` handles a run that is refused after it
+    /// made child calls.
     fn is_first_run(&self, run: RunId) -> bool {
         let owner = self.jobs.get(&run).map(|job| job.owner);
         matches!(owner, Some(JobOwner::Key(_)))
     }
 
-    /// A child's key comes from its action and its place among like calls of the same run, so that
-    /// a second run of the same action makes the same keys and no second child.
+    /// Derives the key of a child call from its place in the call tree and its number among equal
+    /// calls of the same run, so that a second run generates the same keys and starts no second
+    /// child.
     fn child_key(
         &mut self,
         run: RunId,
@@ -351,6 +360,7 @@
         }
     }
 
+    /// Enters a request in the table of requests in flight, and starts its call.
     fn open_request(&mut self, now: Time, draft: Draft) {
         let token = draft.token;
         let open = OpenRequest {
@@ -373,7 +383,7 @@
         self.start_call(now, draft);
     }
 
-    /// Ends a request: one answer, at once, and the unspent retries go back to the parent.
+    /// Ends a request: answers it once, and returns the unspent retries to the run that made it.
     pub(crate) fn close_request(
         &mut self,
         now: Time,
@@ -414,7 +424,7 @@
         });
     }
 
-    /// Refuses a request that was never opened.
+    /// Answers a request that was never opened with a refusal.
     pub(crate) fn refuse(&mut self, token: Token, refusal: Refusal) {
         self.count(Counter::NotRun(refusal.reason));
         let outcome = Outcome::NotRun(refusal);
@@ -425,6 +435,7 @@
         });
     }
 
+    /// Stops the work for a request whose caller has disconnected.
     pub(crate) fn on_caller_gone(&mut self, now: Time, token: Token) {
         if self.unfollow(token) || self.stop_waiting_for_quota(token) {
             return;
@@ -435,7 +446,8 @@
     }
 }
 
-/// The time that a request has waited for a token is part of what it has.
+/// Limits a request's deadline to the time-outs of its operation and its caller. Both started when
+/// the request arrived, so time that it waited for a quota token counts.
 fn limit_deadline(mut draft: Draft, now: Time, patience: Option<Duration>, latest: Time) -> Draft {
     draft.deadline = draft.deadline.min(latest);
     if let Some(patience) = patience {
--- a/crates/engine/src/keyed_calls.rs
+++ b/crates/engine/src/keyed_calls.rs
@@ -1,4 +1,4 @@
-//! Calls with a key, at the key's home.
+//! Calls with an idempotency key, at the key's home node.
 
 use crate::job::JobOwner;
 use crate::serve::Inbound;
@@ -26,21 +26,22 @@
 use std::time::Duration;
 use stdx::Time;
 
-/// The most calls that wait for slots on their way.
+/// The most calls that wait for the transfer of their slots.
 const MAX_HELD_CALLS: usize = 1024;
 
-/// How long a call waits for a slot on its way.
+/// How long a call waits for the transfer of its slot.
 const MAX_HOLD_TIME: Duration = Duration::from_secs(2);
 
-/// The run of a key that is under way.
+/// The run of a key that is in progress.
 #[derive(Debug)]
 pub(crate) struct KeyRun {
-    /// `None` if it runs at an earlier home.
+    /// `None` if the run is at an earlier home node.
     run: Option<RunId>,
+    /// The calls that are answered when the run ends.
     waiting_calls: Vec<CallId>,
 }
 
-/// A call that waits for its slot.
+/// A call that waits for the transfer of its slot.
 #[derive(Debug)]
 pub(crate) struct HeldCall {
     call: Call,
@@ -48,10 +49,11 @@
     until: Time,
 }
 
-/// Calls that wait for their slots, by id.
+/// Calls that wait for the transfers of their slots, by id.
 pub(crate) type HeldCalls = IndexMap<CallId, HeldCall>;
 
 impl Engine {
+    /// Starts a run for a call, attaches the call to one, holds it, or answers it from the record.
     pub(crate) fn on_keyed_call(&mut self, now: Time, call: Call) {
         let (id, allowance) = (call.id, call.allowance);
         let Some((key, fingerprint)) = call.key else {
@@ -86,25 +88,27 @@
         self.offer(now, run);
     }
 
-    /// A re-send waits for the run in flight. What it was lent is not given back, as if it were
-    /// spent: too few retries do no harm, too many do.
+    /// Attaches a repeated call to the run in progress. The retries lent with the call count as
+    /// spent and are not returned: too few retries do no harm, too many do.
     fn attach_to_run(&mut self, key: KeyHash, id: CallId) {
-        let work = self.key_runs.entry(key).or_insert_with(|| KeyRun {
+        let key_run = self.key_runs.entry(key).or_insert_with(|| KeyRun {
             run: None,
             waiting_calls: Vec::new(),
         });
-        work.waiting_calls.push(id);
+        key_run.waiting_calls.push(id);
         self.add_waiting_call(key, id);
         self.count(Counter::ResendAttached);
     }
 
+    /// Enters a call that waits for a key in the table of calls to answer.
     fn add_waiting_call(&mut self, key: KeyHash, id: CallId) {
         let work = Work::Key(key);
         self.inbound.insert(id, Inbound { work });
     }
 
-    /// The slot is on its way. A refusal would send the call round the nodes while the records are
-    /// under way for a few milliseconds; so it waits, for a bounded time, in a bounded table.
+    /// Holds a call until its slot has been transferred to this node. A refusal would send the call
+    /// from node to node during the few milliseconds of the transfer. Both the time and the number
+    /// of held calls are bounded.
     fn hold_call(&mut self, now: Time, key: KeyHash, call: Call) {
         let (id, allowance) = (call.id, call.allowance);
         if self.held_calls.len() >= MAX_HELD_CALLS {
@@ -123,24 +127,25 @@
         Some(held)
     }
 
-    /// A call has waited long enough.
+    /// Refuses a call whose slot did not arrive in time.
     pub(crate) fn on_hold_timeout(&mut self, id: CallId) {
         if let Some(held) = self.take_held(id) {
             self.answer_call(id, held.call.allowance, self.not_run(Reason::Moving));
         }
     }
 
+    /// Drops a held call whose caller has disconnected.
     pub(crate) fn cancel_held(&mut self, id: CallId) {
         if let Some(held) = self.take_held(id) {
             self.answer_call(id, held.call.allowance, self.not_run(Reason::CallerGone));
         }
     }
 
-    /// Calls that waited begin again.
-    fn release_held_calls(&mut self, now: Time, may_go_on: impl Fn(KeyHash) -> bool) {
+    /// Handles the held calls whose keys pass the filter as if they had just arrived.
+    fn release_held_calls(&mut self, now: Time, may_continue: impl Fn(KeyHash) -> bool) {
         let waiting = self.held_calls.iter();
         let waiting: Vec<CallId> = waiting
-            .filter(|(_, held)| may_go_on(held.key))
+            .filter(|(_, held)| may_continue(held.key))
             .map(|(id, _)| *id)
             .collect();
         for id in waiting {
@@ -154,7 +159,7 @@
         }
     }
 
-    /// The run of a key has ended: the record first, then everyone who waits.
+    /// Ends the run of a key: first updates its record, then answers all calls that wait for it.
     pub(crate) fn finish_keyed_run(
         &mut self,
         now: Time,
@@ -168,28 +173,28 @@
             Outcome::Unknown(_) => End::Unknown,
         };
         let effects = self.home.finish(now, key, end);
-        let Some(work) = self.key_runs.swap_remove(&key) else {
+        let Some(key_run) = self.key_runs.swap_remove(&key) else {
             return self.apply_home(now, effects);
         };
-        for (id, first) in work.waiting_calls.into_iter().zip((0..).map(|n| n == 0)) {
+        for (id, first) in key_run.waiting_calls.into_iter().zip((0..).map(|n| n == 0)) {
             let unspent = if first { unspent } else { 0 };
             self.answer_call(id, unspent, outcome.clone());
         }
         self.apply_home(now, effects);
     }
 
-    /// A caller has gone. A run that began goes on and keeps its record; only one that nobody
-    /// waits for any more and that never left the queue is taken back.
+    /// Removes a call whose caller has disconnected. A run that has started continues and keeps its
+    /// record. It is withdrawn only if it is still queued and no other call waits for it.
     pub(crate) fn cancel_keyed_call(&mut self, now: Time, key: KeyHash, id: CallId) {
         self.inbound.swap_remove(&id);
-        let Some(work) = self.key_runs.get_mut(&key) else {
+        let Some(key_run) = self.key_runs.get_mut(&key) else {
             return;
         };
-        work.waiting_calls.retain(|waiting| *waiting != id);
-        if !work.waiting_calls.is_empty() {
+        key_run.waiting_calls.retain(|waiting| *waiting != id);
+        if !key_run.waiting_calls.is_empty() {
             return;
         }
-        let run = work.run;
+        let run = key_run.run;
         match run {
             Some(run) if self.withdraw(run) => self.withdraw_job(now, run),
             Some(_) => {}
@@ -199,7 +204,8 @@
         }
     }
 
-    /// Whether a job may start now, and for how long it may still be on its way to the server.
+    /// Checks whether a job may start now. Returns the time within which it must reach the backend
+    /// server, if that is limited.
     pub(crate) fn start_permit(
         &mut self,
         now: Time,
@@ -216,7 +222,7 @@
         self.apply_home(now, effects);
     }
 
-    /// Frames about slots and records; `false` for all others.
+    /// Handles frames about slots and records, and returns `false` for all others.
     pub(crate) fn on_home_frame(&mut self, now: Time, from: Incarnation, frame: Frame) -> bool {
         let effects = match frame {
             Frame::Transfer(transfer) => self.home.on_transfer(now, *transfer),
@@ -236,9 +242,11 @@
         }
     }
 
-    /// Takes the service's views from the topic's state, if they are newer than the home's, one by
-    /// one. A state that was taken from a peer may have skipped more than it remembers, and after
-    /// departures that were forgotten nobody can tell what was before the first view.
+    /// Applies, one by one, the views of this service that are newer than the last one applied.
+    ///
+    /// If views in between are unknown, the newest one is applied as a baseline. That is so if a
+    /// state that was fetched from a peer skips more views than its history covers, or if
+    /// departures were dropped from the state before this node applied its first view.
     pub(crate) fn apply_new_views(&mut self, now: Time) {
         let Some(view) = self.journal.view(&self.own_instance.service) else {
             return;
@@ -263,16 +271,16 @@
         }
     }
 
-    /// Stops starting work as a home, before the log is told that this node leaves.
+    /// Stops starting runs of keys, before the record that this node leaves is appended.
     pub(crate) fn leave_home(&mut self, now: Time) {
         let effects = self.home.leave(now);
         self.apply_home(now, effects);
     }
 
-    /// Whether all slots have been taken by other homes, or have been offered for long enough.
+    /// Whether other home nodes have taken over all slots, or have had enough time to do so.
     pub(crate) fn has_handed_over(&mut self, now: Time) -> bool {
-        let unheard = self.is_listed() && self.log.has_given_up();
-        if unheard || (!self.is_listed() && self.home.is_handed_over()) {
+        let leave_failed = self.is_listed() && self.log.has_given_up();
+        if leave_failed || (!self.is_listed() && self.home.is_handed_over()) {
             return true;
         }
         let ends = *self.handover_deadline.get_or_insert_with(|| {
@@ -318,16 +326,16 @@
         }
     }
 
-    /// A run at an earlier home has ended: whoever waits here begins again and finds its end.
+    /// Answers the calls that wait here for a run at an earlier home node, which has ended.
     fn on_run_ended_elsewhere(&mut self, key: KeyHash) {
         if self
             .key_runs
             .get(&key)
-            .is_none_or(|work| work.run.is_some())
+            .is_none_or(|key_run| key_run.run.is_some())
         {
             return;
         }
-        let Some(work) = self.key_runs.swap_remove(&key) else {
+        let Some(key_run) = self.key_runs.swap_remove(&key) else {
             return;
         };
         let outcome = match self.home.known(key) {
@@ -335,14 +343,14 @@
             Begin::NotRun(reason) => self.not_run(reason),
             _ => Outcome::Unknown(Reason::RecordLost),
         };
-        for id in work.waiting_calls {
+        for id in key_run.waiting_calls {
             self.answer_call(id, 0, outcome.clone());
         }
     }
 
-    /// A queued run is taken back, because its slot moves; its callers go to the new home.
+    /// Withdraws a queued run because its slot moves. Its callers are sent to the new home node.
     fn recall_queued_run(&mut self, now: Time, key: KeyHash) {
-        let run = self.key_runs.get(&key).and_then(|work| work.run);
+        let run = self.key_runs.get(&key).and_then(|key_run| key_run.run);
         let Some(run) = run.filter(|run| self.server.withdraw(run.number)) else {
             return;
         };
@@ -350,8 +358,8 @@
         self.end_job(now, run, Outcome::NotRun(refusal));
     }
 
-    /// An incarnation that departed never comes back. One that never saw itself in a view has
-    /// nothing to hand over and ends at once; left running, it would ask to join for ever.
+    /// Stops this node if it has departed before it joined. A departed incarnation is never listed
+    /// again, so the node would try to join for ever, and it has nothing to hand over.
     pub(crate) fn check_departed(&mut self, now: Time) {
         let departed = self
             .journal
@@ -362,8 +370,9 @@
         }
     }
 
-    /// The views leave this incarnation out for good. It takes nothing new, ends what is in
-    /// flight, and the shell starts another incarnation.
+    /// Stops this node because the views no longer list its incarnation and never will again. It
+    /// accepts no new work and finishes what is in flight; the node program then starts another
+    /// incarnation.
     pub(crate) fn expel(&mut self, now: Time) {
         self.count(Counter::Expelled);
         self.on_stop(now);
