--- a/crates/engine/tests/allowance.rs
+++ b/crates/engine/tests/allowance.rs
@@ -1,5 +1,5 @@
-//! Retries over whole call trees: engines for 15 services, two instances each, and backend servers
-//! that refuse and break off, with answers lost and connections cut.
+//! Retry allowances in complete call trees: engines for 15 services with two instances each,
+//! backend servers that refuse calls or drop connections, lost answers and unreachable nodes.
 
 use bilberry_engine::Config;
 use bilberry_engine::Engine;
@@ -26,15 +26,15 @@
 
 const DEPTH: usize = 15;
 
-/// One call of a tree: what it calls, and what goes wrong at it.
+/// One call of a tree, and the faults of its attempts.
 #[derive(Debug, Clone)]
 struct Call {
     parent: usize,
     keyed: bool,
-    /// Children are called at once, not one after another.
+    /// The child calls are made all at once, not one after another.
     parallel: bool,
-    /// How the first, second, ... run of it ends; whole after these.
-    ends: Vec<Fault>,
+    /// The faults of its first, second, ... attempt; the attempts after these succeed.
+    faults_by_attempt: Vec<Fault>,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -47,7 +47,7 @@
     Unreachable,
 }
 
-fn calls() -> impl Strategy<Value = Vec<Call>> {
+fn call_trees() -> impl Strategy<Value = Vec<Call>> {
     let fault = prop_oneof![
         3 => Just(Fault::None),
         1 => Just(Fault::RefusedAtOnce),
@@ -64,52 +64,62 @@
     );
     prop::collection::vec(call, 1..40).prop_map(|calls| {
         let calls = calls.into_iter().enumerate();
-        let call =
-            |(index, (parent, keyed, parallel, ends)): (usize, (prop::sample::Index, _, _, _))| {
-                // Late parents make deep trees.
-                let parent = if index == 0 {
-                    0
-                } else {
-                    index - 1 - parent.index(index.min(3))
-                };
-                Call {
-                    parent,
-                    keyed,
-                    parallel,
-                    ends,
-                }
+        let call = |(index, (parent, keyed, parallel, faults_by_attempt)): (
+            usize,
+            (prop::sample::Index, _, _, _),
+        )| {
+            // Parents with a high index make deep trees.
+            let parent = if index == 0 {
+                0
+            } else {
+                index - 1 - parent.index(index.min(3))
             };
+            Call {
+                parent,
+                keyed,
+                parallel,
+                faults_by_attempt,
+            }
+        };
         calls.map(call).collect()
     })
 }
 
-/// A run on a backend server that is under way.
+/// A run in progress on a backend server.
 struct Run {
-    at: usize,
+    node: usize,
     call: usize,
-    end: Fault,
-    left: Vec<usize>,
-    waiting: usize,
+    fault: Fault,
+    /// Child calls that are still to be made.
+    unstarted: Vec<usize>,
+    /// How many child calls are in flight.
+    in_flight: usize,
 }
 
-struct World {
+/// Delivers messages between all engines, and plays their backend servers with the faults of a call
+/// tree.
+struct Simulation {
     calls: Vec<Call>,
+    /// The depth of each call in the tree, which is also its service.
     depths: Vec<usize>,
     engines: Vec<Engine>,
     now: Time,
     inputs: VecDeque<(usize, Input)>,
     runs: IndexMap<RunId, Run>,
     tokens: IndexMap<Token, RunId>,
-    runs_of: IndexMap<usize, usize>,
-    /// What happens to each attempt at the network.
+    /// How many attempts were made of each call.
+    attempts_by_call: IndexMap<usize, usize>,
+    /// The fault of each attempt.
     faults: IndexMap<CallId, Fault>,
+    /// The attempts that were sent over the network.
     attempts: IndexSet<CallId>,
-    keyed_runs: IndexMap<usize, usize>,
+    /// How many runs of each call were started.
+    runs_by_call: IndexMap<usize, usize>,
     next_token: u64,
     answer: Option<Outcome>,
 }
 
-impl World {
+impl Simulation {
     fn new(calls: Vec<Call>, allowance: u16) -> Self {
         let mut depths = vec![0; calls.len()];
         for index in 1..calls.len() {
@@ -136,7 +146,7 @@
             .collect();
         let mut cfg = Config::default();
         cfg.policy.retry_budget = false;
-        let mut world = Self {
+        let mut simulation = Self {
             calls,
             depths,
             engines: instances
@@ -147,42 +157,42 @@
             inputs: VecDeque::new(),
             runs: IndexMap::new(),
             tokens: IndexMap::new(),
-            runs_of: IndexMap::new(),
+            attempts_by_call: IndexMap::new(),
             faults: IndexMap::new(),
             attempts: IndexSet::new(),
-            keyed_runs: IndexMap::new(),
+            runs_by_call: IndexMap::new(),
             next_token: 0,
             answer: None,
         };
-        for at in 0..world.engines.len() {
-            world
+        for node in 0..simulation.engines.len() {
+            simulation
                 .inputs
-                .push_back((at, Input::Records(records.clone())));
-            world.inputs.push_back((at, Input::LogRead));
+                .push_back((node, Input::Records(records.clone())));
+            simulation.inputs.push_back((node, Input::LogRead));
         }
-        world
+        simulation
     }
 
-    /// Sends the root and gives its answer.
+    /// Sends the root request and returns its outcome.
     fn run(&mut self) -> Outcome {
-        self.work();
-        self.request(2 * DEPTH, None, 0);
-        self.work();
-        // Leases and reports aside, nothing but deadlines is due now.
-        self.answer.take().expect("the caller gets an answer")
+        self.process_inputs();
+        self.send_request(2 * DEPTH, None, 0);
+        self.process_inputs();
+        // Apart from leases and reports, only deadlines are due now.
+        self.answer.take().expect("the root request is answered")
     }
 
-    fn work(&mut self) {
-        while let Some((at, input)) = self.inputs.pop_front() {
+    fn process_inputs(&mut self) {
+        while let Some((node, input)) = self.inputs.pop_front() {
             self.now = self.now + Duration::from_millis(1);
-            let outputs = self.engines[at].handle(self.now, input);
+            let outputs = self.engines[node].handle(self.now, input);
             for output in outputs {
-                self.output(at, output);
+                self.handle_output(node, output);
             }
         }
     }
 
-    fn request(&mut self, at: usize, parent: Option<RunId>, call: usize) {
+    fn send_request(&mut self, node: usize, parent: Option<RunId>, call: usize) {
         self.next_token += 1;
         let token = Token(self.next_token);
         if let Some(run) = parent {
@@ -195,7 +205,7 @@
         };
         let service = format!("s{}", self.depths[call]);
         self.inputs.push_back((
-            at,
+            node,
             Input::Request {
                 credential: None,
                 token,
@@ -209,10 +219,10 @@
         ));
     }
 
-    fn output(&mut self, at: usize, output: Output) {
+    fn handle_output(&mut self, node: usize, output: Output) {
         match output {
-            Output::Send { to, frame } => self.send(at, to.incarnation, frame),
-            Output::Run { run, request, .. } => self.start(at, run, &request),
+            Output::Send { to, frame } => self.send_frame(node, to.incarnation, frame),
+            Output::Run { run, request, .. } => self.start_run(node, run, &request),
             Output::Answer { token, outcome, .. } => match self.tokens.swap_remove(&token) {
                 Some(run) => self.child_ended(run),
                 None => self.answer = Some(outcome),
@@ -221,22 +231,25 @@
         }
     }
 
-    fn send(&mut self, at: usize, to: Incarnation, frame: Frame) {
-        let from = Incarnation(at as u64);
+    fn send_frame(&mut self, node: usize, to: Incarnation, frame: Frame) {
+        let from = Incarnation(node as u64);
         match &frame {
             Frame::Call(call) => {
                 let index = index(&call.request);
                 if !self.faults.contains_key(&call.id) {
-                    let run = self.runs_of.entry(index).or_insert(0);
-                    let ends = &self.calls[index].ends;
-                    let fault = ends.get(*run).copied().unwrap_or(Fault::None);
-                    *run += 1;
+                    let attempt_count = self.attempts_by_call.entry(index).or_insert(0);
+                    let faults_by_attempt = &self.calls[index].faults_by_attempt;
+                    let fault = faults_by_attempt
+                        .get(*attempt_count)
+                        .copied()
+                        .unwrap_or(Fault::None);
+                    *attempt_count += 1;
                     self.faults.insert(call.id, fault);
                 }
                 if self.faults[&call.id] == Fault::Unreachable {
                     let unsent = vec![frame];
                     let input = Input::PeerUnreachable { peer: to, unsent };
-                    return self.inputs.push_back((at, input));
+                    return self.inputs.push_back((node, input));
                 }
                 self.attempts.insert(call.id);
             }
@@ -251,57 +264,60 @@
             .push_back((to.0 as usize, Input::Frame { from, frame }));
     }
 
-    fn start(&mut self, at: usize, run: RunId, request: &Request) {
+    fn start_run(&mut self, node: usize, run: RunId, request: &Request) {
         let call = index(request);
-        *self.keyed_runs.entry(call).or_insert(0) += 1;
-        let nth = self.runs_of[&call] - 1;
-        let end = self.calls[call].ends.get(nth).copied();
-        let end = end.unwrap_or(Fault::None);
-        let mut left: Vec<usize> = (1..self.calls.len())
+        *self.runs_by_call.entry(call).or_insert(0) += 1;
+        let attempt = self.attempts_by_call[&call] - 1;
+        let fault = self.calls[call].faults_by_attempt.get(attempt).copied();
+        let fault = fault.unwrap_or(Fault::None);
+        let mut unstarted: Vec<usize> = (1..self.calls.len())
             .filter(|child| self.calls[*child].parent == call && self.depths[*child] < DEPTH)
             .collect();
-        if end == Fault::RefusedAtOnce {
-            left.clear();
+        if fault == Fault::RefusedAtOnce {
+            unstarted.clear();
         }
-        let waiting = 0;
+        let in_flight = 0;
         self.runs.insert(
             run,
             Run {
-                at,
+                node,
                 call,
-                end,
-                left,
-                waiting,
+                fault,
+                unstarted,
+                in_flight,
             },
         );
-        self.go_on(run);
+        self.continue_run(run);
     }
 
     fn child_ended(&mut self, run: RunId) {
-        self.runs[&run].waiting -= 1;
-        self.go_on(run);
+        self.runs[&run].in_flight -= 1;
+        self.continue_run(run);
     }
 
-    /// Sends the next children, or ends the run.
-    fn go_on(&mut self, id: RunId) {
+    /// Makes the next child calls, or ends the run.
+    fn continue_run(&mut self, id: RunId) {
         let run = &mut self.runs[&id];
-        if run.waiting > 0 {
+        if run.in_flight > 0 {
             return;
         }
-        let many = if self.calls[run.call].parallel {
-            run.left.len()
+        let count = if self.calls[run.call].parallel {
+            run.unstarted.len()
         } else {
-            run.left.len().min(1)
+            run.unstarted.len().min(1)
         };
-        if many > 0 {
-            run.waiting = many;
-            let (at, children) = (run.at, run.left.split_off(run.left.len() - many));
+        if count > 0 {
+            run.in_flight = count;
+            let (node, children) = (
+                run.node,
+                run.unstarted.split_off(run.unstarted.len() - count),
+            );
             for child in children {
-                self.request(at, Some(id), child);
+                self.send_request(node, Some(id), child);
             }
             return;
         }
-        let end = match run.end {
+        let end = match run.fault {
             Fault::RefusedAtOnce | Fault::RefusedAfterChildren => {
                 RunEnd::Refused { retry_after: None }
             }
@@ -313,7 +329,7 @@
             }),
         };
         let input = Input::RunEnded { run: id, end };
-        self.inputs.push_back((run.at, input));
+        self.inputs.push_back((run.node, input));
     }
 }
 
@@ -328,25 +344,35 @@
 }
 
 fn index(request: &Request) -> usize {
-    request.path[1..].parse().expect("the path is the index")
+    request.path[1..]
+        .parse()
+        .expect("the path is the index of the call")
 }
 
-/// Retries at every hop multiply: three at each of 15 hops are millions of attempts at the last,
-/// and the overload that made them goes on by itself. The users' bound is one attempt for each call
-/// of the tree and the root's allowance, whatever is refused, lost or cut on the way.
+/// Runs a call tree with its faults and checks the number of attempts.
+///
+/// Retries at every hop multiply: three at each of 15 hops are millions of attempts at the last
+/// hop, and the overload that causes them then sustains itself. The required bound is one attempt
+/// for each call of the tree plus the root's allowance, whichever calls are refused, lost or cut
+/// off.
 fn check_attempts(calls: Vec<Call>, allowance: u16) -> Result<(), TestCaseError> {
-    let mut world = World::new(calls, allowance);
-    world.run();
-    prop_assert!(!world.attempts.is_empty() || world.calls[0].ends.contains(&Fault::Unreachable));
-    let edges = (0..world.calls.len()).filter(|call| world.depths[*call] < DEPTH);
+    let mut simulation = Simulation::new(calls, allowance);
+    simulation.run();
+    prop_assert!(
+        !simulation.attempts.is_empty()
+            || simulation.calls[0]
+                .faults_by_attempt
+                .contains(&Fault::Unreachable)
+    );
+    let edges = (0..simulation.calls.len()).filter(|call| simulation.depths[*call] < DEPTH);
     let bound = edges.count() + usize::from(allowance);
     prop_assert!(
-        world.attempts.len() <= bound,
+        simulation.attempts.len() <= bound,
         "{} attempts, {bound} allowed",
-        world.attempts.len()
+        simulation.attempts.len()
     );
-    for (call, runs) in &world.keyed_runs {
-        prop_assert!(!world.calls[*call].keyed || *runs <= 1 + usize::from(allowance));
+    for (call, runs) in &simulation.runs_by_call {
+        prop_assert!(!simulation.calls[*call].keyed || *runs <= 1 + usize::from(allowance));
     }
     Ok(())
 }
@@ -360,8 +386,8 @@
     })]
 
     #[test]
-    fn attempts_never_exceed_the_calls_and_the_allowance(
-        calls in calls(),
+    fn attempts_never_exceed_calls_plus_allowance(
+        calls in call_trees(),
         allowance in 0_u16..6,
     ) {
         check_attempts(calls, allowance)?;
--- a/crates/engine/tests/announced.rs
+++ b/crates/engine/tests/announced.rs
@@ -1,4 +1,5 @@
-//! A backend server that announces itself, routes by host, and calls that their entry owns.
+//! Backend servers that send heartbeats, routes by host, and keyless calls that are owned by the
+//! node that accepted them.
 
 use bilberry_engine::Announcement;
 use bilberry_engine::Config;
@@ -31,7 +32,7 @@
     Time::from_micros(ms * 1000)
 }
 
-/// One route to `press`, whose prefix is the text of the file.
+/// Rules with one route to `press`, whose path prefix is the text of the file.
 fn parse(file: &str) -> Option<Rules> {
     let service: Arc<str> = "press".into();
     let route = Route {
@@ -58,26 +59,26 @@
     Some(Rules::with_routes(routes))
 }
 
-/// The same, with a place where its servers say whether they are healthy.
+/// The same rules, with a path for health checks of the servers.
 fn parse_with_check(file: &str) -> Option<Rules> {
     let mut rules = parse(file)?;
     rules.health_paths.insert("press".into(), "/health".into());
     Some(rules)
 }
 
-/// A node beside a server of `press`, with rules in force.
+/// A node of the service `press`, with rules in force.
 fn node() -> Engine {
     node_with(parse)
 }
 
 fn node_with(parse_rules: journal::ParseRules) -> Engine {
-    let mut engine = without_rules(parse_rules);
+    let mut engine = node_without_rules(parse_rules);
     publish(&mut engine, 3, "/slots/");
     engine
 }
 
-fn without_rules(parse_rules: journal::ParseRules) -> Engine {
-    let me = Instance {
+fn node_without_rules(parse_rules: journal::ParseRules) -> Engine {
+    let instance = Instance {
         incarnation: proto::Incarnation(1),
         service: "press".into(),
         failure_domain: "milano-1".into(),
@@ -90,16 +91,16 @@
         server_announces: true,
         ..Config::default()
     };
-    Engine::new(cfg, me)
+    Engine::new(cfg, instance)
 }
 
-fn checked(id: &str, healthy: bool) -> Input {
+fn health_checked(id: &str, healthy: bool) -> Input {
     let id = id.into();
     Input::ServerChecked { id, healthy }
 }
 
-/// Which servers are to be asked, and where.
-fn checks(outputs: Vec<Output>) -> Vec<String> {
+/// The health checks that the node asks for: server and path.
+fn health_checks(outputs: Vec<Output>) -> Vec<String> {
     let checks = outputs.into_iter().filter_map(|output| match output {
         Output::CheckServer { id, path } => Some(format!("{id} {path}")),
         _ => None,
@@ -123,7 +124,7 @@
     }))
 }
 
-fn leaves(id: &str) -> Input {
+fn leave(id: &str) -> Input {
     Input::Server(Announcement::Leaves { id: id.into() })
 }
 
@@ -144,14 +145,14 @@
     }
 }
 
-/// Sends a request and gives the run that it led to, with the incarnation that it is meant for, or
-/// the reason why there was none.
-fn book(engine: &mut Engine, now: Time, token: u64) -> Result<(RunId, Arc<str>), Reason> {
-    outcome(engine.handle(now, request(token, "/slots/7")))
+/// Sends a booking and returns its run and the incarnation that the run is meant for, or the reason
+/// why there is no run.
+fn send_booking(engine: &mut Engine, now: Time, token: u64) -> Result<(RunId, Arc<str>), Reason> {
+    run_or_reason(engine.handle(now, request(token, "/slots/7")))
 }
 
-fn outcome(outputs: Vec<Output>) -> Result<(RunId, Arc<str>), Reason> {
-    let ends = outputs.into_iter().find_map(|output| match output {
+fn run_or_reason(outputs: Vec<Output>) -> Result<(RunId, Arc<str>), Reason> {
+    let outcome = outputs.into_iter().find_map(|output| match output {
         Output::Run { run, expect, .. } => Some(Ok((run, expect.unwrap()))),
         Output::Answer {
             outcome: Outcome::NotRun(refusal),
@@ -163,92 +164,97 @@
         } => Some(Err(reason)),
         _ => None,
     });
-    ends.expect("each request runs or is answered")
+    outcome.expect("the request should run or be answered")
 }
 
-fn server(engine: &mut Engine, now: Time) -> Result<Arc<str>, Reason> {
-    book(engine, now, 1).map(|(_, id)| id)
+/// Sends a booking and returns the incarnation that it runs on.
+fn serving_incarnation(engine: &mut Engine, now: Time) -> Result<Arc<str>, Reason> {
+    send_booking(engine, now, 1).map(|(_, id)| id)
 }
 
-/// A node starts before its server has said anything. Given work at once, the server might be one
-/// that is about to leave, and a booking would end with it.
+/// A node starts before its server's first heartbeat. The server may be about to leave, and a
+/// booking sent to it would be lost.
 #[test]
-fn a_server_gets_no_work_before_it_has_announced_itself() {
+fn server_gets_no_work_before_its_first_heartbeat() {
     let mut engine = node();
-    assert_eq!(server(&mut engine, at(1)), Err(Reason::NoInstance));
+    assert_eq!(
+        serving_incarnation(&mut engine, at(1)),
+        Err(Reason::NoInstance)
+    );
     engine.handle(at(2), heartbeat("a", 100, 1, false));
-    assert_eq!(server(&mut engine, at(3)), Ok("a".into()));
+    assert_eq!(serving_incarnation(&mut engine, at(3)), Ok("a".into()));
 }
 
-/// A server drains, and a heartbeat that it sent before arrives only now. Taken for news, it would
-/// bring bookings to a server that ends under them.
+/// A heartbeat that a server sent before it began to drain arrives late. If it were applied, the
+/// node would send bookings to a server that stops while they run.
 #[test]
-fn a_late_heartbeat_does_not_open_a_draining_server() {
+fn late_heartbeat_does_not_reopen_draining_server() {
     let mut engine = node();
     engine.handle(at(1), heartbeat("a", 100, 5, true));
     engine.handle(at(2), heartbeat("a", 100, 4, false));
-    assert!(server(&mut engine, at(3)).is_err());
+    assert!(serving_incarnation(&mut engine, at(3)).is_err());
 }
 
-/// A server crashes behind a cut, and another one starts at its address. The last heartbeat of the
-/// first arrives afterwards; believed, bookings would be meant for a server that is gone.
+/// A server crashes during a network partition, and another one starts at its address. The last
+/// heartbeat of the first arrives afterwards. If it were applied, bookings would be addressed to a
+/// server that no longer exists.
 #[test]
-fn a_heartbeat_of_an_earlier_incarnation_changes_nothing() {
+fn heartbeat_of_earlier_incarnation_is_ignored() {
     let mut engine = node();
     engine.handle(at(1), heartbeat("b", 200, 1, false));
     engine.handle(at(2), heartbeat("a", 100, 90, false));
-    assert_eq!(server(&mut engine, at(3)), Ok("b".into()));
+    assert_eq!(serving_incarnation(&mut engine, at(3)), Ok("b".into()));
 }
 
-/// A server takes its leave without draining first, and another heartbeat of it is still under way.
+/// A server leaves without draining first, and one more of its heartbeats is still in transit.
 #[test]
-fn a_server_that_has_left_stays_away_until_it_starts_again() {
+fn server_that_left_gets_no_work_until_it_restarts() {
     let mut engine = node();
     engine.handle(at(1), heartbeat("a", 100, 1, false));
-    engine.handle(at(2), leaves("a"));
+    engine.handle(at(2), leave("a"));
     engine.handle(at(3), heartbeat("a", 100, 2, false));
-    assert!(server(&mut engine, at(4)).is_err());
+    assert!(serving_incarnation(&mut engine, at(4)).is_err());
     engine.handle(at(5), heartbeat("a", 200, 1, false));
-    assert_eq!(server(&mut engine, at(6)), Ok("a".into()));
+    assert_eq!(serving_incarnation(&mut engine, at(6)), Ok("a".into()));
 }
 
-/// A server leaves while bookings wait for a place on it. Started later, they would reach it after
-/// its leave was acknowledged, when it may have stopped listening.
+/// A server drains while bookings are queued for it. Started later, they would reach the server
+/// after its leave was acknowledged, when it may have stopped listening.
 #[test]
-fn what_waits_for_a_server_that_leaves_is_given_back_at_once() {
+fn queued_calls_are_refused_at_once_when_server_drains() {
     let mut engine = node();
     engine.handle(at(1), heartbeat("a", 100, 1, false));
     for token in 0..19 {
-        assert!(book(&mut engine, at(2), token).is_ok());
+        assert!(send_booking(&mut engine, at(2), token).is_ok());
     }
-    let waiting = engine.handle(at(3), request(19, "/slots/7"));
+    let outputs = engine.handle(at(3), request(19, "/slots/7"));
     let answered = |output: &Output| matches!(output, Output::Answer { .. });
-    assert!(!waiting.iter().any(answered));
+    assert!(!outputs.iter().any(answered));
     let outputs = engine.handle(at(4), heartbeat("a", 100, 2, true));
-    // There is no other server that could take it.
-    assert_eq!(outcome(outputs), Err(Reason::NoInstance));
+    // There is no other server that the booking could be sent to.
+    assert_eq!(run_or_reason(outputs), Err(Reason::NoInstance));
 }
 
-/// Another service's server has the address by now, and says so. Nothing more is sent there, and
-/// the booking is said not to have run, because it has not.
+/// A server of another service now listens at the address, and reports that a request was
+/// misdirected. The node sends nothing more there, and answers that the booking did not run.
 #[test]
-fn a_server_at_the_address_of_another_gets_nothing_more() {
+fn misdirected_run_closes_server() {
     let mut engine = node();
     engine.handle(at(1), heartbeat("a", 100, 1, false));
-    let (run, _) = book(&mut engine, at(2), 1).unwrap();
+    let (run, _) = send_booking(&mut engine, at(2), 1).unwrap();
     let end = RunEnd::Misdirected;
     let outputs = engine.handle(at(3), Input::RunEnded { run, end });
-    assert!(outcome(outputs).is_err());
-    assert!(server(&mut engine, at(4)).is_err());
+    assert!(run_or_reason(outputs).is_err());
+    assert!(serving_incarnation(&mut engine, at(4)).is_err());
 }
 
-/// A booking's answer is lost with its connection. It may have run: sent to another server, a press
-/// slot would be taken twice.
+/// The connection breaks before a booking's answer has arrived, so the booking may have run. Sent
+/// to another server, it could book a press slot twice.
 #[test]
-fn a_booking_that_may_have_run_is_not_sent_again() {
+fn lost_non_idempotent_call_is_not_retried() {
     let mut engine = node();
     engine.handle(at(1), heartbeat("a", 100, 1, false));
-    let (run, _) = book(&mut engine, at(2), 1).unwrap();
+    let (run, _) = send_booking(&mut engine, at(2), 1).unwrap();
     let end = RunEnd::Lost;
     let outputs = engine.handle(at(3), Input::RunEnded { run, end });
     let answer = outputs.iter().find_map(|output| match output {
@@ -258,33 +264,36 @@
     assert_eq!(answer, Some(Outcome::Unknown(Reason::ServerLost)));
 }
 
-/// The same booking comes twice without a key. Two customers may well order alike; each of the two
-/// is run.
+/// The same booking arrives twice without a key. It may come from two customers with equal orders,
+/// so both have to run.
 #[test]
-fn two_bookings_that_look_alike_both_run() {
+fn identical_calls_without_key_both_run() {
     let mut engine = node();
     engine.handle(at(1), heartbeat("a", 100, 1, false));
-    let first = book(&mut engine, at(2), 1).unwrap();
-    let second = book(&mut engine, at(2), 2).unwrap();
+    let first = send_booking(&mut engine, at(2), 1).unwrap();
+    let second = send_booking(&mut engine, at(2), 2).unwrap();
     assert_ne!(first.0, second.0);
 }
 
-/// An older version arrives after a newer one, as from a peer that was cut off. In force again, it
-/// would send bookings where the operators no longer want them.
+/// An older rules version arrives after a newer one, as from a peer that was partitioned off. If it
+/// came into force again, bookings would be routed to where the operators no longer want them.
 #[test]
-fn an_older_version_never_comes_back() {
+fn older_rules_version_is_ignored() {
     let mut engine = node();
     engine.handle(at(1), heartbeat("a", 100, 1, false));
     publish(&mut engine, 5, "/days/");
     publish(&mut engine, 4, "/slots/");
     assert_eq!(engine.rules_version(), 5);
-    assert_eq!(server(&mut engine, at(2)), Err(Reason::NoSuchOperation));
+    assert_eq!(
+        serving_incarnation(&mut engine, at(2)),
+        Err(Reason::NoSuchOperation)
+    );
 }
 
-/// A node that was just started knows no version yet. Answered as if there were no such route, the
-/// caller would not come again.
+/// A node that has just started has no rules yet. If it answered that there is no such operation,
+/// the caller would not retry.
 #[test]
-fn without_a_version_nothing_is_said_to_be_unknown() {
+fn request_before_first_rules_is_refused_with_no_rules() {
     let mut engine = Engine::new(
         Config {
             parse_rules: parse,
@@ -298,16 +307,19 @@
             addr: ([127, 0, 0, 1], 7002).into(),
         },
     );
-    assert_eq!(server(&mut engine, at(1)), Err(Reason::NoRules));
+    assert_eq!(
+        serving_incarnation(&mut engine, at(1)),
+        Err(Reason::NoRules)
+    );
 }
 
-/// A server's call carries the id of the request that it serves in front of its own. When the
-/// request's caller leaves, the call is given up too; nobody waits for what it would bring.
+/// The id of a server's own call begins with the id of the request that it serves. When that
+/// request's caller disconnects, the call is cancelled too, because nothing needs its result.
 #[test]
-fn a_call_is_part_of_the_request_that_it_names() {
+fn child_call_is_cancelled_with_its_parent_request() {
     let mut engine = node();
     engine.handle(at(1), heartbeat("a", 100, 1, false));
-    book(&mut engine, at(2), 1).unwrap();
+    send_booking(&mut engine, at(2), 1).unwrap();
     let call = Input::Request {
         credential: None,
         token: Token(2),
@@ -322,72 +334,79 @@
             ..Request::new("", "POST", "/slots/8", Bytes::new())
         },
     };
-    let (run, _) = outcome(engine.handle(at(3), call)).unwrap();
+    let (run, _) = run_or_reason(engine.handle(at(3), call)).unwrap();
     let outputs = engine.handle(at(4), Input::CallerGone(Token(1)));
     assert!(outputs.contains(&Output::CancelRun(run)));
 }
 
-/// A server crashes and the next one starts at its address. A booking that was meant for the first
-/// is turned away by the second, which has announced itself meanwhile. Taken for gone with the
-/// first, the second one would stand idle for as long as it lives.
+/// A server crashes and the next one starts at its address. The next one has already sent a
+/// heartbeat when it rejects a booking addressed to the first as misdirected. If the node closed
+/// the next server for this, it would stay idle for as long as it lives.
 #[test]
-fn what_was_meant_for_an_earlier_incarnation_does_not_close_the_next_one() {
+fn misdirected_run_of_earlier_incarnation_does_not_close_the_next() {
     let mut engine = node();
     engine.handle(at(1), heartbeat("a", 100, 1, false));
-    let (run, _) = book(&mut engine, at(2), 1).unwrap();
+    let (run, _) = send_booking(&mut engine, at(2), 1).unwrap();
     engine.handle(at(3), heartbeat("b", 200, 1, false));
     let end = RunEnd::Misdirected;
     engine.handle(at(4), Input::RunEnded { run, end });
-    assert_eq!(server(&mut engine, at(5)), Ok("b".into()));
+    assert_eq!(serving_incarnation(&mut engine, at(5)), Ok("b".into()));
 }
 
-/// A node is stopped and started, and its server says goodbye to the new process, which has not heard
-/// of it yet. Then a heartbeat from before arrives late. Believed, it would bring bookings to a server
-/// that ends the next moment, and their outcome would be unknown.
+/// A node is restarted, and its server announces its leave to the new process, which does not know
+/// the server yet. Then an earlier heartbeat arrives late. If it opened the server, the node would
+/// send bookings to a server that is about to exit, and their outcome would be unknown.
 #[test]
-fn a_late_heartbeat_to_a_new_process_opens_nothing() {
+fn late_heartbeat_after_node_restart_opens_server_only_after_health_check() {
     let mut engine = node_with(parse_with_check);
-    engine.handle(at(10), leaves("a"));
-    let asked = checks(engine.handle(at(2000), heartbeat("a", 1, 24, false)));
-    assert_eq!(asked, ["a /health"]);
-    assert_eq!(server(&mut engine, at(2001)), Err(Reason::NoInstance));
+    engine.handle(at(10), leave("a"));
+    let requested = health_checks(engine.handle(at(2000), heartbeat("a", 1, 24, false)));
+    assert_eq!(requested, ["a /health"]);
+    assert_eq!(
+        serving_incarnation(&mut engine, at(2001)),
+        Err(Reason::NoInstance)
+    );
     assert_eq!(
-        checks(engine.handle(at(2002), checked("a", false))),
+        health_checks(engine.handle(at(2002), health_checked("a", false))),
         [""; 0]
     );
-    assert_eq!(server(&mut engine, at(2003)), Err(Reason::NoInstance));
-    // It may have been unwell for a moment only.
-    let asked = checks(engine.handle(at(3500), heartbeat("a", 1, 25, false)));
-    assert_eq!(asked, ["a /health"]);
-    engine.handle(at(3510), checked("a", true));
-    assert_eq!(server(&mut engine, at(3511)), Ok("a".into()));
+    assert_eq!(
+        serving_incarnation(&mut engine, at(2003)),
+        Err(Reason::NoInstance)
+    );
+    // The server may have been unhealthy only briefly, so the next heartbeat starts another check.
+    let requested = health_checks(engine.handle(at(3500), heartbeat("a", 1, 25, false)));
+    assert_eq!(requested, ["a /health"]);
+    engine.handle(at(3510), health_checked("a", true));
+    assert_eq!(serving_incarnation(&mut engine, at(3511)), Ok("a".into()));
 }
 
-/// Only the first server that a process hears is asked. A later one is told from those before by its
-/// start; asking each would keep its slots empty for a moment at the worst time.
+/// Only the first server that a node process receives a heartbeat from is checked. A later server
+/// is told apart from earlier ones by its start time. Checking it too would leave its slots empty
+/// for a moment just after a restart.
 #[test]
-fn a_server_that_starts_anew_is_not_asked() {
+fn restarted_server_needs_no_health_check() {
     let mut engine = node_with(parse_with_check);
     engine.handle(at(0), heartbeat("a", 1, 1, false));
-    engine.handle(at(1), checked("a", true));
+    engine.handle(at(1), health_checked("a", true));
     assert_eq!(
-        checks(engine.handle(at(2), heartbeat("a", 9, 1, false))),
+        health_checks(engine.handle(at(2), heartbeat("a", 9, 1, false))),
         [""; 0]
     );
-    assert_eq!(server(&mut engine, at(3)), Ok("a".into()));
+    assert_eq!(serving_incarnation(&mut engine, at(3)), Ok("a".into()));
 }
 
-/// A server announces itself before the rules are there, which say where to ask it.
+/// A server's first heartbeat arrives before the rules, which contain the path for the check.
 #[test]
-fn a_server_is_asked_once_rules_are_in_force() {
-    let mut engine = without_rules(parse_with_check);
+fn first_health_check_waits_for_rules() {
+    let mut engine = node_without_rules(parse_with_check);
     assert_eq!(
-        checks(engine.handle(at(0), heartbeat("a", 1, 1, false))),
+        health_checks(engine.handle(at(0), heartbeat("a", 1, 1, false))),
         [""; 0]
     );
     let version = Input::Published {
         version: 3,
         file: "/slots/".into(),
     };
-    assert_eq!(checks(engine.handle(at(1), version)), ["a /health"]);
+    assert_eq!(health_checks(engine.handle(at(1), version)), ["a /health"]);
 }
--- a/crates/engine/tests/datagrams.rs
+++ b/crates/engine/tests/datagrams.rs
@@ -1,4 +1,4 @@
-//! Datagrams that a node cannot take.
+//! Datagrams that a node cannot process.
 
 use bilberry_engine::Config;
 use bilberry_engine::Counter;
@@ -13,9 +13,10 @@
 use proto::PROTOCOL_VERSION;
 use stdx::Time;
 
-/// What an engine counts for a pull of this version, and whether it answers.
-fn check(version: u16, counted: &[Counter], answers: bool) {
-    let me = Instance {
+/// Checks what an engine counts when it receives a pull message of this protocol version, and
+/// whether it answers.
+fn check_pull(version: u16, counted: &[Counter], answers: bool) {
+    let instance = Instance {
         incarnation: Incarnation(1),
         service: "press".into(),
         failure_domain: "milano-1".into(),
@@ -30,7 +31,7 @@
         },
     };
     let from = ([127, 0, 0, 1], 7001).into();
-    let mut engine = Engine::new(Config::default(), me);
+    let mut engine = Engine::new(Config::default(), instance);
     let outputs = engine.handle(Time::ZERO, Input::Datagram { from, datagram });
     let counters = outputs.iter().filter_map(|output| match output {
         Output::Count(counter) => Some(*counter),
@@ -41,11 +42,11 @@
     assert_eq!(outputs.iter().any(answered), answers);
 }
 
-/// Nodes of two versions run side by side during an upgrade. What the other version means is not
-/// known, and an operator has to be able to tell this from nonsense.
+/// During an upgrade nodes of two versions run side by side. A node cannot interpret a datagram of
+/// another version, and an operator has to be able to tell such datagrams from malformed ones.
 #[test]
-fn a_datagram_of_another_version_is_counted_and_not_answered() {
-    check(PROTOCOL_VERSION, &[], true);
-    let wrong = Counter::Link(LinkEvent::WrongVersion);
-    check(PROTOCOL_VERSION + 1, &[wrong], false);
+fn datagram_of_other_version_is_counted_and_not_answered() {
+    check_pull(PROTOCOL_VERSION, &[], true);
+    let wrong_version = Counter::Link(LinkEvent::WrongVersion);
+    check_pull(PROTOCOL_VERSION + 1, &[wrong_version], false);
 }
--- a/crates/engine/tests/duplicates.rs
+++ b/crates/engine/tests/duplicates.rs
@@ -1,4 +1,4 @@
-//! A call that comes twice over two connections is the same call.
+//! Calls that arrive twice, over two connections, and must run only once.
 
 use bilberry_engine::Config;
 use bilberry_engine::Engine;
@@ -33,7 +33,7 @@
     }
 }
 
-/// A node that has rules and knows the caller's node.
+/// A node that has rules and knows the node that the calls come from.
 fn engine() -> Engine {
     let publish = Record::Publish {
         version: 1,
@@ -81,9 +81,14 @@
     }
 }
 
-/// Feeds a call, lets its run end with a body of this many bytes, and gives whether it ran and how
-/// it was answered.
-fn check(engine: &mut Engine, now: Time, number: u64, bytes: usize) -> (bool, Option<Outcome>) {
+/// Receives a call and ends its run with a body of this many bytes. Returns whether the call ran,
+/// and its answer.
+fn handle_call(
+    engine: &mut Engine,
+    now: Time,
+    number: u64,
+    bytes: usize,
+) -> (bool, Option<Outcome>) {
     let mut outputs = engine.handle(now, call(number));
     let runs = outputs.iter().filter_map(|output| match output {
         Output::Run { run, .. } => Some(*run),
@@ -110,19 +115,20 @@
     (!runs.is_empty(), answer)
 }
 
-/// A connection goes silent, the call comes again over the next one, and is answered. Much later
-/// the old connection's buffer is read after all. A caller that was told that nothing had run
-/// would find that it had, and a lookup would use a backend server for nobody.
+/// A connection stops responding, and the call is sent again over the next one and answered. Much
+/// later the old connection's buffer is read after all, when the answer may have been evicted from
+/// the cache. If the copy ran, a caller could have been told that nothing had run although it did,
+/// and a lookup would use a backend server without anyone waiting for the result.
 #[test]
-fn a_late_copy_of_a_call_does_not_run_when_its_answer_is_forgotten() {
+fn late_copy_of_call_does_not_run_after_its_answer_was_evicted() {
     for (others, bytes) in [(10, 0), (300, 0), (10_000, 0), (10, 1 << 20)] {
         let mut engine = engine();
         let mut now = Time::ZERO;
         for number in 1..=others {
             now = now + Duration::from_millis(10);
-            assert!(check(&mut engine, now, number, bytes).0, "{number}");
+            assert!(handle_call(&mut engine, now, number, bytes).0, "{number}");
         }
-        let (ran, answer) = check(&mut engine, now, 1, bytes);
+        let (ran, answer) = handle_call(&mut engine, now, 1, bytes);
         assert!(!ran, "after {others} calls of {bytes} bytes");
         assert!(
             !matches!(answer, None | Some(Outcome::NotRun(_))),
@@ -131,19 +137,19 @@
     }
 }
 
-/// A call's connection goes silent while its answer is on the way. The call comes again over a new
-/// connection within seconds and gets the answer, not another run.
+/// A call's connection stops responding before its answer has arrived. The call is sent again over
+/// a new connection within seconds, and gets the same answer without another run.
 #[test]
-fn a_call_that_comes_again_gets_its_answer() {
+fn resent_call_gets_its_first_answer() {
     let mut engine = engine();
-    let (ran, first) = check(&mut engine, Time::ZERO, 1, 10);
+    let (ran, first) = handle_call(&mut engine, Time::ZERO, 1, 10);
     let mut now = Time::ZERO;
     for number in 2..1000 {
         now = now + Duration::from_millis(10);
-        check(&mut engine, now, number, 10);
+        handle_call(&mut engine, now, number, 10);
     }
     assert_eq!(
-        (ran, check(&mut engine, now, 1, 10)),
+        (ran, handle_call(&mut engine, now, 1, 10)),
         (true, (false, first))
     );
 }
--- a/crates/engine/tests/levels.rs
+++ b/crates/engine/tests/levels.rs
@@ -1,4 +1,4 @@
-//! How a node hears of the admission levels of services below it, and what it makes of them.
+//! How a node learns the admission levels of the services that it calls, and how it applies them.
 
 use bilberry_engine::Config;
 use bilberry_engine::Engine;
@@ -35,10 +35,11 @@
 operation stock GET /shirts class=lookup idempotent deadline=5s # asked by Anna
 ";
 
-/// The level that the stock service tells, and the values of lookups below and above it.
+/// The level that the stock service reports, and random values of lookups whose admission values
+/// are below and above it.
 const LEVEL: u16 = 20_000;
-const LOW_DICE: u16 = 10_000;
-const HIGH_DICE: u16 = 60_000;
+const LOW_RANDOM: u16 = 10_000;
+const HIGH_RANDOM: u16 = 60_000;
 
 fn instance(n: u16, service: &str) -> Instance {
     Instance {
@@ -86,13 +87,14 @@
         self.engine.handle(self.now, input)
     }
 
-    fn wait(&mut self, ms: u64) -> Vec<Output> {
+    /// Advances the time.
+    fn advance(&mut self, ms: u64) -> Vec<Output> {
         self.now = self.now + Duration::from_millis(ms);
         self.input(Input::Tick)
     }
 
-    /// A lookup of this value comes from its entry.
-    fn lookup(&mut self, dice: u16) -> Vec<Output> {
+    /// Receives a lookup with this random value from the node that accepted it.
+    fn lookup(&mut self, random: u16) -> Vec<Output> {
         self.calls += 1;
         let call = Call {
             id: CallId {
@@ -100,7 +102,7 @@
                 number: self.calls,
             },
             action: ActionId(u128::from(self.calls)),
-            dice,
+            dice: random,
             class: Class::Lookup,
             priority: 0,
             passed_level: 0,
@@ -119,8 +121,9 @@
         self.input(Input::Frame { from, frame })
     }
 
-    /// The server reads from the stock service while it runs; gives the call that goes out.
-    fn read(&mut self, run: RunId) -> Call {
+    /// Makes the backend server read from the stock service in this run, and returns the call that
+    /// is sent.
+    fn read_stock(&mut self, run: RunId) -> Call {
         let outputs = self.input(Input::Request {
             credential: None,
             token: Token(self.calls),
@@ -138,10 +141,10 @@
             } => Some(*call),
             _ => None,
         });
-        sent.expect("a read goes to the stock service")
+        sent.expect("the read should be sent to the stock service")
     }
 
-    /// The stock service answers a read and tells its level.
+    /// Receives the stock service's answer to a read, which reports its level.
     fn answer(&mut self, read: &Call) {
         let answer = Answer {
             outcome: Outcome::Whole(Response {
@@ -170,34 +173,36 @@
     })
 }
 
-/// A node whose first lookup runs and has three answers of the stock service, which is full.
-fn node_that_has_read() -> Node {
+/// A node whose first lookup is still running and has had three answers from the stock service,
+/// which is overloaded.
+fn node_with_reported_level() -> Node {
     let mut node = Node::new();
-    let run = run_of(&node.lookup(HIGH_DICE)).expect("the first lookup runs");
+    let run = run_of(&node.lookup(HIGH_RANDOM)).expect("the first lookup should run");
     for _ in 0..3 {
-        node.wait(200);
-        let read = node.read(run);
-        node.wait(200);
+        node.advance(200);
+        let read = node.read_stock(run);
+        node.advance(200);
         node.answer(&read);
     }
     node
 }
 
-/// Status lookups read eight times from a full service, for a second in all. Heard of only at the end of
-/// the first, its level would come after a second in which everybody is let in, and most are late.
+/// Status lookups read eight times from an overloaded service, which takes a second in all. If its
+/// level were applied only at the end of the first lookup, all lookups of that second would be
+/// admitted, and most would miss their deadlines.
 #[test]
-fn a_level_below_is_heard_while_the_run_lasts() {
-    let mut node = node_that_has_read();
-    assert_eq!(run_of(&node.lookup(LOW_DICE)), None);
-    assert!(run_of(&node.lookup(HIGH_DICE)).is_some());
+fn level_below_is_applied_while_the_run_is_in_progress() {
+    let mut node = node_with_reported_level();
+    assert_eq!(run_of(&node.lookup(LOW_RANDOM)), None);
+    assert!(run_of(&node.lookup(HIGH_RANDOM)).is_some());
 }
 
-/// A lookup is turned away for the level of a service below. Told with the refusal, the level is known
-/// at the entry at once, which then turns such lookups away itself.
+/// A lookup is shed because of the level of a service below. The refusal reports the level, so that
+/// the node that accepted the lookup sheds further ones itself.
 #[test]
-fn a_refusal_tells_the_level_below() {
-    let mut node = node_that_has_read();
-    let outputs = node.lookup(LOW_DICE);
+fn refusal_reports_the_level_below() {
+    let mut node = node_with_reported_level();
+    let outputs = node.lookup(LOW_RANDOM);
     let answer = outputs.into_iter().find_map(|output| match output {
         Output::Send {
             frame: Frame::Answer(_, answer),
@@ -205,29 +210,29 @@
         } => Some(*answer),
         _ => None,
     });
-    let answer = answer.expect("the lookup is answered at once");
+    let answer = answer.expect("the lookup should be answered at once");
     assert!(matches!(answer.outcome, Outcome::NotRun(refusal) if refusal.reason == Reason::Shed));
     assert!(answer.below.level > LEVEL / 2, "{:?}", answer.below);
 }
 
-/// The calls of an action carry the level that it passed, so that the service below knows how many
-/// there would be if nothing were shed.
+/// The calls of an action carry the level that it passed, so that the service below can estimate
+/// the load that there would be if nothing were shed.
 #[test]
-fn a_call_carries_the_level_that_its_action_passed() {
-    let mut node = node_that_has_read();
-    let run = run_of(&node.lookup(HIGH_DICE)).expect("it passes the level");
-    let read = node.read(run);
+fn call_carries_the_level_that_its_action_passed() {
+    let mut node = node_with_reported_level();
+    let run = run_of(&node.lookup(HIGH_RANDOM)).expect("the lookup should pass the level");
+    let read = node.read_stock(run);
     assert!(read.passed_level > LEVEL / 2, "{}", read.passed_level);
 }
 
-/// A server runs what it gets and loses an answer. It keeps the connection and says nothing; only the node
-/// beside it can tell the silence from a wait for a busy server, and tells the entry.
+/// A backend server loses the answer of a run and keeps the connection open. Only the node beside
+/// it can tell this from a wait for a busy server, so it notifies the node that sent the call.
 #[test]
-fn a_run_that_takes_longer_than_others_is_told() {
+fn run_that_takes_longer_than_others_is_reported_late() {
     let mut node = Node::new();
     for _ in 0..20 {
-        let run = run_of(&node.lookup(HIGH_DICE)).expect("there is room");
-        node.wait(50);
+        let run = run_of(&node.lookup(HIGH_RANDOM)).expect("the lookup should run at once");
+        node.advance(50);
         let response = Response {
             status: 200,
             headers: Vec::new(),
@@ -236,11 +241,14 @@
         let end = RunEnd::Response(response);
         node.input(Input::RunEnded { run, end });
     }
-    node.lookup(HIGH_DICE);
-    let late = |outputs: Vec<Output>| {
-        let late = |output: &Output| matches!(output, Output::Send { frame: Frame::Late(id), .. } if id.number == 21);
-        outputs.iter().any(late)
+    node.lookup(HIGH_RANDOM);
+    let reports_late = |outputs: Vec<Output>| {
+        let is_late = |output: &Output| matches!(output, Output::Send { frame: Frame::Late(id), .. } if id.number == 21);
+        outputs.iter().any(is_late)
     };
-    assert!(!late(node.wait(60)), "others take as long");
-    assert!(late(node.wait(200)));
+    assert!(
+        !reports_late(node.advance(60)),
+        "the run is not slower than the others yet"
+    );
+    assert!(reports_late(node.advance(200)));
 }
