--- a/crates/engine/src/answer_cache.rs
+++ b/crates/engine/src/answer_cache.rs
@@ -13,7 +13,7 @@
 const MAX_ANSWERS: usize = 4096;
 
 /// The most bytes that the cached responses may take up together.
-const MAX_BODY_BYTES: usize = 4 << 20;
+const MAX_RESPONSE_BYTES: usize = 4 << 20;
 
 /// The most calling nodes for which the highest evicted call number is kept; several times the
 /// number of nodes in the fleet.
@@ -67,12 +67,12 @@
     }
 
     pub(crate) fn insert(&mut self, id: CallId, answer: Answer) {
-        self.bytes += body_size(&answer);
+        self.bytes += response_size(&answer);
         match self.answers.insert(id, answer) {
-            Some(old) => self.bytes -= body_size(&old),
+            Some(old) => self.bytes -= response_size(&old),
             None => self.order.push_back(id),
         }
-        while self.answers.len() > MAX_ANSWERS || self.bytes > MAX_BODY_BYTES {
+        while self.answers.len() > MAX_ANSWERS || self.bytes > MAX_RESPONSE_BYTES {
             let Some(oldest) = self.order.pop_front() else {
                 return;
             };
@@ -82,7 +82,7 @@
 
     fn evict(&mut self, id: CallId) {
         if let Some(answer) = self.answers.swap_remove(&id) {
-            self.bytes -= body_size(&answer);
+            self.bytes -= response_size(&answer);
         }
         match self.evicted_up_to.get_mut(&id.from) {
             Some(highest) => *highest = id.number.max(*highest),
@@ -96,7 +96,7 @@
     }
 }
 
-fn body_size(answer: &Answer) -> usize {
+fn response_size(answer: &Answer) -> usize {
     match &answer.outcome {
         Outcome::Whole(response) => response.size(),
         Outcome::NotRun(_) | Outcome::Unknown(_) => 0,
--- a/crates/engine/src/append_queue.rs
+++ b/crates/engine/src/append_queue.rs
@@ -1,4 +1,4 @@
-//! Records that this node has to append to the membership log: a bounded queue, one append in
+//! Records that this node has to append to the shared log: a bounded queue, one append in
 //! flight.
 
 use proto::Incarnation;
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -303,12 +303,12 @@
         self.journal.version
     }
 
-    /// The offset from which the membership log has to be read next.
+    /// The offset from which the shared log has to be read next.
     pub fn next_offset(&self) -> u64 {
         self.journal.next
     }
 
-    /// The state that results from the membership log as far as it was read.
+    /// The state that results from the shared log as far as it was read.
     pub fn journal(&self) -> &State {
         &self.journal
     }
@@ -318,7 +318,7 @@
         self.stopping
     }
 
-    /// Whether this node accepts requests: rules are in force, and it is not stopping.
+    /// Whether callers should use this node: rules are in force, and it is not stopping.
     pub fn is_ready(&self) -> bool {
         self.has_rules() && !self.stopping
     }
--- a/crates/engine/src/fetch.rs
+++ b/crates/engine/src/fetch.rs
@@ -71,10 +71,10 @@
         if !theirs.has_more_than(self.journal.progress()) {
             return;
         }
-        let near = self.is_in_own_domain(from);
+        let is_near = self.is_in_own_domain(from);
         let is_better = |(other, known): (SocketAddr, Progress)| {
             theirs.has_more_than(known)
-                || (near && theirs == known && !self.is_in_own_domain(other))
+                || (is_near && theirs == known && !self.is_in_own_domain(other))
         };
         if self.fetch.newest_peer.is_none_or(is_better) {
             self.fetch.newest_peer = Some((from, theirs));
@@ -83,7 +83,7 @@
             // A publication reaches some nodes a little earlier than others. Without this wait the
             // others would all fetch what they are about to read from the store.
             true => STORE_GRACE,
-            false if near || !self.has_rules() => Duration::ZERO,
+            false if is_near || !self.has_rules() => Duration::ZERO,
             false => OWN_DOMAIN_DELAY,
         };
         self.schedule_fetch(now, wait);
--- a/crates/engine/src/ingress.rs
+++ b/crates/engine/src/ingress.rs
@@ -92,11 +92,11 @@
         } = arrival;
         self.count(Counter::Request(operation.class));
         let refused = Refused::new(token, key.is_some(), &request);
-        let latest = at + operation.deadline;
+        let latest_deadline = at + operation.deadline;
         let patience = patience.map(|patience| patience.saturating_sub(now.since(at)));
         let draft = self
             .filter_context(now, token, parents, random, operation, request)
-            .map(|draft| limit_deadline(draft, now, patience, latest))
+            .map(|draft| limit_deadline(draft, now, patience, latest_deadline))
             .and_then(|draft| self.filter_key(draft, &caller, key));
         match draft {
             Ok(draft) => {
@@ -257,9 +257,9 @@
     /// The number of retries that an action with this first operation gets.
     fn tree_retries(&self, operation: &Operation) -> u16 {
         match self.cfg.tree_retries {
-            TreeRetries::ScaledByCalls(calls_each) if operation.retries > 0 => {
+            TreeRetries::ScaledByCalls(calls_per_retry) if operation.retries > 0 => {
                 let calls = self.admission.calls_below(&operation_key(operation));
-                operation.retries + calls.div_ceil(calls_each.max(1))
+                operation.retries + calls.div_ceil(calls_per_retry.max(1))
             }
             _ => operation.retries,
         }
@@ -345,12 +345,12 @@
         let text = match key {
             Some(key) => key,
             None => {
-                let nth = job
+                let ordinal = job
                     .children
                     .entry((service.clone(), fingerprint))
                     .or_insert(0);
-                *nth += 1;
-                format!("{:032x}.{nth}", fingerprint.0).into()
+                *ordinal += 1;
+                format!("{:032x}.{ordinal}", fingerprint.0).into()
             }
         };
         IdempotencyKey {
@@ -448,8 +448,13 @@
 
 /// Limits a request's deadline to the time-outs of its operation and its caller. Both started when
 /// the request arrived, so time that it waited for a quota token counts.
-fn limit_deadline(mut draft: Draft, now: Time, patience: Option<Duration>, latest: Time) -> Draft {
-    draft.deadline = draft.deadline.min(latest);
+fn limit_deadline(
+    mut draft: Draft,
+    now: Time,
+    patience: Option<Duration>,
+    latest_deadline: Time,
+) -> Draft {
+    draft.deadline = draft.deadline.min(latest_deadline);
     if let Some(patience) = patience {
         draft.deadline = draft.deadline.min(now + patience);
     }
--- a/crates/engine/src/keyed_calls.rs
+++ b/crates/engine/src/keyed_calls.rs
@@ -255,16 +255,16 @@
             return;
         }
         let view = view.clone();
-        let missed = match self.home.newest() {
+        let missed_views = match self.home.newest() {
             Some(known) => view.since(known),
             None if self.journal.forgotten.is_some() => None,
             None => view.history(),
         };
-        let Some(missed) = missed else {
+        let Some(missed_views) = missed_views else {
             let effects = self.home.on_baseline(now, &view);
             return self.apply_home(now, effects);
         };
-        for view in missed {
+        for view in missed_views {
             self.count(Counter::ViewApplied);
             let effects = self.home.on_view(now, &view);
             self.apply_home(now, effects);
@@ -283,12 +283,12 @@
         if leave_failed || (!self.is_listed() && self.home.is_handed_over()) {
             return true;
         }
-        let ends = *self.handover_deadline.get_or_insert_with(|| {
-            let ends = now + self.cfg.leave_timeout;
-            self.timers.set(ends, Timer::Handover);
-            ends
+        let deadline = *self.handover_deadline.get_or_insert_with(|| {
+            let deadline = now + self.cfg.leave_timeout;
+            self.timers.set(deadline, Timer::Handover);
+            deadline
         });
-        ends <= now
+        deadline <= now
     }
 
     pub(crate) fn apply_home(&mut self, now: Time, effects: Vec<Effect>) {
