--- a/crates/engine/src/admission.rs
+++ b/crates/engine/src/admission.rs
@@ -69,12 +69,12 @@
 
     /// Records the level that an instance reports of itself.
     pub(crate) fn record_instance_level(&mut self, now: Time, from: Incarnation, level: u16) {
-        if let Some(heard) = self.instances.get_mut(&from) {
-            return heard.hear(now, level);
+        if let Some(recorded) = self.instances.get_mut(&from) {
+            return recorded.hear(now, level);
         }
-        let mut heard = Heard::new(now);
-        heard.hear(now, level);
-        self.instances.insert(from, heard);
+        let mut recorded = Heard::new(now);
+        recorded.hear(now, level);
+        self.instances.insert(from, recorded);
     }
 
     /// Records the level that a run has met in its calls while it is still in progress.
@@ -103,8 +103,8 @@
     }
 
     fn instance_level(&self, now: Time, incarnation: Incarnation) -> u16 {
-        let heard = self.instances.get(&incarnation);
-        heard.map_or(0, |heard| heard.get(now))
+        let recorded = self.instances.get(&incarnation);
+        recorded.map_or(0, |recorded| recorded.get(now))
     }
 
     /// The highest level among the services that an operation calls, directly or indirectly.
