--- a/crates/engine/src/admission.rs
+++ b/crates/engine/src/admission.rs
@@ -3,22 +3,22 @@
 //! A call whose admission value is below the level of a service that it needs would be shed there.
 
 use crate::operation_key::OperationKey;
-use crate::outgoing::Outgoing;
+use crate::outgoing::OutgoingCall;
 use crate::Engine;
 use policy::admission_value;
-use policy::come_back;
-use policy::Heard;
-use policy::Ranks;
+use policy::retry_delay;
+use policy::PriorityBands;
+use policy::ReportedLevel;
 use policy::RunTimes;
-use proto::Below;
 use proto::Class;
+use proto::DownstreamSummary;
 use proto::Incarnation;
 use proto::Instance;
 use proto::Reason;
 use proto::Refusal;
 use rules::Operation;
 use std::time::Duration;
-use stdx::Bounded;
+use stdx::BoundedMap;
 use stdx::Time;
 
 /// How many instances, and how many operations, levels are kept for.
@@ -48,9 +48,9 @@
 impl Default for AdmissionLevels {
     fn default() -> Self {
         Self {
-            instances: Bounded::new(MAX_TRACKED_LEVELS),
-            operations: Bounded::new(MAX_TRACKED_LEVELS),
-            ranks: Ranks::default(),
+            instances: BoundedMap::new(MAX_TRACKED_LEVELS),
+            operations: BoundedMap::new(MAX_TRACKED_LEVELS),
+            ranks: PriorityBands::default(),
         }
     }
 }
@@ -79,7 +79,9 @@
 
     /// Records the level that a run has met in its calls while it is still in progress.
     pub(crate) fn record_level_below(&mut self, now: Time, operation: &OperationKey, level: u16) {
-        self.stats_mut(now, operation).level_below.hear(now, level);
+        self.stats_mut(now, operation)
+            .level_below
+            .observe(now, level);
     }
 
     /// Records the level that a finished run has met and the number of calls that it made.
@@ -115,12 +117,12 @@
 
     /// Records how long a run of an operation took on this node's backend server.
     pub(crate) fn record_run_time(&mut self, now: Time, operation: &OperationKey, took: Duration) {
-        self.stats_mut(now, operation).run_times.learn(took);
+        self.stats_mut(now, operation).run_times.record(took);
     }
 
     /// The time after which a run of an operation counts as late, if enough runs were recorded.
     pub(crate) fn late_after(&self, operation: &OperationKey) -> Option<Duration> {
-        self.operations.get(operation)?.run_times.late_after()
+        self.operations.get(operation)?.run_times.late_threshold()
     }
 
     /// The number of calls that the last run of an operation made, directly and indirectly.
@@ -178,14 +180,14 @@
     fn choose_admitting(
         &mut self,
         now: Time,
-        call: &mut Outgoing,
+        call: &mut OutgoingCall,
         value: u16,
     ) -> (Option<Instance>, Option<u16>) {
         if !self.cfg.policy.by_load {
             return (self.choose_round_robin(call), None);
         }
         if !self.cfg.policy.levels {
-            return (self.choose_server(now, call), None);
+            return (self.choose_instance(now, call), None);
         }
         let avoided = call.avoid.len();
         let mut lowest_admitting = None;
@@ -202,7 +204,7 @@
             };
             *lowest = Some(lowest.map_or(level, |lowest: u16| lowest.min(level)));
         }
-        let chosen = self.choose_server(now, call);
+        let chosen = self.choose_instance(now, call);
         call.avoid.truncate(avoided);
         call.passed_level = call.passed_level.max(lowest_admitting.unwrap_or(0));
         let level = lowest_shedding.filter(|_| chosen.is_none());
@@ -212,7 +214,7 @@
     /// Chooses among all instances of a service in rotation, whatever their load.
     fn choose_round_robin(&mut self, call: &Outgoing) -> Option<Instance> {
         let turn = self.allocate_id() as usize;
-        let peers = self.members.usable(&call.request.service);
+        let peers = self.members.usable_peers(&call.request.service);
         let peers = peers.map(|peer| &peer.instance);
         let allowed = |instance: &&Instance| !call.avoid.contains(&instance.incarnation);
         let mut candidates: Vec<&Instance> = peers.filter(allowed).collect();
@@ -238,7 +240,10 @@
         service: &'a str,
     ) -> impl Iterator<Item = (Incarnation, u16)> + 'a {
         let own = (*self.own_instance.service == *service).then_some(&self.own_instance);
-        let peers = self.members.usable(service).map(|peer| &peer.instance);
+        let peers = self
+            .members
+            .usable_peers(service)
+            .map(|peer| &peer.instance);
         own.into_iter()
             .chain(peers)
             .map(move |instance| (instance.incarnation, self.instance_level(now, instance)))
--- a/crates/engine/src/answer_cache.rs
+++ b/crates/engine/src/answer_cache.rs
@@ -6,7 +6,7 @@
 use proto::Incarnation;
 use proto::Outcome;
 use std::collections::VecDeque;
-use stdx::Bounded;
+use stdx::BoundedMap;
 
 /// The most answers that are kept. A silent connection is detected within a few seconds; one node
 /// gives fewer answers than this in that time.
@@ -54,7 +54,7 @@
             answers: IndexMap::new(),
             order: VecDeque::new(),
             bytes: 0,
-            evicted_up_to: Bounded::new(MAX_CALLERS),
+            evicted_up_to: BoundedMap::new(MAX_CALLERS),
         }
     }
 
@@ -98,7 +98,7 @@
 
 fn response_size(answer: &Answer) -> usize {
     match &answer.outcome {
-        Outcome::Whole(response) => response.size(),
+        Outcome::Completed(response) => response.size(),
         Outcome::NotRun(_) | Outcome::Unknown(_) => 0,
     }
 }
--- a/crates/engine/src/calls.rs
+++ b/crates/engine/src/calls.rs
@@ -2,26 +2,26 @@
 
 use crate::job::Job;
 use crate::operation_key::operation_key;
-use crate::outgoing::Outgoing;
-use crate::request::Draft;
+use crate::outgoing::OutgoingCall;
+use crate::request::RequestDraft;
 use crate::timers::Timer;
 use crate::Counter;
-use crate::Ending;
+use crate::Diagnostic;
 use crate::Engine;
-use crate::Note;
+use crate::OutcomeSummary;
 use crate::Output;
-use crate::Token;
+use crate::RequestToken;
 use crate::TreeRetries;
 use policy::admission_value;
-use policy::Place;
+use policy::Proximity;
 use proto::Answer;
-use proto::Below;
 use proto::Call;
 use proto::CallId;
+use proto::CallRole;
+use proto::DownstreamSummary;
 use proto::Frame;
 use proto::Incarnation;
 use proto::Instance;
-use proto::Leg;
 use proto::Outcome;
 use proto::Reason;
 use proto::Refusal;
@@ -51,10 +51,10 @@
             account: draft.account,
             lent: 0,
             again: draft.again,
-            maybe_ran: false,
+            may_have_run: false,
             calls_below: 0,
             attempts: 0,
-            own_retries: match self.cfg.tree_retries {
+            retries_left: match self.cfg.tree_retries {
                 TreeRetries::PerOperation => u16::MAX,
                 TreeRetries::ScaledByCalls(_) => draft.operation.retries,
             },
@@ -68,7 +68,8 @@
         // Calls of a retried run are retries themselves, and the budget is a ratio to first
         // attempts.
         if !call.again {
-            self.retry_budget.sent(now, &call.request.service);
+            self.retry_budget
+                .record_first_send(now, &call.request.service);
         }
         self.route(now, call);
     }
@@ -76,13 +77,13 @@
     /// Chooses a target and sends an attempt, or ends the call if it is refused.
     fn route(&mut self, now: Time, mut call: Outgoing) {
         if now >= call.deadline {
-            let refusal = call.unjudged(self.refusal(Reason::Deadline));
+            let refusal = call.scope_refusal(self.refusal(Reason::Deadline));
             return self.finish_call(now, call, Outcome::NotRun(refusal));
         }
         match self.admit(now, &mut call) {
             Ok(target) => self.send_to_target(now, call, target),
             Err(refusal) => {
-                let refusal = call.unjudged(refusal);
+                let refusal = call.scope_refusal(refusal);
                 self.finish_call(now, call, Outcome::NotRun(refusal));
             }
         }
@@ -92,9 +93,9 @@
     pub(crate) fn send_to_target(&mut self, now: Time, mut call: Outgoing, target: Instance) {
         call.target = target;
         call.lent = if self.reserves_retry(&call) {
-            call.account.lend_all_but_one()
+            call.account.delegate_all_but_one()
         } else {
-            call.account.lend_all()
+            call.account.delegate_all()
         };
         let id = CallId {
             from: self.own_instance.incarnation,
@@ -107,7 +108,7 @@
             self.hedged_attempts.insert(original.id, id);
         }
         call.attempts += 1;
-        self.timers.set(call.deadline, Timer::Deadline(id));
+        self.timers.set(call.deadline, Timer::CallDeadline(id));
         self.selector.on_sent(call.target.incarnation);
         self.send_attempt(now, id, &call);
         self.calls.insert(id, call);
@@ -121,30 +122,30 @@
     /// at each hop, no read of a deep tree would ever be retried.
     fn reserves_retry(&self, call: &Outgoing) -> bool {
         let below = self.admission.calls_below(&call.operation);
-        call.idempotent && !call.again && call.account.left() > below
+        call.idempotent && !call.again && call.account.remaining() > below
     }
 
     /// Sends the frame of an attempt.
     pub(crate) fn send_attempt(&mut self, now: Time, id: CallId, call: &Outgoing) {
         let leg = if call.key.is_some() {
-            Leg::Home
+            CallRole::Home
         } else {
-            Leg::Serve
+            CallRole::Serve
         };
         let frame = Frame::Call(Box::new(Call {
             id,
             action: call.action,
-            dice: call.dice,
+            admission_sample: call.dice,
             class: call.class,
             priority: call.priority,
             passed_level: call.passed_level,
-            leg,
+            role: leg,
             remaining_ms: self.callee_remaining_ms(now, call),
-            allowance: call.lent,
-            again: call.again,
+            retry_allowance: call.lent,
+            possible_repeat: call.again,
             idempotent: call.idempotent,
             key: call.key,
-            fresh: call.fresh,
+            first_attempt: call.fresh,
             depth: call.depth,
             request: call.request.clone(),
         }));
@@ -163,7 +164,7 @@
     }
 
     pub(crate) fn on_answer(&mut self, now: Time, from: Incarnation, id: CallId, answer: Answer) {
-        self.hear_load(now, from, answer.load);
+        self.record_load(now, from, answer.load);
         self.admission
             .record_instance_level(now, from, answer.load.level);
         if self.discards_original_answer(id, &answer) {
@@ -177,29 +178,29 @@
         call.calls_below = call.calls_below.saturating_add(answer.below.calls);
         // A refusal reports calls below only if the run had already made some.
         match answer.outcome {
-            Outcome::NotRun(refusal) if answer.below.calls == 0 => {
-                if refusal.reason == Reason::Shed && answer.below.level > 0 {
-                    let (operation, level) = (&call.operation, answer.below.level);
+            Outcome::NotRun(refusal) if answer.downstream.calls == 0 => {
+                if refusal.reason == Reason::Shed && answer.downstream.level > 0 {
+                    let (operation, level) = (&call.operation, answer.downstream.level);
                     self.admission.record_level_below(now, operation, level);
                 }
             }
             _ => self
                 .admission
-                .record_below(now, &call.operation, answer.below),
+                .record_below(now, &call.operation, answer.downstream),
         }
         match answer.outcome {
             Outcome::NotRun(refusal) => {
-                call.again |= answer.below.calls > 0 && self.cfg.policy.hop_retries == 0;
+                call.again |= answer.downstream.calls > 0 && self.cfg.policy.hop_retries == 0;
                 self.on_not_run(now, call, refusal);
             }
             Outcome::Unknown(reason @ (Reason::ServerLost | Reason::PeerLost)) => {
                 if reason == Reason::ServerLost {
-                    self.call_lost(now, &call.request, call.target.incarnation);
+                    self.record_call_crash(now, &call.request, call.target.incarnation);
                 }
                 self.on_attempt_lost(now, call, reason);
             }
             outcome => {
-                self.call_whole(now, &call.request);
+                self.record_call_completed(now, &call.request);
                 self.finish_call(now, call, outcome);
             }
         }
@@ -233,7 +234,7 @@
         // These refusals come from a node that did not look up the key's record.
         let refusal = match reason {
             Reason::Moving | Reason::NoLease | Reason::Draining | Reason::PeerLost => {
-                call.unjudged(refusal)
+                call.scope_refusal(refusal)
             }
             _ => refusal,
         };
@@ -261,7 +262,7 @@
         call.maybe_ran = true;
         let below = self.admission.calls_below(&call.operation);
         let needed = 1 + below.max(call.calls_below);
-        let allowed = call.account.left() >= needed || call.hop_retries > 0;
+        let allowed = call.account.remaining() >= needed || call.hop_retries > 0;
         if call.idempotent && allowed && self.try_spend_retry(now, &mut call) {
             self.count(Counter::Retry(reason));
             call.again = self.cfg.policy.hop_retries == 0;
@@ -282,7 +283,7 @@
             call.hop_retries -= 1;
             return true;
         }
-        if call.account.left() == 0 || call.own_retries == 0 {
+        if call.account.remaining() == 0 || call.retries_left == 0 {
             return false;
         }
         let has_budget = self.cfg.policy.retry_budget;
@@ -292,8 +293,8 @@
             self.count(Counter::RetryBudgetSpent);
             return false;
         }
-        call.own_retries -= 1;
-        call.account.spend()
+        call.retries_left -= 1;
+        call.account.try_withdraw()
     }
 
     pub(crate) fn on_deadline(&mut self, now: Time, id: CallId) {
@@ -321,7 +322,7 @@
             }
             self.cancel_original(original);
         }
-        let met = Below {
+        let met = DownstreamSummary {
             level: self.highest_level(now, &call),
             // The parent job counted the first attempt when the call began.
             calls: call
@@ -331,11 +332,11 @@
         self.report_to_parent(now, &call, met);
         // If the last attempt did not run, an earlier one may still have run.
         let outcome = match outcome {
-            Outcome::NotRun(refusal) if call.maybe_ran => Outcome::Unknown(refusal.reason),
+            Outcome::NotRun(refusal) if call.may_have_run => Outcome::Unknown(refusal.reason),
             outcome => outcome,
         };
         self.log_answered(now, &call, met.level, &outcome);
-        self.close_request(now, call.token, call.account.left(), outcome);
+        self.close_request(now, call.token, call.account.remaining(), outcome);
     }
 
     /// Records what a call has met in the job of the run that made it, and in the admission levels.
@@ -347,7 +348,7 @@
         let Some(job) = self.parent_job(call.token) else {
             return;
         };
-        job.met.insert(operation, met.level);
+        job.child_levels.insert(operation, met.level);
         job.calls_below = job.calls_below.saturating_add(met.calls);
         let level = job.below().level;
         if let Some(parent) = job.operation.clone() {
@@ -362,7 +363,7 @@
             service: call.request.service.clone(),
             class: call.class,
             depth: call.depth,
-            ending: Ending::of(outcome),
+            outcome: OutcomeSummary::of(outcome),
             attempts: call.attempts,
             target: call.target.addr,
             value: admission_value(call.class, call.dice),
@@ -371,7 +372,7 @@
         }));
     }
 
-    fn parent_job(&mut self, token: Token) -> Option<&mut Job> {
+    fn parent_job(&mut self, token: RequestToken) -> Option<&mut Job> {
         let parent = self.open_requests.get(&token)?.parent?;
         self.jobs.get_mut(&parent)
     }
@@ -380,7 +381,7 @@
     pub(crate) fn take_call(&mut self, id: CallId) -> Option<Outgoing> {
         let call = self.calls.swap_remove(&id)?;
         self.selector.on_ended(call.target.incarnation);
-        self.timers.clear(call.deadline, Timer::Deadline(id));
+        self.timers.clear(call.deadline, Timer::CallDeadline(id));
         Some(call)
     }
 
--- a/crates/engine/src/config.rs
+++ b/crates/engine/src/config.rs
@@ -96,9 +96,9 @@
             shared_store_reads: false,
             stop_grace_period: Duration::ZERO,
             tree_retries: TreeRetries::PerOperation,
-            retry_budget: policy::FleetRetries::default(),
+            retry_budget: policy::FleetRetryLimits::default(),
             revocation_bound: None,
-            quota_bounds: organisation::QuotaBounds::default(),
+            quota_bounds: organisation::QuotaTolerance::default(),
         }
     }
 }
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -6,34 +6,34 @@
 use crate::job::Job;
 use crate::keyed_calls::HeldCalls;
 use crate::keyed_calls::KeyRun;
-use crate::log::LogLink;
-use crate::outgoing::Outgoing;
+use crate::log::LogController;
+use crate::outgoing::OutgoingCall;
 use crate::own_server::OwnServer;
-use crate::peer_notes::PeerNotes;
-use crate::quarantine::Suspects;
-use crate::quota::QuotaLink;
+use crate::peer_diagnostics::PeerDiagnostics;
+use crate::quarantine::CrashSuspects;
+use crate::quota::QuotaController;
 use crate::request::Arrival;
 use crate::request::OpenRequest;
-use crate::request::Parents;
+use crate::request::ParentInfo;
 use crate::resends::Resends;
-use crate::serve::Inbound;
+use crate::serve::InboundCall;
 use crate::timers::Timer;
 use crate::timers::Timers;
 use crate::Config;
 use crate::Counter;
 use crate::Input;
 use crate::Output;
-use crate::Token;
+use crate::RequestToken;
 use indexmap::IndexMap;
 use journal::State;
 use membership::Membership;
 use once::Home;
 use organisation::Freshness;
-use policy::Retries;
-use policy::Selector;
-use policy::Server;
-use proto::Below;
+use policy::InstanceSelector;
+use policy::RetryBudget;
+use policy::ServerAdmission;
 use proto::CallId;
+use proto::DownstreamSummary;
 use proto::Frame;
 use proto::Instance;
 use proto::KeyHash;
@@ -73,7 +73,7 @@
     pub(crate) rng: StdRng,
     /// The rules and views that the nodes share through the store.
     pub(crate) journal: State,
-    pub(crate) log: LogLink,
+    pub(crate) log: LogController,
     pub(crate) fetch: FetchSchedule,
     pub(crate) members: Membership,
     pub(crate) selector: Selector,
@@ -153,25 +153,25 @@
     /// assert_eq!(Engine::new(Config::default(), instance).rules_version(), 0);
     /// ```
     pub fn new(cfg: Config, own_instance: Instance) -> Self {
-        let defaults = rules::Limit::default();
+        let defaults = rules::ServiceLimits::default();
         let incarnation = own_instance.incarnation;
         let mut members = Membership::new(
             cfg.membership.clone(),
             own_instance.clone(),
             cfg.contacts.clone(),
         );
-        members.set_open(!cfg.server_announces);
+        members.set_accepting_work(!cfg.server_announces);
         Self {
             rng: StdRng::seed_from_u64(cfg.seed),
             journal: State::default(),
-            log: LogLink::default(),
+            log: LogController::default(),
             fetch: FetchSchedule::default(),
             members,
-            selector: Selector::with_switches(cfg.policy),
-            peer_notes: PeerNotes::default(),
+            selector: InstanceSelector::with_switches(cfg.policy),
+            peer_notes: PeerDiagnostics::default(),
             views_changed: false,
             home: Home::new(cfg.once.clone(), incarnation),
-            server: Server::new(
+            server: ServerAdmission::new(
                 cfg.policy,
                 defaults.min_concurrency,
                 defaults.max_concurrency,
@@ -187,15 +187,15 @@
             jobs: IndexMap::new(),
             jobs_by_request_id: IndexMap::new(),
             key_runs: IndexMap::new(),
-            ended_run_below: Below::default(),
+            ended_run_below: DownstreamSummary::default(),
             admission: AdmissionLevels::default(),
             resends: Resends::new(),
-            suspects: Suspects::new(),
-            retry_budget: Retries::new(cfg.retry_budget, incarnation.0),
+            suspects: CrashSuspects::new(),
+            retry_budget: RetryBudget::new(cfg.retry_budget, incarnation.0),
             freshness: Freshness::new(cfg.revocation_bound),
             is_domain_leader: false,
             keys_were_trusted: false,
-            quota: QuotaLink::new(cfg.quota_bounds),
+            quota: QuotaController::new(cfg.quota_bounds),
             held_calls: HeldCalls::new(),
             handover_deadline: None,
             timers: Timers::default(),
@@ -220,17 +220,17 @@
                 parent,
                 key,
                 credential,
-                patience,
+                caller_timeout: patience,
                 request,
             } => {
                 let arrival = Arrival {
                     token,
                     at: now,
                     caller,
-                    parents: Parents { context, parent },
+                    parents: ParentInfo { context, parent },
                     key,
                     credential,
-                    patience,
+                    caller_timeout: patience,
                     request,
                 };
                 self.on_request(now, arrival);
@@ -241,27 +241,27 @@
             Input::PeerQuiet(peer) => {
                 self.count(Counter::PeerQuiet);
                 if self.cfg.policy.quiet_peers {
-                    self.selector.on_failed(now, peer, &mut self.rng);
+                    self.selector.on_connection_failed(now, peer, &mut self.rng);
                 }
             }
             Input::PeerBack(peer) => self.selector.on_answered(peer),
-            Input::PeerUnreachable { peer, unsent } => self.on_unsent(now, peer, unsent),
+            Input::PeerUnreachable { peer, unsent } => self.on_peer_unreachable(now, peer, unsent),
             Input::Datagram { from, datagram } => self.on_datagram(now, from, datagram),
             Input::RunEnded { run, end } => self.on_run_ended(now, run, end),
             Input::Records(records) => self.on_records(now, records),
-            Input::Newest { values, end } => self.on_newest(now, values, end),
-            Input::LogRead => self.on_log_read(now),
-            Input::Published { version, file } => self.on_published(now, version, &file),
+            Input::TopicSnapshot { values, end } => self.on_topic_snapshot(now, values, end),
+            Input::LogCaughtUp => self.on_log_caught_up(now),
+            Input::RulesPublished { version, file } => self.on_rules_published(now, version, &file),
             Input::Directory(addrs) => {
-                let effects = self.members.meet(&addrs);
-                self.apply_members(now, effects);
+                let effects = self.members.add_contacts(&addrs);
+                self.apply_membership_effects(now, effects);
             }
-            Input::Server(announcement) => self.on_announcement(now, announcement),
+            Input::Server(announcement) => self.on_server_announcement(now, announcement),
             Input::ServerChecked { id, healthy } => self.on_server_checked(now, &id, healthy),
             Input::RulesChecked { asked, version } => self.on_rules_checked(now, asked, version),
-            Input::RulesUnchecked => self.on_rules_unchecked(now),
+            Input::RulesCheckFailed => self.on_rules_unchecked(now),
             Input::LogUnreachable => self.on_log_unreachable(now),
-            Input::PeerState(state) => self.on_peer_state(now, &state),
+            Input::StateFetched(state) => self.on_peer_state(now, &state),
             Input::Appended(number) => self.on_appended(now, number),
             Input::AppendConflict(number) => self.on_append_conflict(now, number),
             Input::AppendLost(number) => self.on_append_lost(now, number),
@@ -275,7 +275,7 @@
         self.pump_server(now);
         self.drain_loopback(now);
         self.fetch_if_due(now);
-        self.pump_appends(now);
+        self.start_due_append(now);
         self.check_stopped(now);
         std::mem::take(&mut self.outputs)
     }
@@ -287,7 +287,7 @@
             self.members.next_timer(),
             self.home.next_timer(),
             self.server.next_timer(),
-            self.log.next_timer(self.journal.next),
+            self.log.next_timer(self.journal.next_offset),
             self.fetch.due,
             self.peer_notes.next_timer(),
             self.next_freshness_timer(),
@@ -305,7 +305,7 @@
 
     /// The offset from which the shared log has to be read next.
     pub fn next_offset(&self) -> u64 {
-        self.journal.next
+        self.journal.next_offset
     }
 
     /// The state that results from the shared log as far as it was read.
@@ -345,12 +345,12 @@
     fn fire_timers(&mut self, now: Time) {
         while let Some(timer) = self.timers.pop(now) {
             match timer {
-                Timer::Deadline(call) => self.on_deadline(now, call),
+                Timer::CallDeadline(call) => self.on_deadline(now, call),
                 Timer::LateRun(run) => self.on_late_run(run),
-                Timer::Suspects => self.repeat_reports(now),
-                Timer::Run(run) => self.on_run_deadline(now, run),
-                Timer::Held(call) => self.on_hold_timeout(call),
-                Timer::Handover | Timer::Linger => {}
+                Timer::CrashReports => self.resend_crash_reports(now),
+                Timer::RunDeadline(run) => self.on_run_deadline(now, run),
+                Timer::HeldCallTimeout(call) => self.on_hold_timeout(call),
+                Timer::HandoverTimeout | Timer::StopGracePeriod => {}
                 Timer::Reattach(call) => self.on_reattach_timer(now, call),
             }
         }
@@ -358,7 +358,7 @@
         self.tick_home(now);
         self.tick_freshness(now);
         self.tick_quotas(now);
-        self.pump_server(now);
+        self.start_queued_jobs(now);
     }
 
     /// Handles the frames that this node sent to itself as if another node had sent them.
@@ -374,8 +374,8 @@
             Frame::Call(call) => self.on_call(now, from, *call),
             Frame::Answer(id, answer) => self.on_answer(now, from, id, *answer),
             Frame::Cancel(id) => self.on_cancel(now, from, id),
-            Frame::Late(id) => self.on_late_notice(now, id),
-            Frame::Suspect {
+            Frame::SlowCall(id) => self.on_late_notice(now, id),
+            Frame::CrashReport {
                 service,
                 request,
                 crashes,
@@ -415,11 +415,11 @@
         self.stopping = true;
         self.closed_at = now + KEYED_CALLS_GRACE;
         self.accepts_until = now + self.cfg.stop_grace_period;
-        self.timers.set(self.accepts_until, Timer::Linger);
+        self.timers.set(self.accepts_until, Timer::StopGracePeriod);
         self.leave_home(now);
         self.resign_lender(now);
-        self.leave_members(now);
-        self.leave_log(now);
+        self.announce_leave(now);
+        self.queue_leave(now);
     }
 
     /// Reports that the process may exit, once a stopping node has finished its work.
@@ -431,7 +431,7 @@
         if self.stopping
             && now >= self.accepts_until
             && idle
-            && self.log.left()
+            && self.log.leave_settled()
             && self.has_handed_over(now)
         {
             self.outputs.push(Output::Stopped);
--- a/crates/engine/src/fetch.rs
+++ b/crates/engine/src/fetch.rs
@@ -9,7 +9,7 @@
 use proto::Datagram;
 use proto::MemberMessage;
 use proto::PeerState;
-use proto::Progress;
+use proto::SyncProgress;
 use proto::PROTOCOL_VERSION;
 use rand::RngExt;
 use std::net::SocketAddr;
@@ -63,7 +63,7 @@
 
     /// Whether this node reads the store itself. Otherwise it gets new content from its peers.
     pub fn reads_store(&self, now: Time) -> bool {
-        !self.cfg.shared_store_reads || !self.has_rules() || self.members.watches_store(now)
+        !self.cfg.shared_store_reads || !self.has_rules() || self.members.is_store_reader(now)
     }
 
     /// Schedules a fetch if a peer reports progress beyond this node's.
@@ -96,7 +96,7 @@
     }
 
     fn is_in_own_domain(&self, addr: SocketAddr) -> bool {
-        let peer = self.members.at(addr);
+        let peer = self.members.peer_at(addr);
         peer.is_some_and(|peer| peer.instance.failure_domain == self.own_instance.failure_domain)
     }
 
@@ -126,7 +126,7 @@
                 version: PROTOCOL_VERSION,
                 progress: self.journal.progress(),
                 message: MemberMessage::Gossip {
-                    rumours: Vec::new(),
+                    updates: Vec::new(),
                 },
             };
             self.outputs.push(Output::Datagram { to, datagram });
@@ -135,8 +135,8 @@
 
     /// Notes that the store does not answer. A node that has not read it yet fetches from peers.
     pub(crate) fn on_log_unreachable(&mut self, now: Time) {
-        self.log.down = true;
-        if !self.log.ready {
+        self.log.unreachable = true;
+        if !self.log.synced {
             self.schedule_fetch(now, Duration::ZERO);
         }
     }
@@ -177,7 +177,7 @@
             self.count(Counter::StateFetch);
             self.outputs.push(Output::FetchState { from, known });
         }
-        if !self.log.ready {
+        if !self.log.synced {
             let wait = MAX_STARTUP_INTERVAL.mul_f64(self.rng.random_range(0.5..1.0));
             self.schedule_fetch(now, wait);
         } else if self.cfg.shared_store_reads {
@@ -210,20 +210,20 @@
     /// Adopts a peer's state, which [`Engine::state_newer_than`] returned there.
     pub(crate) fn on_peer_state(&mut self, now: Time, state: &[u8]) {
         let change = match proto::decode(state) {
-            Ok(state) => self.journal.adopt_with(state, self.cfg.parse_rules),
-            Err(_) => Change::Broken,
+            Ok(state) => self.journal.adopt_with_parser(state, self.cfg.parse_rules),
+            Err(_) => Change::Invalid,
         };
         match change {
             Change::Restored => {
-                self.log.ready = true;
-                self.on_restored(now);
+                self.log.synced = true;
+                self.on_state_restored(now);
                 self.announce_progress(false);
                 // A node that does not read the store has nothing more to read.
                 if !self.cfg.shared_store_reads {
                     self.outputs.push(Output::ReadLog);
                 }
             }
-            Change::Broken => self.count(Counter::MalformedRecord),
+            Change::Invalid => self.count(Counter::MalformedRecord),
             _ => {}
         }
     }
--- a/crates/engine/src/freshness.rs
+++ b/crates/engine/src/freshness.rs
@@ -1,14 +1,14 @@
 //! Collects evidence that the rules of this node are the newest, which keys of organisations need
 //! to be trusted.
 
+use crate::Diagnostic;
 use crate::Engine;
-use crate::Note;
 use crate::Output;
-use organisation::Step;
+use organisation::FreshnessAction;
 use proto::Datagram;
 use proto::FreshnessMessage;
 use proto::PeerState;
-use proto::Progress;
+use proto::SyncProgress;
 use proto::PROTOCOL_VERSION;
 use rand::RngExt;
 use std::net::SocketAddr;
@@ -42,16 +42,19 @@
         if due.is_none_or(|due| now < due) {
             return;
         }
-        self.is_domain_leader = self.members.leads_domain(now);
+        self.is_domain_leader = self.members.is_domain_leader(now);
         for step in self
             .freshness
             .tick(now, self.is_domain_leader, &mut self.rng)
         {
             match step {
-                Step::AskStore => self.outputs.push(Output::CheckRules),
-                Step::AskPeer { number, attempt } => {
+                FreshnessAction::QueryStore => self.outputs.push(Output::CheckRules),
+                FreshnessAction::QueryPeer {
+                    request_id: number,
+                    attempt,
+                } => {
                     if let Some(to) = self.freshness_peer(attempt) {
-                        self.send_freshness(to, FreshnessMessage::Query { number });
+                        self.send_freshness(to, FreshnessMessage::Query { request_id: number });
                     }
                 }
             }
@@ -62,7 +65,7 @@
     /// whole domain may be cut off from the store.
     fn freshness_peer(&mut self, attempt: u32) -> Option<SocketAddr> {
         if attempt < OWN_DOMAIN_ATTEMPTS {
-            let leader = self.members.domain_leader(attempt as usize);
+            let leader = self.members.domain_leader_candidate(attempt as usize);
             if let Some(leader) = leader {
                 return Some(leader.addr);
             }
@@ -89,14 +92,14 @@
                 let age = self.freshness.age(now).unwrap_or(Duration::MAX);
                 let age_ms = age.as_millis().saturating_add(1);
                 let report = FreshnessMessage::Report {
-                    number,
+                    request_id: number,
                     rules: self.journal.version,
                     age_ms: u32::try_from(age_ms).unwrap_or(u32::MAX),
                 };
                 self.send_freshness(from, report);
             }
             FreshnessMessage::Report {
-                number,
+                request_id: number,
                 rules,
                 age_ms,
             } => {
@@ -136,7 +139,7 @@
         if trusts == std::mem::replace(&mut self.keys_were_trusted, trusts) {
             return;
         }
-        self.outputs.push(Output::Note(Note::Keys {
+        self.outputs.push(Output::Diagnostic(Diagnostic::Keys {
             trusted: trusts,
             rules: self.journal.version,
             age: self.freshness.age(now),
--- a/crates/engine/src/hedge.rs
+++ b/crates/engine/src/hedge.rs
@@ -5,12 +5,12 @@
 //! attempt counts as a retry in all limits on retries.
 
 use crate::job::JobOwner;
-use crate::outgoing::Earlier;
-use crate::outgoing::Outgoing;
+use crate::outgoing::EarlierAttempt;
+use crate::outgoing::OutgoingCall;
 use crate::timers::Timer;
 use crate::Counter;
 use crate::Engine;
-use policy::Ended;
+use policy::WorkOutcome;
 use proto::Answer;
 use proto::CallId;
 use proto::Frame;
@@ -52,8 +52,8 @@
             return;
         };
         if let JobOwner::Call(id) = job.owner {
-            if !job.cancelled && job.waiting.is_empty() {
-                self.send_to(id.from, Frame::Late(id));
+            if !job.cancelled && job.pending_children.is_empty() {
+                self.send_to(id.from, Frame::SlowCall(id));
             }
         }
     }
@@ -85,8 +85,8 @@
             return;
         };
         self.count(Counter::Hedge);
-        self.timers.clear(call.deadline, Timer::Deadline(id));
-        call.earlier = Some(Earlier {
+        self.timers.clear(call.deadline, Timer::CallDeadline(id));
+        call.earlier = Some(EarlierAttempt {
             id,
             target: call.target.clone(),
             lent: call.lent,
@@ -123,7 +123,7 @@
     /// Whether the original attempt may still bring a response after the hedge attempt has failed.
     pub(crate) fn awaits_original(&self, now: Time, call: &Outgoing, outcome: &Outcome) -> bool {
         let is_over = match outcome {
-            Outcome::Whole(_) => true,
+            Outcome::Completed(_) => true,
             Outcome::Unknown(reason) => matches!(reason, Reason::Deadline | Reason::CallerGone),
             Outcome::NotRun(_) => false,
         };
--- a/crates/engine/src/identity.rs
+++ b/crates/engine/src/identity.rs
@@ -1,7 +1,7 @@
 //! Authentication: finds the organisation whose key came with a request.
 
 use crate::request::Arrival;
-use crate::request::Parents;
+use crate::request::ParentInfo;
 use crate::Engine;
 use organisation::Freshness;
 use proto::OrganisationId;
--- a/crates/engine/src/ingress.rs
+++ b/crates/engine/src/ingress.rs
@@ -3,19 +3,19 @@
 use crate::job::JobOwner;
 use crate::operation_key::operation_key;
 use crate::request::Arrival;
-use crate::request::Draft;
 use crate::request::OpenRequest;
-use crate::request::Parents;
-use crate::request::Refused;
+use crate::request::ParentInfo;
+use crate::request::RefusedRequest;
+use crate::request::RequestDraft;
 use crate::Counter;
+use crate::Diagnostic;
 use crate::Engine;
 use crate::KeylessCalls;
-use crate::Note;
 use crate::Output;
-use crate::Token;
+use crate::RequestToken;
 use crate::TreeRetries;
-use organisation::Credit;
-use policy::Account;
+use organisation::QuotaToken;
+use policy::RetryAllowance;
 use proto::ActionId;
 use proto::CallId;
 use proto::Fingerprint;
@@ -26,8 +26,8 @@
 use proto::Request;
 use proto::RunId;
 use rand::RngExt;
+use rules::MatchedRule;
 use rules::Operation;
-use rules::Rule;
 use std::sync::Arc;
 use std::time::Duration;
 use stdx::Time;
@@ -42,7 +42,7 @@
         match admitted {
             Ok((operation, None)) => self.process_arrival(now, arrival, operation, random, None),
             Ok((operation, Some((organisation, quota)))) => {
-                match self.quota.borrower.take(now, organisation, quota) {
+                match self.quota.borrower.try_spend(now, organisation, quota) {
                     Some(credit) => {
                         self.process_arrival(now, arrival, operation, random, Some(credit))
                     }
@@ -86,7 +86,7 @@
             caller,
             parents,
             key,
-            patience,
+            caller_timeout: patience,
             request,
             ..
         } = arrival;
@@ -100,7 +100,7 @@
             .and_then(|draft| self.filter_key(draft, &caller, key));
         match draft {
             Ok(draft) => {
-                let draft = Draft { credit, ..draft };
+                let draft = RequestDraft { credit, ..draft };
                 match self.filter_resend(now, &caller, draft) {
                     Some(draft) => self.open_request(now, draft),
                     // The request was answered, or waits for the answer to an identical one.
@@ -115,7 +115,7 @@
     }
 
     fn refuse_arrival(&mut self, arrival: &Arrival, reason: Reason) {
-        self.refuse_unopened(Refused::from(arrival), self.refusal(reason));
+        self.refuse_unopened(RefusedRequest::from(arrival), self.refusal(reason));
     }
 
     /// Refuses a request before it was opened, so that no record of its key was looked up.
@@ -134,7 +134,7 @@
         } else {
             refusal
         };
-        self.outputs.push(Output::Note(Note::Refused {
+        self.outputs.push(Output::Diagnostic(Diagnostic::Refused {
             request,
             organisation,
             reason,
@@ -173,13 +173,13 @@
         random: u16,
         operation: Operation,
         request: Request,
-    ) -> Result<Draft, Reason> {
+    ) -> Result<RequestDraft, Reason> {
         let run = match parents {
-            Parents {
+            ParentInfo {
                 context: Some(context),
                 ..
             } => Some(RunId::parse(&context).ok_or(Reason::BadRequest)?),
-            Parents { parent, .. } => {
+            ParentInfo { parent, .. } => {
                 parent.and_then(|id| self.jobs_by_request_id.get(&id).copied())
             }
         };
@@ -190,12 +190,12 @@
         if job.depth >= self.cfg.max_depth {
             return Err(Reason::BadRequest);
         }
-        if job.again && !job.account.spend() {
+        if job.again && !job.account.try_withdraw() {
             return Err(Reason::AllowanceSpent);
         }
-        let lent = job.account.lend();
-        let (class, priority) = job.standing_of_child(&operation);
-        Ok(Draft {
+        let lent = job.account.delegate_half();
+        let (class, priority) = job.child_class_and_priority(&operation);
+        Ok(RequestDraft {
             token,
             action: job.action,
             dice: job.dice,
@@ -204,15 +204,15 @@
             passed_level: job.passed_level,
             depth: job.depth + 1,
             deadline: job.deadline.min(now + operation.deadline),
-            account: Account::new(lent),
+            account: RetryAllowance::new(lent),
             parent: Some(run),
             lent,
             key: None,
             fresh: false,
-            made_key: None,
+            generated_key: None,
             again: job.again,
             credit: None,
-            sent: None,
+            request_hash: None,
             operation,
             request,
         })
@@ -231,7 +231,7 @@
         if self.stopping && now >= self.accepts_until {
             return Err(Reason::Draining);
         }
-        Ok(Draft {
+        Ok(RequestDraft {
             token,
             action: ActionId(self.rng.random()),
             dice: self.admission.ranked_random(&operation, random),
@@ -240,15 +240,15 @@
             passed_level: 0,
             depth: 0,
             deadline: now + operation.deadline,
-            account: Account::new(self.tree_retries(&operation)),
+            account: RetryAllowance::new(self.tree_retries(&operation)),
             parent: None,
             lent: 0,
             key: None,
             fresh: false,
-            made_key: None,
+            generated_key: None,
             again: false,
             credit: None,
-            sent: None,
+            request_hash: None,
             operation,
             request,
         })
@@ -268,10 +268,10 @@
     /// Assigns an idempotency key to a non-idempotent call.
     fn filter_key(
         &mut self,
-        mut draft: Draft,
+        mut draft: RequestDraft,
         caller: &str,
         key: Option<Arc<str>>,
-    ) -> Result<Draft, Reason> {
+    ) -> Result<RequestDraft, Reason> {
         if draft.operation.idempotent {
             return Ok(draft);
         }
@@ -301,7 +301,7 @@
             },
             (None, None) => {
                 let text: Arc<str> = format!("{:032x}", self.rng.random::<u128>()).into();
-                draft.made_key = Some(text.clone());
+                draft.generated_key = Some(text.clone());
                 draft.fresh = true;
                 IdempotencyKey {
                     caller: caller.into(),
@@ -311,7 +311,7 @@
             }
         };
         if draft.parent.is_none() {
-            draft.action = key.action();
+            draft.action = key.action_id();
         }
         draft.key = Some((key.hash(), fingerprint));
         Ok(draft)
@@ -354,7 +354,7 @@
             }
         };
         IdempotencyKey {
-            caller: job.path.clone(),
+            caller: job.child_key_scope.clone(),
             service,
             text,
         }
@@ -370,15 +370,15 @@
             },
             parent: draft.parent,
             lent: draft.lent,
-            made_key: draft.made_key.clone(),
+            generated_key: draft.generated_key.clone(),
             operation: draft.operation.clone(),
             credit: draft.credit,
-            sent: draft.sent,
+            request_hash: draft.request_hash,
             followers: Vec::new(),
         };
         self.open_requests.insert(token, open);
         if let Some(job) = draft.parent.and_then(|run| self.jobs.get_mut(&run)) {
-            job.child_began(now, token);
+            job.on_child_started(now, token);
         }
         self.start_call(now, draft);
     }
@@ -387,7 +387,7 @@
     pub(crate) fn close_request(
         &mut self,
         now: Time,
-        token: Token,
+        token: RequestToken,
         unspent: u16,
         outcome: Outcome,
     ) {
@@ -395,32 +395,32 @@
             return;
         };
         if let Some(job) = open.parent.and_then(|run| self.jobs.get_mut(&run)) {
-            job.account.give_back(open.lent, unspent);
-            job.child_ended(now, token);
+            job.account.reclaim(open.lent, unspent);
+            job.on_child_ended(now, token);
         }
         if matches!(outcome, Outcome::NotRun(_)) {
             self.return_credit(now, open.credit);
         }
-        if let Some(sent) = open.sent {
-            self.resends.ended(now, sent, &outcome);
+        if let Some(sent) = open.request_hash {
+            self.resends.record_end(now, sent, &outcome);
         }
         for follower in open.followers {
             self.followers.swap_remove(&follower);
             self.outputs.push(Output::Answer {
                 token: follower,
                 outcome: outcome.clone(),
-                made_key: None,
+                generated_key: None,
             });
         }
         self.count(match &outcome {
-            Outcome::Whole(_) => Counter::Completed(open.operation.class),
+            Outcome::Completed(_) => Counter::Completed(open.operation.class),
             Outcome::NotRun(refusal) => Counter::NotRun(refusal.reason),
             Outcome::Unknown(reason) => Counter::Unknown(*reason),
         });
         self.outputs.push(Output::Answer {
             token,
             outcome,
-            made_key: open.made_key,
+            generated_key: open.generated_key,
         });
     }
 
@@ -431,7 +431,7 @@
         self.outputs.push(Output::Answer {
             token,
             outcome,
-            made_key: None,
+            generated_key: None,
         });
     }
 
--- a/crates/engine/src/job.rs
+++ b/crates/engine/src/job.rs
@@ -1,15 +1,15 @@
 //! Work for the own backend server: what a job is, and what its run tells.
 
 use crate::operation_key::OperationKey;
+use crate::RequestToken;
 use crate::RunEnd;
-use crate::Token;
 use indexmap::IndexMap;
-use policy::Account;
-use policy::Ended;
+use policy::RetryAllowance;
+use policy::WorkOutcome;
 use proto::ActionId;
-use proto::Below;
 use proto::CallId;
 use proto::Class;
+use proto::DownstreamSummary;
 use proto::Fingerprint;
 use proto::KeyHash;
 use proto::Request;
@@ -26,7 +26,7 @@
     pub(crate) dice: u16,
     pub(crate) depth: u8,
     pub(crate) deadline: Time,
-    pub(crate) account: Account,
+    pub(crate) account: RetryAllowance,
     /// Each child call counts as a retry.
     pub(crate) again: bool,
     pub(crate) operation: Option<OperationKey>,
@@ -42,11 +42,11 @@
     pub(crate) calls_below: u16,
     /// The levels that its child calls met last, by operation. The highest that any met would be as
     /// old as the run.
-    pub(crate) met: IndexMap<OperationKey, u16>,
+    pub(crate) child_levels: IndexMap<OperationKey, u16>,
     /// Stands for the place in the call tree, as the scope of child keys.
-    pub(crate) path: Arc<str>,
+    pub(crate) child_key_scope: Arc<str>,
     /// Child calls of each kind so far.
-    pub(crate) children: IndexMap<(Arc<str>, Fingerprint), u32>,
+    pub(crate) child_counts: IndexMap<(Arc<str>, Fingerprint), u32>,
     /// What the whole action is for.
     pub(crate) class: Class,
     pub(crate) priority: u8,
@@ -54,11 +54,11 @@
     pub(crate) passed_level: u16,
     pub(crate) started: Option<Time>,
     /// The incarnation of the server that it was given to.
-    pub(crate) expect: Option<Arc<str>>,
+    pub(crate) expected_server: Option<Arc<str>>,
     /// Child calls in flight, since when there are any, and how long there were some.
-    pub(crate) waiting: Vec<Token>,
-    pub(crate) waiting_since: Time,
-    pub(crate) waited: Duration,
+    pub(crate) pending_children: Vec<RequestToken>,
+    pub(crate) children_pending_since: Time,
+    pub(crate) child_wait: Duration,
     pub(crate) request: Request,
 }
 
@@ -73,7 +73,7 @@
 
 impl Job {
     /// What a child call is for, and how urgent: a lookup that an order makes is part of the order.
-    pub(crate) fn standing_of_child(&self, own: &Operation) -> (Class, u8) {
+    pub(crate) fn child_class_and_priority(&self, own: &Operation) -> (Class, u8) {
         if own.class.is_protected() {
             (own.class, own.priority)
         } else {
@@ -81,47 +81,47 @@
         }
     }
 
-    pub(crate) fn child_began(&mut self, now: Time, child: Token) {
-        if self.waiting.is_empty() {
-            self.waiting_since = now;
+    pub(crate) fn on_child_started(&mut self, now: Time, child: RequestToken) {
+        if self.pending_children.is_empty() {
+            self.children_pending_since = now;
         }
-        self.waiting.push(child);
+        self.pending_children.push(child);
         self.calls_below = self.calls_below.saturating_add(1);
     }
 
     /// What the run has met so far in the calls that it made.
-    pub(crate) fn below(&self) -> Below {
-        Below {
-            level: self.met.values().copied().max().unwrap_or(0),
+    pub(crate) fn below(&self) -> DownstreamSummary {
+        DownstreamSummary {
+            level: self.child_levels.values().copied().max().unwrap_or(0),
             calls: self.calls_below,
         }
     }
 
-    pub(crate) fn child_ended(&mut self, now: Time, child: Token) {
-        self.waiting.retain(|waiting| *waiting != child);
-        if self.waiting.is_empty() {
-            self.waited += now.since(self.waiting_since);
+    pub(crate) fn on_child_ended(&mut self, now: Time, child: RequestToken) {
+        self.pending_children.retain(|pending| *pending != child);
+        if self.pending_children.is_empty() {
+            self.child_wait += now.since(self.children_pending_since);
         }
     }
 
     /// What the end of the run says about the backend server. The time of an answer that reports a
     /// failure is left out: it is often quick, and would make the limit rise.
-    pub(crate) fn ended(&self, now: Time, end: &RunEnd) -> Ended {
+    pub(crate) fn ended(&self, now: Time, end: &RunEnd) -> WorkOutcome {
         let took = self.started.map_or(Duration::ZERO, |at| now.since(at));
         match end {
-            RunEnd::Response(response) if response.status >= 500 => Ended::Failed,
-            RunEnd::Response(_) => Ended::Whole {
-                took,
-                own: took.saturating_sub(self.waited),
+            RunEnd::Response(response) if response.status >= 500 => WorkOutcome::Failed,
+            RunEnd::Response(_) => WorkOutcome::Completed {
+                elapsed: took,
+                own_time: took.saturating_sub(self.child_wait),
             },
-            RunEnd::Refused { .. } => Ended::Refused,
-            RunEnd::NeverSent => Ended::NeverSent,
-            RunEnd::TimedOut if self.waiting.is_empty() => Ended::GivenUp {
-                took,
-                own: took.saturating_sub(self.waited),
+            RunEnd::Refused { .. } => WorkOutcome::Refused,
+            RunEnd::NeverSent => WorkOutcome::Unreachable,
+            RunEnd::TimedOut if self.pending_children.is_empty() => WorkOutcome::Abandoned {
+                elapsed: took,
+                own_time: took.saturating_sub(self.child_wait),
             },
-            RunEnd::Misdirected | RunEnd::TimedOut => Ended::Failed,
-            RunEnd::Lost => Ended::Lost,
+            RunEnd::Misdirected | RunEnd::TimedOut => WorkOutcome::Failed,
+            RunEnd::Lost => WorkOutcome::Lost,
         }
     }
 }
--- a/crates/engine/src/keyed_calls.rs
+++ b/crates/engine/src/keyed_calls.rs
@@ -1,16 +1,16 @@
 //! Calls with an idempotency key, at the key's home node.
 
 use crate::job::JobOwner;
-use crate::serve::Inbound;
-use crate::serve::Work;
+use crate::serve::InboundCall;
+use crate::serve::InboundWork;
 use crate::timers::Timer;
 use crate::Counter;
 use crate::Engine;
 use crate::Output;
 use indexmap::IndexMap;
-use once::Begin;
+use once::BeginResult;
 use once::Effect;
-use once::End;
+use once::RunOutcome;
 use proto::Call;
 use proto::CallId;
 use proto::Datagram;
@@ -55,22 +55,22 @@
 impl Engine {
     /// Starts a run for a call, attaches the call to one, holds it, or answers it from the record.
     pub(crate) fn on_keyed_call(&mut self, now: Time, call: Call) {
-        let (id, allowance) = (call.id, call.allowance);
+        let (id, allowance) = (call.id, call.retry_allowance);
         let Some((key, fingerprint)) = call.key else {
             return self.answer_call(id, allowance, self.not_run(Reason::BadKey));
         };
-        match self.home.begin(now, key, fingerprint, call.fresh) {
-            Begin::Start => self.start_keyed_run(now, key, call),
-            Begin::Attach => self.attach_to_run(key, id),
-            Begin::Done(response) => {
+        match self.home.begin(now, key, fingerprint, call.first_attempt) {
+            BeginResult::Start => self.start_keyed_run(now, key, call),
+            BeginResult::Attach => self.attach_to_run(key, id),
+            BeginResult::Done(response) => {
                 self.count(Counter::ResponseReplayed);
-                self.answer_call(id, allowance, Outcome::Whole(response));
+                self.answer_call(id, allowance, Outcome::Completed(response));
             }
-            Begin::NotRun(reason) => self.answer_call(id, allowance, self.not_run(reason)),
-            Begin::Unknown => {
+            BeginResult::NotRun(reason) => self.answer_call(id, allowance, self.not_run(reason)),
+            BeginResult::Unknown => {
                 self.answer_call(id, allowance, Outcome::Unknown(Reason::RecordLost));
             }
-            Begin::Wait => self.hold_call(now, key, call),
+            BeginResult::Wait => self.hold_call(now, key, call),
         }
     }
 
@@ -102,27 +102,32 @@
 
     /// Enters a call that waits for a key in the table of calls to answer.
     fn add_waiting_call(&mut self, key: KeyHash, id: CallId) {
-        let work = Work::Key(key);
-        self.inbound.insert(id, Inbound { work });
+        let work = InboundWork::Key(key);
+        self.inbound.insert(id, InboundCall { work });
     }
 
     /// Holds a call until its slot has been transferred to this node. A refusal would send the call
     /// from node to node during the few milliseconds of the transfer. Both the time and the number
     /// of held calls are bounded.
     fn hold_call(&mut self, now: Time, key: KeyHash, call: Call) {
-        let (id, allowance) = (call.id, call.allowance);
+        let (id, allowance) = (call.id, call.retry_allowance);
         if self.held_calls.len() >= MAX_HELD_CALLS {
             return self.answer_call(id, allowance, self.not_run(Reason::Moving));
         }
         let until = now + MAX_HOLD_TIME.min(Duration::from_millis(u64::from(call.remaining_ms)));
-        self.timers.set(until, Timer::Held(id));
-        self.inbound.insert(id, Inbound { work: Work::Held });
+        self.timers.set(until, Timer::HeldCallTimeout(id));
+        self.inbound.insert(
+            id,
+            InboundCall {
+                work: InboundWork::Held,
+            },
+        );
         self.held_calls.insert(id, HeldCall { call, key, until });
     }
 
     fn take_held(&mut self, id: CallId) -> Option<HeldCall> {
         let held = self.held_calls.swap_remove(&id)?;
-        self.timers.clear(held.until, Timer::Held(id));
+        self.timers.clear(held.until, Timer::HeldCallTimeout(id));
         self.inbound.swap_remove(&id);
         Some(held)
     }
@@ -130,14 +135,18 @@
     /// Refuses a call whose slot did not arrive in time.
     pub(crate) fn on_hold_timeout(&mut self, id: CallId) {
         if let Some(held) = self.take_held(id) {
-            self.answer_call(id, held.call.allowance, self.not_run(Reason::Moving));
+            self.answer_call(id, held.call.retry_allowance, self.not_run(Reason::Moving));
         }
     }
 
     /// Drops a held call whose caller has disconnected.
     pub(crate) fn cancel_held(&mut self, id: CallId) {
         if let Some(held) = self.take_held(id) {
-            self.answer_call(id, held.call.allowance, self.not_run(Reason::CallerGone));
+            self.answer_call(
+                id,
+                held.call.retry_allowance,
+                self.not_run(Reason::CallerGone),
+            );
         }
     }
 
@@ -168,9 +177,9 @@
         outcome: Outcome,
     ) {
         let end = match &outcome {
-            Outcome::Whole(response) => End::Done(response.clone()),
-            Outcome::NotRun(_) => End::NotRun,
-            Outcome::Unknown(_) => End::Unknown,
+            Outcome::Completed(response) => RunOutcome::Done(response.clone()),
+            Outcome::NotRun(_) => RunOutcome::NotRun,
+            Outcome::Unknown(_) => RunOutcome::Unknown,
         };
         let effects = self.home.finish(now, key, end);
         let Some(key_run) = self.key_runs.swap_remove(&key) else {
@@ -196,7 +205,7 @@
         }
         let run = key_run.run;
         match run {
-            Some(run) if self.withdraw(run) => self.withdraw_job(now, run),
+            Some(run) if self.withdraw(run) => self.end_withdrawn_job(now, run),
             Some(_) => {}
             None => {
                 self.key_runs.swap_remove(&key);
@@ -226,9 +235,9 @@
     pub(crate) fn on_home_frame(&mut self, now: Time, from: Incarnation, frame: Frame) -> bool {
         let effects = match frame {
             Frame::Transfer(transfer) => self.home.on_transfer(now, *transfer),
-            Frame::TransferDone { slot, view } => self.home.on_transfer_done(now, from, slot, view),
-            Frame::Finished(record) => self.home.on_finished(now, from, *record),
-            Frame::FinishedDone(key) => self.home.on_finished_done(now, key),
+            Frame::TransferAck { slot, view } => self.home.on_transfer_ack(now, from, slot, view),
+            Frame::RunFinished(record) => self.home.on_finished(now, from, *record),
+            Frame::RunFinishedAck(key) => self.home.on_finished_ack(now, key),
             _ => return false,
         };
         self.apply_home(now, effects);
@@ -251,7 +260,7 @@
         let Some(view) = self.journal.view(&self.own_instance.service) else {
             return;
         };
-        if self.home.view() >= Some(view.number) {
+        if self.home.view_number() >= Some(view.number) {
             return;
         }
         let view = view.clone();
@@ -299,27 +308,29 @@
 
     fn apply_home_effect(&mut self, now: Time, effect: Effect) {
         match effect {
-            Effect::Lease { to, message } => {
+            Effect::SendLease { to, message } => {
                 let version = PROTOCOL_VERSION;
                 let datagram = Datagram::Lease { version, message };
                 self.outputs.push(Output::Datagram { to, datagram });
             }
-            Effect::Transfer { to, transfer } => {
+            Effect::SendTransfer { to, transfer } => {
                 self.send(&to, Frame::Transfer(Box::new(transfer)));
             }
-            Effect::TransferDone { to, slot, view } => {
+            Effect::AckTransfer { to, slot, view } => {
                 self.count(Counter::SlotMoved);
-                self.send(&to, Frame::TransferDone { slot, view });
+                self.send(&to, Frame::TransferAck { slot, view });
+            }
+            Effect::SendFinished { to, record } => {
+                self.send(&to, Frame::RunFinished(Box::new(record)))
             }
-            Effect::Finished { to, record } => self.send(&to, Frame::Finished(Box::new(record))),
-            Effect::FinishedDone { to, key } => self.send(&to, Frame::FinishedDone(key)),
-            Effect::Settled(slot) => self.release_held_calls(now, |key| key.slot() == slot),
-            Effect::Leased => self.release_held_calls(now, |_| true),
-            Effect::Ended(key) => self.on_run_ended_elsewhere(key),
-            Effect::Recall(key) => self.recall_queued_run(now, key),
-            Effect::Behind => self.outputs.push(Output::ReadLog),
+            Effect::AckFinished { to, key } => self.send(&to, Frame::RunFinishedAck(key)),
+            Effect::MoveEnded(slot) => self.release_held_calls(now, |key| key.slot() == slot),
+            Effect::LeaseAcquired => self.release_held_calls(now, |_| true),
+            Effect::RemoteRunEnded(key) => self.on_run_ended_elsewhere(key),
+            Effect::CancelQueued(key) => self.recall_queued_run(now, key),
+            Effect::ViewOutdated => self.outputs.push(Output::ReadLog),
             Effect::Expelled => self.expel(now),
-            Effect::Fault(fault) => {
+            Effect::InvariantViolation(fault) => {
                 debug_assert!(false, "{fault:?}");
                 self.count(Counter::InvariantViolated);
             }
@@ -338,9 +349,9 @@
         let Some(key_run) = self.key_runs.swap_remove(&key) else {
             return;
         };
-        let outcome = match self.home.known(key) {
-            Begin::Done(response) => Outcome::Whole(response),
-            Begin::NotRun(reason) => self.not_run(reason),
+        let outcome = match self.home.lookup(key) {
+            BeginResult::Done(response) => Outcome::Completed(response),
+            BeginResult::NotRun(reason) => self.not_run(reason),
             _ => Outcome::Unknown(Reason::RecordLost),
         };
         for id in key_run.waiting_calls {
--- a/crates/engine/src/log.rs
+++ b/crates/engine/src/log.rs
@@ -9,7 +9,7 @@
 use journal::Change;
 use journal::Record;
 use journal::State;
-use policy::Ranks;
+use policy::PriorityBands;
 use rand::RngExt;
 use std::time::Duration;
 use stdx::Time;
@@ -29,12 +29,12 @@
 
 /// What this node has to say to the log and whether it got through.
 #[derive(Debug, Default)]
-pub(crate) struct LogLink {
+pub(crate) struct LogController {
     /// The last read got no answer.
-    pub(crate) down: bool,
+    pub(crate) unreachable: bool,
     /// The log was read to its end once, or its state came from a peer. Before that the rules and
     /// views may be older than what this address had in force when it was last up.
-    pub(crate) ready: bool,
+    pub(crate) synced: bool,
     pub(crate) appends: AppendQueue,
     /// Where the append in flight is to stand, or the last one was.
     append_at: u64,
@@ -47,14 +47,14 @@
     give_up: Option<Time>,
 }
 
-impl LogLink {
+impl LogController {
     /// Whether nothing is left to say before the process ends.
-    pub(crate) fn left(&self) -> bool {
+    pub(crate) fn leave_settled(&self) -> bool {
         !self.appends.contains(AppendKey::Leave)
     }
 
     /// Whether a stop no longer waits for its `Leave`.
-    pub(crate) fn has_given_up(&self) -> bool {
+    pub(crate) fn leave_wait_ended(&self) -> bool {
         self.give_up.is_none()
     }
 
@@ -75,8 +75,8 @@
         let before = self.journal.version;
         for (offset, value) in records {
             match self.journal.apply(offset, &value) {
-                Change::Nothing | Change::Old | Change::Restored => {}
-                Change::Broken => self.count(Counter::MalformedRecord),
+                Change::Unchanged | Change::Stale | Change::Restored => {}
+                Change::Invalid => self.count(Counter::MalformedRecord),
                 Change::Rules => {
                     self.count(Counter::RulesInForce);
                     self.on_rules(now);
@@ -86,21 +86,21 @@
             }
         }
         // What is read at the start is no news to anybody.
-        if self.log.ready && self.journal.version > before {
+        if self.log.synced && self.journal.version > before {
             self.announce_progress(true);
         }
     }
 
     /// Takes the newest record of each key, at a start or after records that this node lacks have
     /// expired.
-    pub(crate) fn on_newest(&mut self, now: Time, values: Vec<(u64, Bytes)>, end: u64) {
-        let values = journal::in_order(values, end);
+    pub(crate) fn on_topic_snapshot(&mut self, now: Time, values: Vec<(u64, Bytes)>, end: u64) {
+        let values = journal::sorted_before(values, end);
         let newest = State::from_newest(&values, end);
-        if !newest.is_whole_since(self.journal.next) {
+        if !newest.is_complete_since(self.journal.next_offset) {
             return self.begin_anew(now, newest);
         }
         for (offset, value) in values {
-            if offset >= self.journal.next {
+            if offset >= self.journal.next_offset {
                 self.journal.skip_to(offset);
                 self.on_records(now, vec![(offset, value)]);
             }
@@ -111,7 +111,7 @@
     /// Views were missed, and the topic does not have them any more.
     fn begin_anew(&mut self, now: Time, newest: State) {
         let rules_back = newest.version < self.journal.version;
-        let views_back = newest.next < self.journal.next;
+        let views_back = newest.next_offset < self.journal.next_offset;
         if rules_back || views_back {
             return self.count(Counter::MalformedRecord);
         }
@@ -130,42 +130,45 @@
     }
 
     fn on_rules(&mut self, now: Time) {
-        let limit = self.journal.rules.limit(&self.own_instance.service);
+        let limit = self
+            .journal
+            .rules
+            .service_limits(&self.own_instance.service);
         let operations = || self.journal.rules.all_operations();
         let longest = operations().map(|operation| operation.deadline).max();
         let ranks = match self.cfg.policy.ranks {
-            true => Ranks::new(self.journal.rules.standings()),
-            false => Ranks::default(),
+            true => PriorityBands::new(self.journal.rules.class_priorities()),
+            false => PriorityBands::default(),
         };
-        self.server.set_ranks(ranks.clone());
+        self.server.set_priority_bands(ranks.clone());
         self.admission.set_ranks(ranks);
-        self.set_quotas();
+        self.update_quotas();
         let longest = longest.unwrap_or(limit.key_retention);
-        self.home.set_times(limit.key_retention, longest);
-        self.set_server_bounds();
+        self.home.set_time_limits(limit.key_retention, longest);
+        self.update_concurrency_bounds();
         self.check_server(now);
-        self.update_roster(now);
+        self.mark_roster_changed(now);
     }
 
     /// Takes a rules file that was given its version elsewhere.
-    pub(crate) fn on_published(&mut self, now: Time, version: u64, file: &str) {
-        self.log.down = false;
+    pub(crate) fn on_rules_published(&mut self, now: Time, version: u64, file: &str) {
+        self.log.unreachable = false;
         match self
             .journal
-            .take_version(version, file, self.cfg.parse_rules)
+            .apply_external_rules(version, file, self.cfg.parse_rules)
         {
             Change::Rules => {
                 self.count(Counter::RulesInForce);
-                self.log.ready = true;
+                self.log.synced = true;
                 self.on_rules(now);
                 self.announce_progress(true);
             }
-            Change::Broken => self.count(Counter::PublicationRejected),
+            Change::Invalid => self.count(Counter::PublicationRejected),
             _ => {}
         }
     }
 
-    pub(crate) fn on_restored(&mut self, now: Time) {
+    pub(crate) fn on_state_restored(&mut self, now: Time) {
         self.count(Counter::StateRestored);
         self.on_rules(now);
         // Views before the one in the state may have been missed.
@@ -173,13 +176,13 @@
     }
 
     fn on_view_change(&mut self, now: Time) {
-        self.update_roster(now);
+        self.mark_roster_changed(now);
         self.apply_new_views(now);
     }
 
-    pub(crate) fn on_log_read(&mut self, now: Time) {
-        self.log.down = false;
-        self.log.ready = true;
+    pub(crate) fn on_log_caught_up(&mut self, now: Time) {
+        self.log.unreachable = false;
+        self.log.synced = true;
         self.home.on_log_read(now);
         self.check_departed(now);
         // An incarnation that the views have dropped never comes back: it ends, and its next start
@@ -191,11 +194,11 @@
         if !self.stopping
             && !dropped
             && !self.is_listed()
-            && self.journal.admits(&self.own_instance)
+            && self.journal.can_join(&self.own_instance)
         {
             self.append(AppendKey::Join);
         }
-        if self.is_oldest_member() && self.journal.to_forget().is_some() {
+        if self.is_oldest_member() && self.journal.next_forget_record().is_some() {
             self.append(AppendKey::DropDeparture);
         }
     }
@@ -227,12 +230,12 @@
                 incarnation,
                 by: mine,
             },
-            AppendKey::DropDeparture => self.journal.to_forget()?,
+            AppendKey::DropDeparture => self.journal.next_forget_record()?,
         })
     }
 
     /// Drops what the topic shows by now, and starts the next append that is due.
-    pub(crate) fn pump_appends(&mut self, now: Time) {
+    pub(crate) fn start_due_append(&mut self, now: Time) {
         let mine = self.own_instance.incarnation;
         let journal = &self.journal;
         // A record that would change nothing must not land: it would take the key of one that did.
@@ -240,17 +243,17 @@
             AppendKey::Join => !journal.is_listed(mine),
             AppendKey::Leave => !journal.departed.contains_key(&mine),
             AppendKey::Evict(other) => journal.is_listed(other) && journal.is_listed(mine),
-            AppendKey::DropDeparture => journal.to_forget().is_some(),
+            AppendKey::DropDeparture => journal.next_forget_record().is_some(),
         });
         if self.log.give_up.is_some_and(|give_up| give_up <= now) {
             self.log.give_up = None;
-            if !self.log.left() {
+            if !self.log.leave_settled() {
                 self.log.appends.remove(AppendKey::Leave);
                 self.count(Counter::LeaveNotAppended);
             }
         }
         let due = self.log.appends.next_due();
-        if due.is_none_or(|due| due > now) || !self.log.may_append(self.journal.next) {
+        if due.is_none_or(|due| due > now) || !self.log.may_append(self.journal.next_offset) {
             return;
         }
         let number = self.allocate_id();
@@ -261,11 +264,11 @@
             return;
         };
         self.log.join_sent |= key == AppendKey::Join;
-        self.log.append_at = self.journal.next;
+        self.log.append_at = self.journal.next_offset;
         self.log.overtaken = false;
         self.outputs.push(Output::Append {
             number,
-            at: self.journal.next,
+            at: self.journal.next_offset,
             entries: record.entries(),
         });
     }
@@ -315,7 +318,7 @@
 
     /// Says in the topic that this node leaves. A `Join` that may be on its way makes no difference:
     /// of the two, the one that is appended first keeps the other out or comes before it.
-    pub(crate) fn leave_log(&mut self, now: Time) {
+    pub(crate) fn queue_leave(&mut self, now: Time) {
         self.log.appends.remove(AppendKey::Join);
         let gone = self
             .journal
@@ -331,7 +334,7 @@
 
     /// Whether rules are in force here that are as new as the log's, or as a peer's.
     pub(crate) fn has_rules(&self) -> bool {
-        self.log.ready && self.journal.version > 0
+        self.log.synced && self.journal.version > 0
     }
 
     /// Whether the log's views name this incarnation.
--- a/crates/engine/src/reattach.rs
+++ b/crates/engine/src/reattach.rs
@@ -1,6 +1,6 @@
 //! Calls whose connection is lost.
 
-use crate::outgoing::Outgoing;
+use crate::outgoing::OutgoingCall;
 use crate::timers::Timer;
 use crate::Counter;
 use crate::Engine;
@@ -35,15 +35,15 @@
                 self.calls.insert(id, call);
             } else {
                 self.selector.on_ended(peer);
-                self.timers.clear(call.deadline, Timer::Deadline(id));
+                self.timers.clear(call.deadline, Timer::CallDeadline(id));
                 self.on_attempt_lost(now, call, Reason::PeerLost);
             }
         }
     }
 
     /// Frames could not be sent. A call's first sending certainly did not run.
-    pub(crate) fn on_unsent(&mut self, now: Time, peer: Incarnation, unsent: Vec<Frame>) {
-        self.selector.on_failed(now, peer, &mut self.rng);
+    pub(crate) fn on_peer_unreachable(&mut self, now: Time, peer: Incarnation, unsent: Vec<Frame>) {
+        self.selector.on_connection_failed(now, peer, &mut self.rng);
         for frame in unsent {
             let Frame::Call(frame) = frame else {
                 continue;
@@ -54,7 +54,7 @@
             if call.reattaches > 0 {
                 self.reattach_later(now, frame.id, call);
             } else {
-                call.account.give_back(call.lent, call.lent);
+                call.account.reclaim(call.lent, call.lent);
                 let refusal = self.refusal(Reason::PeerLost);
                 self.on_not_run(now, call, refusal);
             }
@@ -64,19 +64,19 @@
     /// A call that may have been sent before could not be sent again. Whether it ran is known only
     /// over there, so it is tried until the other end is known to be gone; what may just as well
     /// run elsewhere does not wait for that.
-    fn reattach_later(&mut self, now: Time, id: CallId, mut call: Outgoing) {
+    fn reattach_later(&mut self, now: Time, id: CallId, mut call: OutgoingCall) {
         let target = call.target.incarnation;
         let gone = self
             .members
             .get(target)
             .is_none_or(|peer| peer.state == PeerState::Dead);
-        let elsewhere = call.idempotent && call.account.left() > 0;
+        let elsewhere = call.idempotent && call.account.remaining() > 0;
         if gone || elsewhere || call.reattaches >= MAX_REATTACHES {
             return self.on_attempt_lost(now, call, Reason::PeerLost);
         }
         let wait = REATTACH_WAIT * (1 << call.reattaches);
         call.reattaches += 1;
-        self.timers.set(call.deadline, Timer::Deadline(id));
+        self.timers.set(call.deadline, Timer::CallDeadline(id));
         self.timers.set(now + wait, Timer::Reattach(id));
         self.selector.on_sent(target);
         self.calls.insert(id, call);
--- a/crates/engine/tests/allowance.rs
+++ b/crates/engine/tests/allowance.rs
@@ -5,8 +5,8 @@
 use bilberry_engine::Engine;
 use bilberry_engine::Input;
 use bilberry_engine::Output;
+use bilberry_engine::RequestToken;
 use bilberry_engine::RunEnd;
-use bilberry_engine::Token;
 use bytes::Bytes;
 use indexmap::IndexMap;
 use indexmap::IndexSet;
@@ -194,7 +194,7 @@
 
     fn send_request(&mut self, node: usize, parent: Option<RunId>, call: usize) {
         self.next_token += 1;
-        let token = Token(self.next_token);
+        let token = RequestToken(self.next_token);
         if let Some(run) = parent {
             self.tokens.insert(token, run);
         }
@@ -213,7 +213,7 @@
                 context: parent.map(|run| run.to_string().into()),
                 parent: None,
                 key: None,
-                patience: None,
+                caller_timeout: None,
                 request: Request::new(&service, method, &format!("/{call}"), Bytes::new()),
             },
         ));
--- a/crates/engine/tests/announced.rs
+++ b/crates/engine/tests/announced.rs
@@ -8,8 +8,8 @@
 use bilberry_engine::Input;
 use bilberry_engine::KeylessCalls;
 use bilberry_engine::Output;
+use bilberry_engine::RequestToken;
 use bilberry_engine::RunEnd;
-use bilberry_engine::Token;
 use bytes::Bytes;
 use proto::Class;
 use proto::Instance;
@@ -17,10 +17,10 @@
 use proto::Reason;
 use proto::Request;
 use proto::RunId;
-use rules::Asked;
 use rules::Operation;
 use rules::Route;
 use rules::Routes;
+use rules::RuleOrigin;
 use rules::Rules;
 use std::sync::Arc;
 use std::time::Duration;
@@ -46,13 +46,13 @@
             priority: 0,
             retries: 1,
             public: false,
-            asked: Asked {
+            origin: RuleOrigin {
                 line: 1,
-                by: "Anna".into(),
+                requested_by: "Anna".into(),
             },
         },
         targets: vec![(service, 1)],
-        objective: Duration::from_secs(1),
+        latency_objective: Duration::from_secs(1),
     };
     let mut routes = Routes::default();
     routes.insert(&HOST.into(), file.into(), route);
@@ -110,7 +110,7 @@
 
 fn publish(engine: &mut Engine, version: u64, file: &str) {
     let file = file.into();
-    engine.handle(at(0), Input::Published { version, file });
+    engine.handle(at(0), Input::RulesPublished { version, file });
 }
 
 fn heartbeat(id: &str, started_ms: u64, sequence: u64, draining: bool) -> Input {
@@ -131,12 +131,12 @@
 fn request(token: u64, path: &str) -> Input {
     Input::Request {
         credential: None,
-        token: Token(token),
+        token: RequestToken(token),
         caller: "shop".into(),
         context: None,
         parent: None,
         key: None,
-        patience: None,
+        caller_timeout: None,
         request: Request {
             id: format!("id-{token}").into(),
             host: HOST.into(),
@@ -322,12 +322,12 @@
     send_booking(&mut engine, at(2), 1).unwrap();
     let call = Input::Request {
         credential: None,
-        token: Token(2),
+        token: RequestToken(2),
         caller: "press".into(),
         context: None,
         parent: Some("id-1".into()),
         key: None,
-        patience: None,
+        caller_timeout: None,
         request: Request {
             id: "id-1.x".into(),
             host: HOST.into(),
@@ -404,7 +404,7 @@
         health_checks(engine.handle(at(0), heartbeat("a", 1, 1, false))),
         [""; 0]
     );
-    let version = Input::Published {
+    let version = Input::RulesPublished {
         version: 3,
         file: "/slots/".into(),
     };
--- a/crates/engine/tests/levels.rs
+++ b/crates/engine/tests/levels.rs
@@ -4,20 +4,20 @@
 use bilberry_engine::Engine;
 use bilberry_engine::Input;
 use bilberry_engine::Output;
+use bilberry_engine::RequestToken;
 use bilberry_engine::RunEnd;
-use bilberry_engine::Token;
 use bytes::Bytes;
 use journal::Record;
 use proto::ActionId;
 use proto::Answer;
-use proto::Below;
 use proto::Call;
 use proto::CallId;
+use proto::CallRole;
 use proto::Class;
+use proto::DownstreamSummary;
 use proto::Frame;
 use proto::Incarnation;
 use proto::Instance;
-use proto::Leg;
 use proto::LoadReport;
 use proto::Outcome;
 use proto::Reason;
@@ -79,7 +79,7 @@
             calls: 0,
         };
         node.input(Input::Records(records.collect()));
-        node.input(Input::LogRead);
+        node.input(Input::LogCaughtUp);
         node
     }
 
@@ -106,13 +106,13 @@
             class: Class::Lookup,
             priority: 0,
             passed_level: 0,
-            leg: Leg::Serve,
+            role: CallRole::Serve,
             remaining_ms: 5000,
-            allowance: 0,
-            again: false,
+            retry_allowance: 0,
+            possible_repeat: false,
             idempotent: true,
             key: None,
-            fresh: false,
+            first_attempt: false,
             depth: 0,
             request: Request::new("status", "GET", "/orders", Bytes::new()),
         };
@@ -126,12 +126,12 @@
     fn read_stock(&mut self, run: RunId) -> Call {
         let outputs = self.input(Input::Request {
             credential: None,
-            token: Token(self.calls),
+            token: RequestToken(self.calls),
             caller: "status".into(),
             context: Some(run.to_string().into()),
             parent: None,
             key: None,
-            patience: None,
+            caller_timeout: None,
             request: Request::new("stock", "GET", "/shirts", Bytes::new()),
         });
         let sent = outputs.into_iter().find_map(|output| match output {
@@ -147,18 +147,18 @@
     /// Receives the stock service's answer to a read, which reports its level.
     fn answer(&mut self, read: &Call) {
         let answer = Answer {
-            outcome: Outcome::Whole(Response {
+            outcome: Outcome::Completed(Response {
                 status: 200,
                 headers: Vec::new(),
                 body: Bytes::new(),
             }),
-            unspent: 0,
+            unspent_retries: 0,
             load: LoadReport {
                 level: LEVEL,
                 limit: 16,
                 ..LoadReport::default()
             },
-            below: Below::default(),
+            downstream: DownstreamSummary::default(),
         };
         let frame = Frame::Answer(read.id, Box::new(answer));
         let from = Incarnation(u64::from(STOCK));
@@ -212,7 +212,11 @@
     });
     let answer = answer.expect("the lookup should be answered at once");
     assert!(matches!(answer.outcome, Outcome::NotRun(refusal) if refusal.reason == Reason::Shed));
-    assert!(answer.below.level > LEVEL / 2, "{:?}", answer.below);
+    assert!(
+        answer.downstream.level > LEVEL / 2,
+        "{:?}",
+        answer.downstream
+    );
 }
 
 /// The calls of an action carry the level that it passed, so that the service below can estimate
--- a/crates/engine/tests/log/outage.rs
+++ b/crates/engine/tests/log/outage.rs
@@ -5,15 +5,15 @@
 use bilberry_engine::Config;
 use bilberry_engine::Counter;
 use bilberry_engine::Input;
-use bilberry_engine::Token;
+use bilberry_engine::RequestToken;
 use bytes::Bytes;
 use journal::Record;
 use proto::Datagram;
 use proto::MemberMessage;
 use proto::Outcome;
-use proto::Progress;
 use proto::Reason;
 use proto::Request;
+use proto::SyncProgress;
 use proto::PROTOCOL_VERSION;
 use std::time::Duration;
 
@@ -54,12 +54,12 @@
     d.answers.clear();
     d.feed(Input::Request {
         credential: None,
-        token: Token(9),
+        token: RequestToken(9),
         caller: "shop".into(),
         context: None,
         parent: None,
         key: None,
-        patience: None,
+        caller_timeout: None,
         request: Request::new("press", "GET", "/slots", Bytes::new()),
     });
     match d.answers.pop()? {
@@ -75,7 +75,7 @@
             version: PROTOCOL_VERSION,
             progress: from.engine.journal().progress(),
             message: MemberMessage::Gossip {
-                rumours: Vec::new(),
+                updates: Vec::new(),
             },
         },
     }
@@ -88,10 +88,13 @@
     let peer = reader(2, 3);
     let mut d = cut_off(&[2]);
     assert_eq!(refusal(&mut d), Some(Reason::NoRules));
-    assert_eq!(d.fetches, [(instance(2).addr, Progress::default())]);
+    assert_eq!(d.fetches, [(instance(2).addr, SyncProgress::default())]);
 
-    let state = peer.engine.state_newer_than(Progress::default()).unwrap();
-    d.feed(Input::PeerState(state));
+    let state = peer
+        .engine
+        .state_newer_than(SyncProgress::default())
+        .unwrap();
+    d.feed(Input::StateFetched(state));
     assert_eq!(d.engine.rules_version(), 3);
     assert!(!d.engine.is_listed());
     assert_eq!(refusal(&mut d), None);
@@ -116,7 +119,7 @@
     d.feed(Input::Records(vec![(0, proto::encode(&publish(1)).into())]));
     assert_eq!(d.engine.rules_version(), 1);
     assert_eq!(refusal(&mut d), Some(Reason::NoRules));
-    d.feed(Input::LogRead);
+    d.feed(Input::LogCaughtUp);
     assert_eq!(refusal(&mut d), None);
 }
 
@@ -131,7 +134,7 @@
     d.pass(Duration::from_secs(1));
     let known = d.engine.journal().progress();
     assert_eq!(d.fetches, [(instance(2).addr, known)]);
-    d.feed(Input::PeerState(
+    d.feed(Input::StateFetched(
         peer.engine.state_newer_than(known).unwrap(),
     ));
     assert_eq!(d.engine.rules_version(), 2);
@@ -148,11 +151,11 @@
 fn a_stale_state_is_refused() {
     let old = reader(2, 1)
         .engine
-        .state_newer_than(Progress::default())
+        .state_newer_than(SyncProgress::default())
         .unwrap();
     let mut d = reader(1, 2);
-    d.feed(Input::PeerState(old.slice(..old.len() / 2)));
-    d.feed(Input::PeerState(old));
+    d.feed(Input::StateFetched(old.slice(..old.len() / 2)));
+    d.feed(Input::StateFetched(old));
     assert_eq!(d.engine.rules_version(), 2);
     assert_eq!(d.count(Counter::MalformedRecord), 1);
     assert_eq!(d.count(Counter::StateRestored), 0);
@@ -169,7 +172,7 @@
     for n in 3..6 {
         peer.show(&Record::Join(instance(n)));
     }
-    d.feed(Input::PeerState(
+    d.feed(Input::StateFetched(
         peer.engine.state_newer_than(known).unwrap(),
     ));
     assert_eq!(d.engine.next_offset(), peer.engine.next_offset());
--- a/crates/membership/src/probe.rs
+++ b/crates/membership/src/probe.rs
@@ -6,12 +6,12 @@
 use proto::LoadReport;
 use proto::MemberMessage;
 use proto::PeerState;
-use proto::Rumour;
+use proto::PeerUpdate;
 use rand::seq::SliceRandom;
 use rand::RngExt;
 use std::collections::VecDeque;
 use std::net::SocketAddr;
-use stdx::Bounded;
+use stdx::BoundedMap;
 use stdx::Time;
 
 /// Pings of which the ack is still of interest.
@@ -47,9 +47,9 @@
     near: Vec<Incarnation>,
     far: Vec<Incarnation>,
     /// Where each ping went that may tell who is at an address now.
-    asked: Bounded<u64, SocketAddr>,
+    asked: BoundedMap<u64, SocketAddr>,
     /// Who asked for a ping, and under which number.
-    relayed: Bounded<u64, (SocketAddr, u64)>,
+    relayed: BoundedMap<u64, (SocketAddr, u64)>,
     /// Addresses at which a rumour tells of another incarnation than the table does.
     doubts: VecDeque<SocketAddr>,
 }
@@ -63,8 +63,8 @@
             current: None,
             near: Vec::new(),
             far: Vec::new(),
-            asked: Bounded::new(MAX_ASKED),
-            relayed: Bounded::new(MAX_RELAYED),
+            asked: BoundedMap::new(MAX_ASKED),
+            relayed: BoundedMap::new(MAX_RELAYED),
             doubts: VecDeque::new(),
         }
     }
@@ -164,7 +164,7 @@
     /// The next peer of the round: each is probed once before any is probed again, which bounds
     /// the time to find out about it.
     fn next_target(&mut self) -> Option<Incarnation> {
-        let far = self.probes.periods % u64::from(self.cfg.far_every.max(1)) == 0;
+        let far = self.probes.periods % u64::from(self.cfg.cross_region_every.max(1)) == 0;
         self.next_of_round(far).or_else(|| self.next_of_round(!far))
     }
 
@@ -242,13 +242,13 @@
             seq,
             digest: self.digest(),
             load: self.load,
-            rumours: self.take_rumours(about),
+            updates: self.take_rumours(about),
         };
         self.send(addr, message);
         seq
     }
 
-    pub(crate) fn on_ping(&mut self, from: SocketAddr, sender: &Rumour, seq: u64) {
+    pub(crate) fn on_ping(&mut self, from: SocketAddr, sender: &PeerUpdate, seq: u64) {
         let about = self.peers.get(&sender.instance.incarnation);
         let about = about.map(Entry::rumour).filter(needs_refuting);
         let message = MemberMessage::Ack {
@@ -256,7 +256,7 @@
             seq,
             digest: self.digest(),
             load: self.load,
-            rumours: self.take_rumours(about),
+            updates: self.take_rumours(about),
         };
         self.send(from, message);
     }
@@ -270,7 +270,7 @@
     pub(crate) fn on_ack(
         &mut self,
         now: Time,
-        sender: &Rumour,
+        sender: &PeerUpdate,
         seq: u64,
         digest: u64,
         load: LoadReport,
@@ -284,7 +284,7 @@
                 seq,
                 digest,
                 load,
-                rumours: Vec::new(),
+                updates: Vec::new(),
             };
             self.send(to, ack);
         }
@@ -303,13 +303,13 @@
     }
 
     /// What this node says to a peer about itself, so that it can refute.
-    fn view_of(&self, addr: SocketAddr) -> Option<Rumour> {
+    fn view_of(&self, addr: SocketAddr) -> Option<PeerUpdate> {
         let occupant = self.occupants.get(&addr)?;
         let entry = self.peers.get(occupant)?;
         Some(entry.rumour()).filter(needs_refuting)
     }
 }
 
-fn needs_refuting(rumour: &Rumour) -> bool {
+fn needs_refuting(rumour: &PeerUpdate) -> bool {
     matches!(rumour.state, PeerState::Suspect | PeerState::Dead)
 }
--- a/crates/trial/src/log.rs
+++ b/crates/trial/src/log.rs
@@ -6,9 +6,9 @@
 use engine::Input;
 use indexmap::IndexMap;
 use indexmap::IndexSet;
-use journal::Entry;
 use journal::Record;
 use journal::State;
+use journal::TopicEntry;
 use proto::Incarnation;
 use std::sync::Arc;
 use std::time::Duration;
@@ -67,7 +67,7 @@
         self.newest.values().cloned().collect()
     }
 
-    fn push(&mut self, (key, value): Entry) {
+    fn push(&mut self, (key, value): TopicEntry) {
         let offset = self.end();
         self.said.apply(offset, &value);
         if value.is_empty() {
@@ -103,7 +103,7 @@
         self.append(record.entries());
     }
 
-    fn append(&mut self, entries: Vec<Entry>) {
+    fn append(&mut self, entries: Vec<TopicEntry>) {
         for entry in entries {
             self.log.push(entry);
         }
@@ -113,7 +113,13 @@
     }
 
     /// An append of a node is on its way to the store.
-    pub(crate) fn append_from(&mut self, node: usize, number: u64, at: u64, entries: Vec<Entry>) {
+    pub(crate) fn append_from(
+        &mut self,
+        node: usize,
+        number: u64,
+        at: u64,
+        entries: Vec<TopicEntry>,
+    ) {
         let from = self.nodes[node].incarnation;
         let keys: Vec<&str> = entries.iter().map(|(key, _)| &**key).collect();
         let what = keys.join(" ");
@@ -146,7 +152,7 @@
             let lost = world.log.is_down_for(node) || world.log.slow >= PATIENCE;
             let version = world.log.said.version;
             let (wait, input) = match lost {
-                true => (PATIENCE, Input::RulesUnchecked),
+                true => (PATIENCE, Input::RulesCheckFailed),
                 false => (world.log.latency(), Input::RulesChecked { asked, version }),
             };
             world.after_in(node, wait, move |world| world.feed(node, from, input));
@@ -181,7 +187,7 @@
             let values = self.log.newest();
             let from = self.nodes[node].incarnation;
             let latency = self.log.latency();
-            self.input(node, latency, Input::Newest { values, end });
+            self.input(node, latency, Input::TopicSnapshot { values, end });
             self.after_in(node, latency, move |world| world.on_end(node, from, end));
             return self.after(latency, move |world| world.read(node, number));
         }
@@ -211,7 +217,7 @@
     fn on_end(&mut self, node: usize, from: Incarnation, end: u64) {
         let engine = self.nodes[node].engine.as_ref();
         if engine.is_some_and(|engine| engine.next_offset() >= end) {
-            self.feed(node, from, Input::LogRead);
+            self.feed(node, from, Input::LogCaughtUp);
         }
     }
 
