--- a/crates/engine/src/admission.rs
+++ b/crates/engine/src/admission.rs
@@ -28,17 +28,17 @@
 #[derive(Debug)]
 pub(crate) struct AdmissionLevels {
     /// Each instance's own level, from its answers.
-    instances: Bounded<Incarnation, Heard>,
+    instances: BoundedMap<Incarnation, ReportedLevel>,
     /// What is known of the services that each operation calls, directly or indirectly.
-    operations: Bounded<OperationKey, OperationStats>,
-    ranks: Ranks,
+    operations: BoundedMap<OperationKey, OperationStats>,
+    ranks: PriorityBands,
 }
 
 /// What earlier runs of an operation have shown.
 #[derive(Debug)]
 struct OperationStats {
     /// The highest level among the services that its runs call.
-    level_below: Heard,
+    level_below: ReportedLevel,
     /// How many calls its last run made, directly and indirectly.
     calls_below: u16,
     /// How long its runs take on this node's backend server.
@@ -57,23 +57,24 @@
 
 impl AdmissionLevels {
     /// Replaces the priority ranks after other rules have come into force.
-    pub(crate) fn set_ranks(&mut self, ranks: Ranks) {
+    pub(crate) fn set_ranks(&mut self, ranks: PriorityBands) {
         self.ranks = ranks;
     }
 
     /// Maps a random value into the range that the priority of an action's first operation has. The
     /// result is higher, the more urgent the priority.
     pub(crate) fn ranked_random(&self, operation: &Operation, random: u16) -> u16 {
-        self.ranks.dice(operation.class, operation.priority, random)
+        self.ranks
+            .scale_to_band(operation.class, operation.priority, random)
     }
 
     /// Records the level that an instance reports of itself.
     pub(crate) fn record_instance_level(&mut self, now: Time, from: Incarnation, level: u16) {
         if let Some(recorded) = self.instances.get_mut(&from) {
-            return recorded.hear(now, level);
+            return recorded.observe(now, level);
         }
-        let mut recorded = Heard::new(now);
-        recorded.hear(now, level);
+        let mut recorded = ReportedLevel::new(now);
+        recorded.observe(now, level);
         self.instances.insert(from, recorded);
     }
 
@@ -85,16 +86,21 @@
     }
 
     /// Records the level that a finished run has met and the number of calls that it made.
-    pub(crate) fn record_below(&mut self, now: Time, operation: &OperationKey, below: Below) {
+    pub(crate) fn record_below(
+        &mut self,
+        now: Time,
+        operation: &OperationKey,
+        below: DownstreamSummary,
+    ) {
         let stats = self.stats_mut(now, operation);
-        stats.level_below.hear(now, below.level);
+        stats.level_below.observe(now, below.level);
         stats.calls_below = below.calls;
     }
 
     fn stats_mut(&mut self, now: Time, operation: &OperationKey) -> &mut OperationStats {
         if self.operations.get(operation).is_none() {
             let stats = OperationStats {
-                level_below: Heard::new(now),
+                level_below: ReportedLevel::new(now),
                 calls_below: 0,
                 run_times: RunTimes::default(),
             };
@@ -140,10 +146,17 @@
     /// spend their capacity on requests that fail in the end, and their load would not fall. A call
     /// whose key may have been sent before is not shed here: it still goes to the key's home node,
     /// the only one that knows whether it ran, and the home node sheds it.
-    pub(crate) fn admit(&mut self, now: Time, call: &mut Outgoing) -> Result<Instance, Refusal> {
+    pub(crate) fn admit(
+        &mut self,
+        now: Time,
+        call: &mut OutgoingCall,
+    ) -> Result<Instance, Refusal> {
         // Only the home node of a key that may have been sent before knows whether it ran.
         let never_sent = call.key.is_none() || call.fresh;
-        if let Some(refusal) = self.quarantined(now, &call.request).filter(|_| never_sent) {
+        if let Some(refusal) = self
+            .quarantine_refusal(now, &call.request)
+            .filter(|_| never_sent)
+        {
             return Err(refusal);
         }
         let value = admission_value(call.class, call.dice);
@@ -165,7 +178,7 @@
                 (home, level.filter(|level| may_shed && value < *level))
             }
             None if is_root => self.choose_admitting(now, call, value),
-            None if self.cfg.policy.by_load => (self.choose_server(now, call), None),
+            None if self.cfg.policy.by_load => (self.choose_instance(now, call), None),
             None => (self.choose_round_robin(call), None),
         };
         match (target, level) {
@@ -212,7 +225,7 @@
     }
 
     /// Chooses among all instances of a service in rotation, whatever their load.
-    fn choose_round_robin(&mut self, call: &Outgoing) -> Option<Instance> {
+    fn choose_round_robin(&mut self, call: &OutgoingCall) -> Option<Instance> {
         let turn = self.allocate_id() as usize;
         let peers = self.members.usable_peers(&call.request.service);
         let peers = peers.map(|peer| &peer.instance);
@@ -228,7 +241,7 @@
     /// The higher of the level below a call's operation and the level of the instance that it was
     /// sent to. Other instances are not considered: mostly nothing is known of the distant ones,
     /// and a call that finds the near ones full is routed to the distant ones anyway.
-    pub(crate) fn highest_level(&self, now: Time, call: &Outgoing) -> u16 {
+    pub(crate) fn highest_level(&self, now: Time, call: &OutgoingCall) -> u16 {
         let below = self.admission.level_below(now, &call.operation);
         below.max(self.instance_level(now, &call.target))
     }
@@ -260,5 +273,5 @@
 
 /// A refusal of a call that is shed at this level, with the time after which a retry may pass.
 pub(crate) fn shed_refusal(level: u16, class: Class, random: u16) -> Refusal {
-    Refusal::new(Reason::Shed, come_back(level, class, random))
+    Refusal::new(Reason::Shed, retry_delay(level, class, random))
 }
--- a/crates/engine/src/answer_cache.rs
+++ b/crates/engine/src/answer_cache.rs
@@ -34,7 +34,7 @@
     /// What the cached responses take up.
     bytes: usize,
     /// The highest number of an evicted call, by the node that sent it.
-    evicted_up_to: Bounded<Incarnation, u64>,
+    evicted_up_to: BoundedMap<Incarnation, u64>,
 }
 
 /// What the cache knows of a received call.
--- a/crates/engine/src/calls.rs
+++ b/crates/engine/src/calls.rs
@@ -33,8 +33,8 @@
 
 impl Engine {
     /// Creates the call of a new request and sends its first attempt.
-    pub(crate) fn start_call(&mut self, now: Time, draft: Draft) {
-        let call = Outgoing {
+    pub(crate) fn start_call(&mut self, now: Time, draft: RequestDraft) {
+        let call = OutgoingCall {
             token: draft.token,
             target: self.own_instance.clone(),
             action: draft.action,
@@ -75,7 +75,7 @@
     }
 
     /// Chooses a target and sends an attempt, or ends the call if it is refused.
-    fn route(&mut self, now: Time, mut call: Outgoing) {
+    fn route(&mut self, now: Time, mut call: OutgoingCall) {
         if now >= call.deadline {
             let refusal = call.scope_refusal(self.refusal(Reason::Deadline));
             return self.finish_call(now, call, Outcome::NotRun(refusal));
@@ -90,7 +90,7 @@
     }
 
     /// Sends an attempt to this target and lends it the retries that the call has left.
-    pub(crate) fn send_to_target(&mut self, now: Time, mut call: Outgoing, target: Instance) {
+    pub(crate) fn send_to_target(&mut self, now: Time, mut call: OutgoingCall, target: Instance) {
         call.target = target;
         call.lent = if self.reserves_retry(&call) {
             call.account.delegate_all_but_one()
@@ -120,13 +120,13 @@
     /// a run that is itself a retry needs all of them for the calls below it. And where one retry
     /// would not be enough for the calls below, it is of use only on lower hops: with one kept back
     /// at each hop, no read of a deep tree would ever be retried.
-    fn reserves_retry(&self, call: &Outgoing) -> bool {
+    fn reserves_retry(&self, call: &OutgoingCall) -> bool {
         let below = self.admission.calls_below(&call.operation);
         call.idempotent && !call.again && call.account.remaining() > below
     }
 
     /// Sends the frame of an attempt.
-    pub(crate) fn send_attempt(&mut self, now: Time, id: CallId, call: &Outgoing) {
+    pub(crate) fn send_attempt(&mut self, now: Time, id: CallId, call: &OutgoingCall) {
         let leg = if call.key.is_some() {
             CallRole::Home
         } else {
@@ -153,11 +153,11 @@
     }
 
     /// The time that the callee has: the time left, less what the answer needs to travel back.
-    fn callee_remaining_ms(&self, now: Time, call: &Outgoing) -> u32 {
+    fn callee_remaining_ms(&self, now: Time, call: &OutgoingCall) -> u32 {
         let travel_time = match self.place(&call.target) {
-            Place::SameDomain => Duration::from_millis(1),
-            Place::SameRegion => Duration::from_millis(2),
-            Place::OtherRegion => Duration::from_millis(25),
+            Proximity::SameDomain => Duration::from_millis(1),
+            Proximity::SameRegion => Duration::from_millis(2),
+            Proximity::OtherRegion => Duration::from_millis(25),
         };
         let remaining = now.until(call.deadline).saturating_sub(travel_time);
         u32::try_from(remaining.as_millis()).unwrap_or(u32::MAX)
@@ -174,8 +174,8 @@
         let Some(mut call) = self.take_call(id) else {
             return;
         };
-        call.account.give_back(call.lent, answer.unspent);
-        call.calls_below = call.calls_below.saturating_add(answer.below.calls);
+        call.account.reclaim(call.lent, answer.unspent_retries);
+        call.calls_below = call.calls_below.saturating_add(answer.downstream.calls);
         // A refusal reports calls below only if the run had already made some.
         match answer.outcome {
             Outcome::NotRun(refusal) if answer.downstream.calls == 0 => {
@@ -207,7 +207,7 @@
     }
 
     /// Sends a call that did not run to another instance, if that may help, or ends it.
-    pub(crate) fn on_not_run(&mut self, now: Time, mut call: Outgoing, refusal: Refusal) {
+    pub(crate) fn on_not_run(&mut self, now: Time, mut call: OutgoingCall, refusal: Refusal) {
         let reason = refusal.reason;
         let redirect = match reason {
             Reason::Moving | Reason::Draining => self.has_other_target(&call),
@@ -245,7 +245,7 @@
     ///
     /// A call with a key is sent to the key's home node only. While this node knows no other home
     /// node, repeated attempts would get the same refusal several times within milliseconds.
-    fn has_other_target(&self, call: &Outgoing) -> bool {
+    fn has_other_target(&self, call: &OutgoingCall) -> bool {
         let Some((key, _)) = call.key else {
             return true;
         };
@@ -258,8 +258,8 @@
     /// It stays unknown whether the attempt ran, so only an idempotent call may be retried. All
     /// calls of the second run count as retries, so there must be enough left for all of them; with
     /// fewer the second run could not finish, and its work would be wasted.
-    pub(crate) fn on_attempt_lost(&mut self, now: Time, mut call: Outgoing, reason: Reason) {
-        call.maybe_ran = true;
+    pub(crate) fn on_attempt_lost(&mut self, now: Time, mut call: OutgoingCall, reason: Reason) {
+        call.may_have_run = true;
         let below = self.admission.calls_below(&call.operation);
         let needed = 1 + below.max(call.calls_below);
         let allowed = call.account.remaining() >= needed || call.hop_retries > 0;
@@ -275,7 +275,7 @@
     /// Spends a retry of the action and one of this node's share of the fleet's retry budget for
     /// the service, and returns whether both were available. The budget keeps retries a small share
     /// of the calls to the service even if every action has some left.
-    pub(crate) fn try_spend_retry(&mut self, now: Time, call: &mut Outgoing) -> bool {
+    pub(crate) fn try_spend_retry(&mut self, now: Time, call: &mut OutgoingCall) -> bool {
         if now >= call.deadline {
             return false;
         }
@@ -289,7 +289,11 @@
         let has_budget = self.cfg.policy.retry_budget;
         let nodes = self.members.fleet_size();
         let service = &call.request.service;
-        if has_budget && !self.retry_budget.spend(now, service, call.class, nodes) {
+        if has_budget
+            && !self
+                .retry_budget
+                .try_withdraw(now, service, call.class, nodes)
+        {
             self.count(Counter::RetryBudgetSpent);
             return false;
         }
@@ -315,7 +319,7 @@
     }
 
     /// Ends a call, unless the original attempt of a hedged call may still bring a response.
-    fn finish_call(&mut self, now: Time, mut call: Outgoing, outcome: Outcome) {
+    fn finish_call(&mut self, now: Time, mut call: OutgoingCall, outcome: Outcome) {
         if let Some(original) = call.earlier.take() {
             if self.awaits_original(now, &call, &outcome) {
                 return self.resume_original(call, original);
@@ -343,7 +347,7 @@
     ///
     /// The levels are updated while the run is still in progress. Updated only at its end, a raised
     /// level below would admit too much for the duration of a complete call tree.
-    fn report_to_parent(&mut self, now: Time, call: &Outgoing, met: Below) {
+    fn report_to_parent(&mut self, now: Time, call: &OutgoingCall, met: DownstreamSummary) {
         let operation = call.operation.clone();
         let Some(job) = self.parent_job(call.token) else {
             return;
@@ -357,8 +361,8 @@
     }
 
     /// Writes a decision-log entry for the end of a call.
-    fn log_answered(&mut self, now: Time, call: &Outgoing, level: u16, outcome: &Outcome) {
-        self.outputs.push(Output::Note(Note::Answered {
+    fn log_answered(&mut self, now: Time, call: &OutgoingCall, level: u16, outcome: &Outcome) {
+        self.outputs.push(Output::Diagnostic(Diagnostic::Answered {
             request: call.request.id.clone(),
             service: call.request.service.clone(),
             class: call.class,
@@ -378,7 +382,7 @@
     }
 
     /// Removes a call and its deadline timer.
-    pub(crate) fn take_call(&mut self, id: CallId) -> Option<Outgoing> {
+    pub(crate) fn take_call(&mut self, id: CallId) -> Option<OutgoingCall> {
         let call = self.calls.swap_remove(&id)?;
         self.selector.on_ended(call.target.incarnation);
         self.timers.clear(call.deadline, Timer::CallDeadline(id));
--- a/crates/engine/src/config.rs
+++ b/crates/engine/src/config.rs
@@ -43,12 +43,12 @@
     /// How many retries one action gets.
     pub tree_retries: TreeRetries,
     /// How many retries the whole fleet may make at each service.
-    pub retry_budget: policy::FleetRetries,
+    pub retry_budget: policy::FleetRetryLimits,
     /// Every node refuses a revoked key within this time after its revocation; without a bound if
     /// `None`.
     pub revocation_bound: Option<Duration>,
     /// How strictly the quotas of organisations are enforced.
-    pub quota_bounds: organisation::QuotaBounds,
+    pub quota_bounds: organisation::QuotaTolerance,
 }
 
 /// How a non-idempotent call without an idempotency key is handled.
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -76,24 +76,24 @@
     pub(crate) log: LogController,
     pub(crate) fetch: FetchSchedule,
     pub(crate) members: Membership,
-    pub(crate) selector: Selector,
-    pub(crate) peer_notes: PeerNotes,
+    pub(crate) selector: InstanceSelector,
+    pub(crate) peer_notes: PeerDiagnostics,
     /// The views have changed since the membership controller was last updated.
     pub(crate) views_changed: bool,
     pub(crate) home: Home,
-    pub(crate) server: Server,
+    pub(crate) server: ServerAdmission,
     /// This node's backend server, once its first heartbeat has arrived.
     pub(crate) own_server: Option<OwnServer>,
     /// Requests in flight from callers and from this node's backend server.
-    pub(crate) open_requests: IndexMap<Token, OpenRequest>,
+    pub(crate) open_requests: IndexMap<RequestToken, OpenRequest>,
     /// Requests that wait for the answer to an identical one, which the value names.
-    pub(crate) followers: IndexMap<Token, Token>,
+    pub(crate) followers: IndexMap<RequestToken, RequestToken>,
     /// Calls to nodes, this one included, by the id of the present attempt.
-    pub(crate) calls: IndexMap<CallId, Outgoing>,
+    pub(crate) calls: IndexMap<CallId, OutgoingCall>,
     /// For each original attempt of a hedged call, the hedge attempt that was sent after it.
     pub(crate) hedged_attempts: IndexMap<CallId, CallId>,
     /// Calls from nodes, this one included, that are not answered yet.
-    pub(crate) inbound: IndexMap<CallId, Inbound>,
+    pub(crate) inbound: IndexMap<CallId, InboundCall>,
     /// Recent answers, for calls that are sent again over a new connection.
     pub(crate) answer_cache: AnswerCache,
     /// Jobs of this node's backend server, queued or running.
@@ -103,12 +103,12 @@
     /// The runs of idempotency keys and the calls that wait for them.
     pub(crate) key_runs: IndexMap<KeyHash, KeyRun>,
     /// What the run whose answer is being sent has met in its calls.
-    pub(crate) ended_run_below: Below,
+    pub(crate) ended_run_below: DownstreamSummary,
     pub(crate) admission: AdmissionLevels,
     pub(crate) resends: Resends,
-    pub(crate) suspects: Suspects,
+    pub(crate) suspects: CrashSuspects,
     /// This node's share of the fleet's retry budget for each service.
-    pub(crate) retry_budget: Retries,
+    pub(crate) retry_budget: RetryBudget,
     /// Evidence that the rules here are the newest, which decides whether keys of organisations can
     /// be trusted.
     pub(crate) freshness: Freshness,
@@ -117,7 +117,7 @@
     /// Whether keys of organisations were trusted when that was last checked.
     pub(crate) keys_were_trusted: bool,
     /// The quota tokens of organisations that this node has lent and borrowed.
-    pub(crate) quota: QuotaLink,
+    pub(crate) quota: QuotaController,
     /// Calls that wait for the transfer of their slot to this node.
     pub(crate) held_calls: HeldCalls,
     /// When a stopping node no longer waits until other nodes have taken over its slots.
@@ -272,7 +272,7 @@
         self.drain_loopback(now);
         // Frames of this node to itself may have freed capacity, or queued work that has to leave
         // the queue.
-        self.pump_server(now);
+        self.start_queued_jobs(now);
         self.drain_loopback(now);
         self.fetch_if_due(now);
         self.start_due_append(now);
@@ -379,7 +379,7 @@
                 service,
                 request,
                 crashes,
-            } => self.on_suspect(now, from, &service, request, crashes),
+            } => self.on_suspect_report(now, from, &service, request, crashes),
             // The I/O layer handles the frames that concern the connection itself.
             frame => {
                 if !self.on_home_frame(now, from, frame) {
--- a/crates/engine/src/fetch.rs
+++ b/crates/engine/src/fetch.rs
@@ -45,7 +45,7 @@
     /// When the next fetch is due.
     pub(crate) due: Option<Time>,
     /// The peer with the newest known progress beyond this node's, and that progress.
-    newest_peer: Option<(SocketAddr, Progress)>,
+    newest_peer: Option<(SocketAddr, SyncProgress)>,
     /// The number of fetches in a row.
     consecutive_fetches: u32,
     /// No fetch starts before this time, so that peers which announce the same content at once are
@@ -56,8 +56,8 @@
 impl Engine {
     /// This node's encoded state for a peer with this progress, or `None` if this node knows
     /// nothing newer.
-    pub fn state_newer_than(&self, theirs: Progress) -> Option<Bytes> {
-        let has_more = self.log.ready && self.journal.progress().has_more_than(theirs);
+    pub fn state_newer_than(&self, theirs: SyncProgress) -> Option<Bytes> {
+        let has_more = self.log.synced && self.journal.progress().is_ahead_of(theirs);
         has_more.then(|| Bytes::from(proto::encode(&self.journal)))
     }
 
@@ -67,13 +67,13 @@
     }
 
     /// Schedules a fetch if a peer reports progress beyond this node's.
-    pub(crate) fn on_peer_progress(&mut self, now: Time, from: SocketAddr, theirs: Progress) {
-        if !theirs.has_more_than(self.journal.progress()) {
+    pub(crate) fn on_peer_progress(&mut self, now: Time, from: SocketAddr, theirs: SyncProgress) {
+        if !theirs.is_ahead_of(self.journal.progress()) {
             return;
         }
         let is_near = self.is_in_own_domain(from);
-        let is_better = |(other, known): (SocketAddr, Progress)| {
-            theirs.has_more_than(known)
+        let is_better = |(other, known): (SocketAddr, SyncProgress)| {
+            theirs.is_ahead_of(known)
                 || (is_near && theirs == known && !self.is_in_own_domain(other))
         };
         if self.fetch.newest_peer.is_none_or(is_better) {
@@ -92,7 +92,7 @@
     /// Whether this node expects to read new content from the store soon.
     fn waits_for_store(&self, now: Time) -> bool {
         let is_starting = self.cfg.shared_store_reads && !self.has_rules();
-        !self.log.down && !is_starting && self.reads_store(now)
+        !self.log.unreachable && !is_starting && self.reads_store(now)
     }
 
     fn is_in_own_domain(&self, addr: SocketAddr) -> bool {
@@ -155,12 +155,12 @@
         self.fetch.due = None;
         let known = self.journal.progress();
         let newest_peer = self.fetch.newest_peer;
-        let newest_peer = newest_peer.filter(|(_, theirs)| theirs.has_more_than(known));
-        if newest_peer.is_none() && self.log.ready {
+        let newest_peer = newest_peer.filter(|(_, theirs)| theirs.is_ahead_of(known));
+        if newest_peer.is_none() && self.log.synced {
             self.fetch = FetchSchedule::default();
             return;
         }
-        let gives_up = self.fetch.consecutive_fetches >= MAX_CONSECUTIVE_FETCHES && self.log.ready;
+        let gives_up = self.fetch.consecutive_fetches >= MAX_CONSECUTIVE_FETCHES && self.log.synced;
         if gives_up {
             self.fetch = FetchSchedule::default();
             return;
--- a/crates/engine/src/freshness.rs
+++ b/crates/engine/src/freshness.rs
@@ -86,7 +86,7 @@
         message: FreshnessMessage,
     ) {
         match message {
-            FreshnessMessage::Query { number } => {
+            FreshnessMessage::Query { request_id: number } => {
                 // A node without evidence answers with the maximum age, so that the other node
                 // queries another one at once.
                 let age = self.freshness.age(now).unwrap_or(Duration::MAX);
@@ -105,9 +105,9 @@
             } => {
                 if rules > self.journal.version {
                     // The evidence is for newer rules than this node has.
-                    let theirs = Progress {
-                        version: rules,
-                        next: self.journal.next,
+                    let theirs = SyncProgress {
+                        rules_version: rules,
+                        next_offset: self.journal.next_offset,
                     };
                     return self.on_peer_progress(now, from, theirs);
                 }
--- a/crates/engine/src/hedge.rs
+++ b/crates/engine/src/hedge.rs
@@ -59,13 +59,13 @@
     }
 
     /// Records how long a run took, if it ended with a complete response.
-    pub(crate) fn record_run_time(&mut self, now: Time, run: RunId, ended: Ended) {
-        let Ended::Whole { took, .. } = ended else {
+    pub(crate) fn record_run_time(&mut self, now: Time, run: RunId, outcome: WorkOutcome) {
+        let WorkOutcome::Completed { elapsed, .. } = outcome else {
             return;
         };
         let operation = self.jobs.get(&run).and_then(|job| job.operation.clone());
         if let Some(operation) = operation {
-            self.admission.record_run_time(now, &operation, took);
+            self.admission.record_run_time(now, &operation, elapsed);
         }
     }
 
@@ -108,7 +108,7 @@
         let Some(original) = call.earlier.take() else {
             return true;
         };
-        if !matches!(answer.outcome, Outcome::Whole(_)) {
+        if !matches!(answer.outcome, Outcome::Completed(_)) {
             self.selector.on_ended(original.target.incarnation);
             return true;
         }
@@ -121,7 +121,12 @@
     }
 
     /// Whether the original attempt may still bring a response after the hedge attempt has failed.
-    pub(crate) fn awaits_original(&self, now: Time, call: &Outgoing, outcome: &Outcome) -> bool {
+    pub(crate) fn awaits_original(
+        &self,
+        now: Time,
+        call: &OutgoingCall,
+        outcome: &Outcome,
+    ) -> bool {
         let is_over = match outcome {
             Outcome::Completed(_) => true,
             Outcome::Unknown(reason) => matches!(reason, Reason::Deadline | Reason::CallerGone),
@@ -131,25 +136,26 @@
     }
 
     /// Makes the call wait for its original attempt again after the hedge attempt has failed.
-    pub(crate) fn resume_original(&mut self, mut call: Outgoing, original: Earlier) {
+    pub(crate) fn resume_original(&mut self, mut call: OutgoingCall, original: EarlierAttempt) {
         self.hedged_attempts.swap_remove(&original.id);
-        call.maybe_ran = true;
+        call.may_have_run = true;
         self.track_original(call, original);
     }
 
     /// Makes the original attempt the present one.
-    fn track_original(&mut self, mut call: Outgoing, original: Earlier) {
+    fn track_original(&mut self, mut call: OutgoingCall, original: EarlierAttempt) {
         call.target = original.target;
         call.lent = original.lent;
         if let Some(open) = self.open_requests.get_mut(&call.token) {
             open.call = original.id;
         }
-        self.timers.set(call.deadline, Timer::Deadline(original.id));
+        self.timers
+            .set(call.deadline, Timer::CallDeadline(original.id));
         self.calls.insert(original.id, call);
     }
 
     /// Cancels the original attempt, whose answer is no longer needed.
-    pub(crate) fn cancel_original(&mut self, original: Earlier) {
+    pub(crate) fn cancel_original(&mut self, original: EarlierAttempt) {
         self.hedged_attempts.swap_remove(&original.id);
         self.selector.on_ended(original.target.incarnation);
         self.send(&original.target, Frame::Cancel(original.id));
--- a/crates/engine/src/identity.rs
+++ b/crates/engine/src/identity.rs
@@ -43,7 +43,7 @@
 
     /// Whether a run of this node's backend server makes this call. Such a call is part of a
     /// request that was authenticated before.
-    fn is_child_call(&self, parents: &Parents) -> bool {
+    fn is_child_call(&self, parents: &ParentInfo) -> bool {
         let known = |id| self.jobs_by_request_id.contains_key(id);
         parents.context.is_some() || parents.parent.as_ref().is_some_and(known)
     }
@@ -53,7 +53,7 @@
 fn check_credential(now: Time, freshness: &Freshness, is_known: bool) -> Result<(), Reason> {
     match is_known {
         true if freshness.may_trust(now) => Ok(()),
-        false if freshness.is_complete(now) => Err(Reason::UnknownOrganisation),
+        false if freshness.may_reject_unknown_key(now) => Err(Reason::UnknownOrganisation),
         // The key may have been revoked or added in newer rules.
         _ => Err(Reason::RulesUnconfirmed),
     }
--- a/crates/engine/src/ingress.rs
+++ b/crates/engine/src/ingress.rs
@@ -55,7 +55,7 @@
 
     /// Continues with a request that has waited for its organisation's quota. It passes the first
     /// filters again, because the rules may have changed in the meantime.
-    pub(crate) fn on_quota_granted(&mut self, now: Time, mut arrival: Arrival, credit: Credit) {
+    pub(crate) fn on_quota_granted(&mut self, now: Time, mut arrival: Arrival, credit: QuotaToken) {
         let random = self.rng.random();
         let admitted = self
             .filter_rules(&mut arrival.request, random)
@@ -78,7 +78,7 @@
         arrival: Arrival,
         operation: Operation,
         random: u16,
-        credit: Option<Credit>,
+        credit: Option<QuotaToken>,
     ) {
         let Arrival {
             token,
@@ -91,7 +91,7 @@
             ..
         } = arrival;
         self.count(Counter::Request(operation.class));
-        let refused = Refused::new(token, key.is_some(), &request);
+        let refused = RefusedRequest::new(token, key.is_some(), &request);
         let latest_deadline = at + operation.deadline;
         let patience = patience.map(|patience| patience.saturating_sub(now.since(at)));
         let draft = self
@@ -119,8 +119,8 @@
     }
 
     /// Refuses a request before it was opened, so that no record of its key was looked up.
-    pub(crate) fn refuse_unopened(&mut self, refused: Refused, refusal: Refusal) {
-        let Refused {
+    pub(crate) fn refuse_unopened(&mut self, refused: RefusedRequest, refusal: Refusal) {
+        let RefusedRequest {
             token,
             request,
             organisation,
@@ -128,9 +128,9 @@
         } = refused;
         let reason = refusal.reason;
         // No node has checked whether an earlier attempt with this key ran.
-        let unverified = keyed && !reason.is_callers_mistake();
+        let unverified = keyed && !reason.is_client_error();
         let refusal = if unverified {
-            refusal.of_this_attempt()
+            refusal.for_attempt_only()
         } else {
             refusal
         };
@@ -153,8 +153,8 @@
             return Err(Reason::TableFull);
         }
         let rules = &self.journal.rules;
-        let rule = rules.decide(request).ok_or(Reason::NoSuchOperation)?;
-        if let Rule::Route(route) = rule {
+        let rule = rules.match_rule(request).ok_or(Reason::NoSuchOperation)?;
+        if let MatchedRule::Route(route) = rule {
             request.service = route.target(random).clone();
         }
         let mut operation = rule.operation().clone();
@@ -168,8 +168,8 @@
     fn filter_context(
         &mut self,
         now: Time,
-        token: Token,
-        parents: Parents,
+        token: RequestToken,
+        parents: ParentInfo,
         random: u16,
         operation: Operation,
         request: Request,
@@ -222,11 +222,11 @@
     fn root_draft(
         &mut self,
         now: Time,
-        token: Token,
+        token: RequestToken,
         random: u16,
         operation: Operation,
         request: Request,
-    ) -> Result<Draft, Reason> {
+    ) -> Result<RequestDraft, Reason> {
         // A stopping node still finishes its runs, whose child calls carry a context.
         if self.stopping && now >= self.accepts_until {
             return Err(Reason::Draining);
@@ -346,7 +346,7 @@
             Some(key) => key,
             None => {
                 let ordinal = job
-                    .children
+                    .child_counts
                     .entry((service.clone(), fingerprint))
                     .or_insert(0);
                 *ordinal += 1;
@@ -361,7 +361,7 @@
     }
 
     /// Enters a request in the table of requests in flight, and starts its call.
-    fn open_request(&mut self, now: Time, draft: Draft) {
+    fn open_request(&mut self, now: Time, draft: RequestDraft) {
         let token = draft.token;
         let open = OpenRequest {
             call: CallId {
@@ -425,7 +425,7 @@
     }
 
     /// Answers a request that was never opened with a refusal.
-    pub(crate) fn refuse(&mut self, token: Token, refusal: Refusal) {
+    pub(crate) fn refuse(&mut self, token: RequestToken, refusal: Refusal) {
         self.count(Counter::NotRun(refusal.reason));
         let outcome = Outcome::NotRun(refusal);
         self.outputs.push(Output::Answer {
@@ -436,8 +436,8 @@
     }
 
     /// Stops the work for a request whose caller has disconnected.
-    pub(crate) fn on_caller_gone(&mut self, now: Time, token: Token) {
-        if self.unfollow(token) || self.stop_waiting_for_quota(token) {
+    pub(crate) fn on_caller_gone(&mut self, now: Time, token: RequestToken) {
+        if self.unfollow(token) || self.cancel_quota_wait(token) {
             return;
         }
         if let Some(open) = self.open_requests.get(&token) {
@@ -449,11 +449,11 @@
 /// Limits a request's deadline to the time-outs of its operation and its caller. Both started when
 /// the request arrived, so time that it waited for a quota token counts.
 fn limit_deadline(
-    mut draft: Draft,
+    mut draft: RequestDraft,
     now: Time,
     patience: Option<Duration>,
     latest_deadline: Time,
-) -> Draft {
+) -> RequestDraft {
     draft.deadline = draft.deadline.min(latest_deadline);
     if let Some(patience) = patience {
         draft.deadline = draft.deadline.min(now + patience);
--- a/crates/engine/src/keyed_calls.rs
+++ b/crates/engine/src/keyed_calls.rs
@@ -264,9 +264,9 @@
             return;
         }
         let view = view.clone();
-        let missed_views = match self.home.newest() {
-            Some(known) => view.since(known),
-            None if self.journal.forgotten.is_some() => None,
+        let missed_views = match self.home.latest_view() {
+            Some(known) => view.views_since(known),
+            None if self.journal.last_forgotten.is_some() => None,
             None => view.history(),
         };
         let Some(missed_views) = missed_views else {
@@ -288,13 +288,13 @@
 
     /// Whether other home nodes have taken over all slots, or have had enough time to do so.
     pub(crate) fn has_handed_over(&mut self, now: Time) -> bool {
-        let leave_failed = self.is_listed() && self.log.has_given_up();
+        let leave_failed = self.is_listed() && self.log.leave_wait_ended();
         if leave_failed || (!self.is_listed() && self.home.is_handed_over()) {
             return true;
         }
         let deadline = *self.handover_deadline.get_or_insert_with(|| {
             let deadline = now + self.cfg.leave_timeout;
-            self.timers.set(deadline, Timer::Handover);
+            self.timers.set(deadline, Timer::HandoverTimeout);
             deadline
         });
         deadline <= now
@@ -362,7 +362,7 @@
     /// Withdraws a queued run because its slot moves. Its callers are sent to the new home node.
     fn recall_queued_run(&mut self, now: Time, key: KeyHash) {
         let run = self.key_runs.get(&key).and_then(|key_run| key_run.run);
-        let Some(run) = run.filter(|run| self.server.withdraw(run.number)) else {
+        let Some(run) = run.filter(|run| self.server.cancel(run.number)) else {
             return;
         };
         let refusal = self.refusal(Reason::Moving);
--- a/crates/engine/tests/allowance.rs
+++ b/crates/engine/tests/allowance.rs
@@ -106,7 +106,7 @@
     now: Time,
     inputs: VecDeque<(usize, Input)>,
     runs: IndexMap<RunId, Run>,
-    tokens: IndexMap<Token, RunId>,
+    tokens: IndexMap<RequestToken, RunId>,
     /// How many attempts were made of each call.
     attempts_by_call: IndexMap<usize, usize>,
     /// The fault of each attempt.
@@ -168,7 +168,7 @@
             simulation
                 .inputs
                 .push_back((node, Input::Records(records.clone())));
-            simulation.inputs.push_back((node, Input::LogRead));
+            simulation.inputs.push_back((node, Input::LogCaughtUp));
         }
         simulation
     }
--- a/crates/engine/tests/announced.rs
+++ b/crates/engine/tests/announced.rs
@@ -153,7 +153,11 @@
 
 fn run_or_reason(outputs: Vec<Output>) -> Result<(RunId, Arc<str>), Reason> {
     let outcome = outputs.into_iter().find_map(|output| match output {
-        Output::Run { run, expect, .. } => Some(Ok((run, expect.unwrap()))),
+        Output::Run {
+            run,
+            expected_server: expect,
+            ..
+        } => Some(Ok((run, expect.unwrap()))),
         Output::Answer {
             outcome: Outcome::NotRun(refusal),
             ..
@@ -335,7 +339,7 @@
         },
     };
     let (run, _) = run_or_reason(engine.handle(at(3), call)).unwrap();
-    let outputs = engine.handle(at(4), Input::CallerGone(Token(1)));
+    let outputs = engine.handle(at(4), Input::CallerGone(RequestToken(1)));
     assert!(outputs.contains(&Output::CancelRun(run)));
 }
 
--- a/crates/engine/tests/levels.rs
+++ b/crates/engine/tests/levels.rs
@@ -102,7 +102,7 @@
                 number: self.calls,
             },
             action: ActionId(u128::from(self.calls)),
-            dice: random,
+            admission_sample: random,
             class: Class::Lookup,
             priority: 0,
             passed_level: 0,
@@ -247,7 +247,7 @@
     }
     node.lookup(HIGH_RANDOM);
     let reports_late = |outputs: Vec<Output>| {
-        let is_late = |output: &Output| matches!(output, Output::Send { frame: Frame::Late(id), .. } if id.number == 21);
+        let is_late = |output: &Output| matches!(output, Output::Send { frame: Frame::SlowCall(id), .. } if id.number == 21);
         outputs.iter().any(is_late)
     };
     assert!(
