--- a/crates/engine/src/admission.rs
+++ b/crates/engine/src/admission.rs
@@ -31,7 +31,7 @@
     instances: BoundedMap<Incarnation, ReportedLevel>,
     /// What is known of the services that each operation calls, directly or indirectly.
     operations: BoundedMap<OperationKey, OperationStats>,
-    ranks: PriorityBands,
+    priority_bands: PriorityBands,
 }
 
 /// What earlier runs of an operation have shown.
@@ -50,21 +50,21 @@
         Self {
             instances: BoundedMap::new(MAX_TRACKED_LEVELS),
             operations: BoundedMap::new(MAX_TRACKED_LEVELS),
-            ranks: PriorityBands::default(),
+            priority_bands: PriorityBands::default(),
         }
     }
 }
 
 impl AdmissionLevels {
-    /// Replaces the priority ranks after other rules have come into force.
-    pub(crate) fn set_ranks(&mut self, ranks: PriorityBands) {
-        self.ranks = ranks;
+    /// Replaces the priority bands after other rules have come into force.
+    pub(crate) fn set_priority_bands(&mut self, priority_bands: PriorityBands) {
+        self.priority_bands = priority_bands;
     }
 
-    /// Maps a random value into the range that the priority of an action's first operation has. The
+    /// Scales a random value to the band that the priority of an action's first operation has. The
     /// result is higher, the more urgent the priority.
-    pub(crate) fn ranked_random(&self, operation: &Operation, random: u16) -> u16 {
-        self.ranks
+    pub(crate) fn admission_sample(&self, operation: &Operation, random: u16) -> u16 {
+        self.priority_bands
             .scale_to_band(operation.class, operation.priority, random)
     }
 
@@ -86,15 +86,15 @@
     }
 
     /// Records the level that a finished run has met and the number of calls that it made.
-    pub(crate) fn record_below(
+    pub(crate) fn record_downstream(
         &mut self,
         now: Time,
         operation: &OperationKey,
-        below: DownstreamSummary,
+        downstream: DownstreamSummary,
     ) {
         let stats = self.stats_mut(now, operation);
-        stats.level_below.observe(now, below.level);
-        stats.calls_below = below.calls;
+        stats.level_below.observe(now, downstream.level);
+        stats.calls_below = downstream.calls;
     }
 
     fn stats_mut(&mut self, now: Time, operation: &OperationKey) -> &mut OperationStats {
@@ -122,8 +122,13 @@
     }
 
     /// Records how long a run of an operation took on this node's backend server.
-    pub(crate) fn record_run_time(&mut self, now: Time, operation: &OperationKey, took: Duration) {
-        self.stats_mut(now, operation).run_times.record(took);
+    pub(crate) fn record_run_time(
+        &mut self,
+        now: Time,
+        operation: &OperationKey,
+        elapsed: Duration,
+    ) {
+        self.stats_mut(now, operation).run_times.record(elapsed);
     }
 
     /// The time after which a run of an operation counts as late, if enough runs were recorded.
@@ -272,6 +277,6 @@
 }
 
 /// A refusal of a call that is shed at this level, with the time after which a retry may pass.
-pub(crate) fn shed_refusal(level: u16, class: Class, random: u16) -> Refusal {
-    Refusal::new(Reason::Shed, retry_delay(level, class, random))
+pub(crate) fn shed_refusal(level: u16, class: Class, admission_sample: u16) -> Refusal {
+    Refusal::new(Reason::Shed, retry_delay(level, class, admission_sample))
 }
--- a/crates/engine/src/calls.rs
+++ b/crates/engine/src/calls.rs
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Sends an attempt to this target and lends it the retries that the call has left.
+    /// Sends an attempt to this target and delegates to it the retries that the call has left.
     pub(crate) fn send_to_target(&mut self, now: Time, mut call: OutgoingCall, target: Instance) {
         call.target = target;
         call.lent = if self.reserves_retry(&call) {
@@ -114,12 +114,12 @@
         self.calls.insert(id, call);
     }
 
-    /// Whether one retry is kept back instead of lent with the attempt.
+    /// Whether one retry is kept back instead of delegated with the attempt.
     ///
-    /// Lent retries are gone if the answer is lost, and only this node can retry the call then. But
-    /// a run that is itself a retry needs all of them for the calls below it. And where one retry
-    /// would not be enough for the calls below, it is of use only on lower hops: with one kept back
-    /// at each hop, no read of a deep tree would ever be retried.
+    /// Delegated retries are gone if the answer is lost, and only this node can retry the call
+    /// then. But a run that is itself a retry needs all of them for the calls below it. And where
+    /// one retry would not be enough for the calls below, it is of use only on lower hops: with one
+    /// kept back at each hop, no read of a deep tree would ever be retried.
     fn reserves_retry(&self, call: &OutgoingCall) -> bool {
         let below = self.admission.calls_below(&call.operation);
         call.idempotent && !call.again && call.account.remaining() > below
@@ -127,7 +127,7 @@
 
     /// Sends the frame of an attempt.
     pub(crate) fn send_attempt(&mut self, now: Time, id: CallId, call: &OutgoingCall) {
-        let leg = if call.key.is_some() {
+        let role = if call.key.is_some() {
             CallRole::Home
         } else {
             CallRole::Serve
@@ -139,7 +139,7 @@
             class: call.class,
             priority: call.priority,
             passed_level: call.passed_level,
-            role: leg,
+            role,
             remaining_ms: self.callee_remaining_ms(now, call),
             retry_allowance: call.lent,
             possible_repeat: call.again,
@@ -186,7 +186,7 @@
             }
             _ => self
                 .admission
-                .record_below(now, &call.operation, answer.downstream),
+                .record_downstream(now, &call.operation, answer.downstream),
         }
         match answer.outcome {
             Outcome::NotRun(refusal) => {
@@ -326,20 +326,20 @@
             }
             self.cancel_original(original);
         }
-        let met = DownstreamSummary {
+        let downstream = DownstreamSummary {
             level: self.highest_level(now, &call),
             // The parent job counted the first attempt when the call began.
             calls: call
                 .calls_below
                 .saturating_add(call.attempts.saturating_sub(1)),
         };
-        self.report_to_parent(now, &call, met);
+        self.report_to_parent(now, &call, downstream);
         // If the last attempt did not run, an earlier one may still have run.
         let outcome = match outcome {
             Outcome::NotRun(refusal) if call.may_have_run => Outcome::Unknown(refusal.reason),
             outcome => outcome,
         };
-        self.log_answered(now, &call, met.level, &outcome);
+        self.log_answered(now, &call, downstream.level, &outcome);
         self.close_request(now, call.token, call.account.remaining(), outcome);
     }
 
@@ -347,20 +347,20 @@
     ///
     /// The levels are updated while the run is still in progress. Updated only at its end, a raised
     /// level below would admit too much for the duration of a complete call tree.
-    fn report_to_parent(&mut self, now: Time, call: &OutgoingCall, met: DownstreamSummary) {
+    fn report_to_parent(&mut self, now: Time, call: &OutgoingCall, downstream: DownstreamSummary) {
         let operation = call.operation.clone();
         let Some(job) = self.parent_job(call.token) else {
             return;
         };
-        job.child_levels.insert(operation, met.level);
-        job.calls_below = job.calls_below.saturating_add(met.calls);
+        job.child_levels.insert(operation, downstream.level);
+        job.calls_below = job.calls_below.saturating_add(downstream.calls);
         let level = job.below().level;
         if let Some(parent) = job.operation.clone() {
             self.admission.record_level_below(now, &parent, level);
         }
     }
 
-    /// Writes a decision-log entry for the end of a call.
+    /// Emits a diagnostic for the end of a call.
     fn log_answered(&mut self, now: Time, call: &OutgoingCall, level: u16, outcome: &Outcome) {
         self.outputs.push(Output::Diagnostic(Diagnostic::Answered {
             request: call.request.id.clone(),
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -77,7 +77,7 @@
     pub(crate) fetch: FetchSchedule,
     pub(crate) members: Membership,
     pub(crate) selector: InstanceSelector,
-    pub(crate) peer_notes: PeerDiagnostics,
+    pub(crate) peer_diagnostics: PeerDiagnostics,
     /// The views have changed since the membership controller was last updated.
     pub(crate) views_changed: bool,
     pub(crate) home: Home,
@@ -103,7 +103,7 @@
     /// The runs of idempotency keys and the calls that wait for them.
     pub(crate) key_runs: IndexMap<KeyHash, KeyRun>,
     /// What the run whose answer is being sent has met in its calls.
-    pub(crate) ended_run_below: DownstreamSummary,
+    pub(crate) ended_run_downstream: DownstreamSummary,
     pub(crate) admission: AdmissionLevels,
     pub(crate) resends: Resends,
     pub(crate) suspects: CrashSuspects,
@@ -168,7 +168,7 @@
             fetch: FetchSchedule::default(),
             members,
             selector: InstanceSelector::with_switches(cfg.policy),
-            peer_notes: PeerDiagnostics::default(),
+            peer_diagnostics: PeerDiagnostics::default(),
             views_changed: false,
             home: Home::new(cfg.once.clone(), incarnation),
             server: ServerAdmission::new(
@@ -187,7 +187,7 @@
             jobs: IndexMap::new(),
             jobs_by_request_id: IndexMap::new(),
             key_runs: IndexMap::new(),
-            ended_run_below: DownstreamSummary::default(),
+            ended_run_downstream: DownstreamSummary::default(),
             admission: AdmissionLevels::default(),
             resends: Resends::new(),
             suspects: CrashSuspects::new(),
@@ -220,7 +220,7 @@
                 parent,
                 key,
                 credential,
-                caller_timeout: patience,
+                caller_timeout,
                 request,
             } => {
                 let arrival = Arrival {
@@ -230,7 +230,7 @@
                     parents: ParentInfo { context, parent },
                     key,
                     credential,
-                    caller_timeout: patience,
+                    caller_timeout,
                     request,
                 };
                 self.on_request(now, arrival);
@@ -289,7 +289,7 @@
             self.server.next_timer(),
             self.log.next_timer(self.journal.next_offset),
             self.fetch.due,
-            self.peer_notes.next_timer(),
+            self.peer_diagnostics.next_timer(),
             self.next_freshness_timer(),
             self.next_quota_timer(),
         ]
--- a/crates/engine/src/freshness.rs
+++ b/crates/engine/src/freshness.rs
@@ -50,11 +50,11 @@
             match step {
                 FreshnessAction::QueryStore => self.outputs.push(Output::CheckRules),
                 FreshnessAction::QueryPeer {
-                    request_id: number,
+                    request_id,
                     attempt,
                 } => {
                     if let Some(to) = self.freshness_peer(attempt) {
-                        self.send_freshness(to, FreshnessMessage::Query { request_id: number });
+                        self.send_freshness(to, FreshnessMessage::Query { request_id });
                     }
                 }
             }
@@ -86,20 +86,20 @@
         message: FreshnessMessage,
     ) {
         match message {
-            FreshnessMessage::Query { request_id: number } => {
+            FreshnessMessage::Query { request_id } => {
                 // A node without evidence answers with the maximum age, so that the other node
                 // queries another one at once.
                 let age = self.freshness.age(now).unwrap_or(Duration::MAX);
                 let age_ms = age.as_millis().saturating_add(1);
                 let report = FreshnessMessage::Report {
-                    request_id: number,
+                    request_id,
                     rules: self.journal.version,
                     age_ms: u32::try_from(age_ms).unwrap_or(u32::MAX),
                 };
                 self.send_freshness(from, report);
             }
             FreshnessMessage::Report {
-                request_id: number,
+                request_id,
                 rules,
                 age_ms,
             } => {
@@ -112,7 +112,7 @@
                     return self.on_peer_progress(now, from, theirs);
                 }
                 let age = Duration::from_millis(age_ms.into());
-                self.freshness.on_report(now, number, age);
+                self.freshness.on_report(now, request_id, age);
                 self.log_key_trust_change(now);
             }
         }
@@ -133,7 +133,7 @@
         self.freshness.on_store_failed(now);
     }
 
-    /// Writes a decision-log entry when keys begin or cease to be trusted.
+    /// Emits a diagnostic when keys begin or cease to be trusted.
     fn log_key_trust_change(&mut self, now: Time) {
         let trusts = self.freshness.may_trust(now);
         if trusts == std::mem::replace(&mut self.keys_were_trusted, trusts) {
--- a/crates/engine/src/ingress.rs
+++ b/crates/engine/src/ingress.rs
@@ -86,17 +86,18 @@
             caller,
             parents,
             key,
-            caller_timeout: patience,
+            caller_timeout,
             request,
             ..
         } = arrival;
         self.count(Counter::Request(operation.class));
         let refused = RefusedRequest::new(token, key.is_some(), &request);
         let latest_deadline = at + operation.deadline;
-        let patience = patience.map(|patience| patience.saturating_sub(now.since(at)));
+        let caller_timeout =
+            caller_timeout.map(|caller_timeout| caller_timeout.saturating_sub(now.since(at)));
         let draft = self
             .filter_context(now, token, parents, random, operation, request)
-            .map(|draft| limit_deadline(draft, now, patience, latest_deadline))
+            .map(|draft| limit_deadline(draft, now, caller_timeout, latest_deadline))
             .and_then(|draft| self.filter_key(draft, &caller, key));
         match draft {
             Ok(draft) => {
@@ -234,7 +235,7 @@
         Ok(RequestDraft {
             token,
             action: ActionId(self.rng.random()),
-            dice: self.admission.ranked_random(&operation, random),
+            dice: self.admission.admission_sample(&operation, random),
             class: operation.class,
             priority: operation.priority,
             passed_level: 0,
@@ -401,8 +402,8 @@
         if matches!(outcome, Outcome::NotRun(_)) {
             self.return_credit(now, open.credit);
         }
-        if let Some(sent) = open.request_hash {
-            self.resends.record_end(now, sent, &outcome);
+        if let Some(hash) = open.request_hash {
+            self.resends.record_end(now, hash, &outcome);
         }
         for follower in open.followers {
             self.followers.swap_remove(&follower);
@@ -451,12 +452,12 @@
 fn limit_deadline(
     mut draft: RequestDraft,
     now: Time,
-    patience: Option<Duration>,
+    caller_timeout: Option<Duration>,
     latest_deadline: Time,
 ) -> RequestDraft {
     draft.deadline = draft.deadline.min(latest_deadline);
-    if let Some(patience) = patience {
-        draft.deadline = draft.deadline.min(now + patience);
+    if let Some(caller_timeout) = caller_timeout {
+        draft.deadline = draft.deadline.min(now + caller_timeout);
     }
     draft
 }
--- a/crates/engine/src/keyed_calls.rs
+++ b/crates/engine/src/keyed_calls.rs
@@ -88,8 +88,8 @@
         self.offer(now, run);
     }
 
-    /// Attaches a repeated call to the run in progress. The retries lent with the call count as
-    /// spent and are not returned: too few retries do no harm, too many do.
+    /// Attaches a repeated call to the run in progress. The retries delegated with the call count
+    /// as spent and are not returned: too few retries do no harm, too many do.
     fn attach_to_run(&mut self, key: KeyHash, id: CallId) {
         let key_run = self.key_runs.entry(key).or_insert_with(|| KeyRun {
             run: None,
@@ -176,12 +176,12 @@
         unspent: u16,
         outcome: Outcome,
     ) {
-        let end = match &outcome {
+        let run_outcome = match &outcome {
             Outcome::Completed(response) => RunOutcome::Done(response.clone()),
             Outcome::NotRun(_) => RunOutcome::NotRun,
             Outcome::Unknown(_) => RunOutcome::Unknown,
         };
-        let effects = self.home.finish(now, key, end);
+        let effects = self.home.finish(now, key, run_outcome);
         let Some(key_run) = self.key_runs.swap_remove(&key) else {
             return self.apply_home(now, effects);
         };
--- a/crates/engine/src/log.rs
+++ b/crates/engine/src/log.rs
@@ -141,7 +141,7 @@
             false => PriorityBands::default(),
         };
         self.server.set_priority_bands(ranks.clone());
-        self.admission.set_ranks(ranks);
+        self.admission.set_priority_bands(ranks);
         self.update_quotas();
         let longest = longest.unwrap_or(limit.key_retention);
         self.home.set_time_limits(limit.key_retention, longest);
--- a/crates/engine/src/peer_diagnostics.rs
+++ b/crates/engine/src/peer_diagnostics.rs
@@ -39,17 +39,17 @@
 impl Engine {
     pub(crate) fn note_peer(&mut self, now: Time, incarnation: Incarnation, state: PeerState) {
         self.count_peers(now);
-        if now >= self.peer_notes.until {
-            self.peer_notes.until = now + SPAN;
-            self.peer_notes.told = 0;
+        if now >= self.peer_diagnostics.until {
+            self.peer_diagnostics.until = now + SPAN;
+            self.peer_diagnostics.told = 0;
         }
         let Some(peer) = self.members.get(incarnation) else {
             return;
         };
-        if self.peer_notes.told >= ONE_BY_ONE {
-            return self.peer_notes.counted.add(state);
+        if self.peer_diagnostics.told >= ONE_BY_ONE {
+            return self.peer_diagnostics.counted.add(state);
         }
-        self.peer_notes.told += 1;
+        self.peer_diagnostics.told += 1;
         self.outputs.push(Output::Diagnostic(Diagnostic::Peer {
             incarnation,
             addr: peer.instance.addr,
@@ -60,10 +60,10 @@
 
     /// Tells how many were not told one by one, once their span is over.
     pub(crate) fn count_peers(&mut self, now: Time) {
-        if now < self.peer_notes.until || self.peer_notes.counted.is_empty() {
+        if now < self.peer_diagnostics.until || self.peer_diagnostics.counted.is_empty() {
             return;
         }
-        let changed = std::mem::take(&mut self.peer_notes.counted);
+        let changed = std::mem::take(&mut self.peer_diagnostics.counted);
         let mut known = PeerCounts::default();
         for peer in self.members.peers() {
             known.add(peer.state);
--- a/crates/engine/src/serve.rs
+++ b/crates/engine/src/serve.rs
@@ -312,14 +312,14 @@
         let unspent = job.account.remaining();
         let below = job.below();
         if let Some(operation) = job.operation.as_ref().filter(|_| job.started.is_some()) {
-            self.admission.record_below(now, operation, below);
+            self.admission.record_downstream(now, operation, below);
         }
-        self.ended_run_below = below;
+        self.ended_run_downstream = below;
         match job.owner {
             JobOwner::Call(call) => self.answer_call(call, unspent, outcome),
             JobOwner::Key(key) => self.finish_keyed_run(now, key, unspent, outcome),
         }
-        self.ended_run_below = DownstreamSummary::default();
+        self.ended_run_downstream = DownstreamSummary::default();
         self.next_suspect(now, run);
     }
 
@@ -385,7 +385,7 @@
             outcome,
             unspent_retries: unspent,
             load: self.load_report(),
-            downstream: self.ended_run_below,
+            downstream: self.ended_run_downstream,
         };
         self.answer_cache.insert(id, answer.clone());
         self.send_to(id.from, Frame::Answer(id, Box::new(answer)));
--- a/crates/engine/tests/announced.rs
+++ b/crates/engine/tests/announced.rs
@@ -155,9 +155,9 @@
     let outcome = outputs.into_iter().find_map(|output| match output {
         Output::Run {
             run,
-            expected_server: expect,
+            expected_server,
             ..
-        } => Some(Ok((run, expect.unwrap()))),
+        } => Some(Ok((run, expected_server.unwrap()))),
         Output::Answer {
             outcome: Outcome::NotRun(refusal),
             ..
