--- a/crates/engine/src/admission.rs
+++ b/crates/engine/src/admission.rs
@@ -137,20 +137,20 @@
         call: &mut OutgoingCall,
     ) -> Result<Instance, Refusal> {
         // The home of a key that may have been sent before knows whether it ran.
-        let unknown = call.key.is_none() || call.fresh;
+        let unknown = call.key.is_none() || call.first_attempt;
         if let Some(refusal) = self
             .quarantine_refusal(now, &call.request)
             .filter(|_| unknown)
         {
             return Err(refusal);
         }
-        let value = admission_value(call.class, call.dice);
+        let value = admission_value(call.class, call.admission_sample);
         // What its first hop admitted is not shed further down: the work done so far would be lost.
         let begins_here = call.depth == 0;
         let sheds = self.cfg.policy.levels && unknown && begins_here;
         let path = self.admission.path(now, &call.operation);
         if sheds && value < path {
-            return Err(shed(path, call.class, call.dice));
+            return Err(shed(path, call.class, call.admission_sample));
         }
         if sheds {
             call.passed_level = path;
@@ -166,7 +166,7 @@
             None => (self.in_turn(call), None),
         };
         match (target, level) {
-            (_, Some(level)) => Err(shed(level, call.class, call.dice)),
+            (_, Some(level)) => Err(shed(level, call.class, call.admission_sample)),
             (Some(target), None) => Ok(target),
             (None, None) => Err(self.refusal(Reason::NoInstance)),
         }
--- a/crates/engine/src/calls.rs
+++ b/crates/engine/src/calls.rs
@@ -37,8 +37,8 @@
         let call = OutgoingCall {
             token: draft.token,
             target: self.me.clone(),
-            action: draft.action,
-            dice: draft.dice,
+            action_id: draft.action_id,
+            admission_sample: draft.admission_sample,
             class: draft.class,
             priority: draft.priority,
             passed_level: draft.passed_level,
@@ -46,11 +46,11 @@
             deadline: draft.deadline,
             idempotent: draft.operation.idempotent,
             key: draft.key,
-            fresh: draft.fresh,
+            first_attempt: draft.first_attempt,
             operation: operation_key(&draft.operation),
-            account: draft.account,
-            lent: 0,
-            again: draft.again,
+            retry_allowance: draft.retry_allowance,
+            delegated_retries: 0,
+            possible_repeat: draft.possible_repeat,
             may_have_run: false,
             calls_below: 0,
             attempts: 0,
@@ -66,7 +66,7 @@
             request: draft.request,
         };
         // A call of a run that was itself tried again is a retry too.
-        if !call.again {
+        if !call.possible_repeat {
             self.retries.sent(now, &call.request.service);
         }
         self.route(now, call);
@@ -90,10 +90,10 @@
     /// Sends one attempt.
     pub(crate) fn send_to_target(&mut self, now: Time, mut call: OutgoingCall, target: Instance) {
         call.target = target;
-        call.lent = if self.keeps_a_retry(&call) {
-            call.account.lend_all_but_one()
+        call.delegated_retries = if self.keeps_a_retry(&call) {
+            call.retry_allowance.lend_all_but_one()
         } else {
-            call.account.lend_all()
+            call.retry_allowance.lend_all()
         };
         let id = CallId {
             from: self.me.incarnation,
@@ -117,7 +117,7 @@
     /// is of use only farther down: kept at each hop, no read of a deep tree would ever be tried again.
     fn keeps_a_retry(&self, call: &OutgoingCall) -> bool {
         let below = self.admission.calls_below(&call.operation);
-        call.idempotent && !call.again && call.account.left() > below
+        call.idempotent && !call.possible_repeat && call.retry_allowance.left() > below
     }
 
     pub(crate) fn send_attempt(&mut self, now: Time, id: CallId, call: &OutgoingCall) {
@@ -128,18 +128,18 @@
         };
         let frame = Frame::Call(Box::new(Call {
             id,
-            action: call.action,
-            dice: call.dice,
+            action: call.action_id,
+            dice: call.admission_sample,
             class: call.class,
             priority: call.priority,
             passed_level: call.passed_level,
             leg,
             remaining_ms: self.remaining_ms(now, call),
-            allowance: call.lent,
-            again: call.again,
+            allowance: call.delegated_retries,
+            again: call.possible_repeat,
             idempotent: call.idempotent,
             key: call.key,
-            fresh: call.fresh,
+            fresh: call.first_attempt,
             depth: call.depth,
             request: call.request.clone(),
         }));
@@ -167,7 +167,8 @@
         let Some(mut call) = self.take_call(id) else {
             return;
         };
-        call.account.give_back(call.lent, answer.unspent);
+        call.retry_allowance
+            .give_back(call.delegated_retries, answer.unspent);
         call.calls_below = call.calls_below.saturating_add(answer.below.calls);
         // A refusal says how many calls lie below only if the run has got there.
         match answer.outcome {
@@ -181,7 +182,7 @@
         }
         match answer.outcome {
             Outcome::NotRun(refusal) => {
-                call.again |= answer.below.calls > 0 && self.cfg.policy.hop_retries == 0;
+                call.possible_repeat |= answer.below.calls > 0 && self.cfg.policy.hop_retries == 0;
                 self.after_not_run(now, call, refusal);
             }
             Outcome::Unknown(reason @ (Reason::ServerLost | Reason::PeerLost)) => {
@@ -248,10 +249,10 @@
         call.may_have_run = true;
         let below = self.admission.calls_below(&call.operation);
         let needed = 1 + below.max(call.calls_below);
-        let allowed = call.account.left() >= needed || call.hop_retries > 0;
+        let allowed = call.retry_allowance.left() >= needed || call.hop_retries > 0;
         if call.idempotent && allowed && self.may_retry(now, &mut call) {
             self.count(Counter::Retry(reason));
-            call.again = self.cfg.policy.hop_retries == 0;
+            call.possible_repeat = self.cfg.policy.hop_retries == 0;
             call.avoid.push(call.target.incarnation);
             return self.route(now, call);
         }
@@ -268,7 +269,7 @@
             call.hop_retries -= 1;
             return true;
         }
-        if call.account.left() == 0 || call.retries_left == 0 {
+        if call.retry_allowance.left() == 0 || call.retries_left == 0 {
             return false;
         }
         let limited = self.cfg.policy.retry_budget;
@@ -279,7 +280,7 @@
             return false;
         }
         call.retries_left -= 1;
-        call.account.spend()
+        call.retry_allowance.spend()
     }
 
     pub(crate) fn on_deadline(&mut self, now: Time, id: CallId) {
@@ -319,7 +320,7 @@
             outcome => outcome,
         };
         self.note_answered(now, &call, met.level, &outcome);
-        self.close_request(now, call.token, call.account.left(), outcome);
+        self.close_request(now, call.token, call.retry_allowance.left(), outcome);
     }
 
     /// A run's own first hop hears at once what the run meets. Heard of only at the end of the run,
@@ -331,7 +332,7 @@
         };
         job.child_levels.insert(operation, met.level);
         job.calls_below = job.calls_below.saturating_add(met.calls);
-        let level = job.below().level;
+        let level = job.downstream().level;
         if let Some(parent) = job.operation.clone() {
             self.admission.hear_level(now, &parent, level);
         }
@@ -346,7 +347,7 @@
             outcome: OutcomeSummary::of(outcome),
             attempts: call.attempts,
             target: call.target.addr,
-            value: admission_value(call.class, call.dice),
+            value: admission_value(call.class, call.admission_sample),
             level,
             left_ms: now.until(call.deadline).as_millis() as u64,
         }));
--- a/crates/engine/src/entry.rs
+++ b/crates/engine/src/entry.rs
@@ -59,7 +59,7 @@
         match admitted {
             Ok((operation, _)) => self.enter(now, arrival, operation, dice, Some(credit)),
             Err(reason) => {
-                self.return_credit(now, Some(credit));
+                self.return_quota_token(now, Some(credit));
                 self.refuse_arrival(&arrival, reason);
             }
         }
@@ -93,15 +93,18 @@
             .and_then(|draft| self.filter_key(draft, &caller, key));
         match draft {
             Ok(draft) => {
-                let draft = RequestDraft { credit, ..draft };
+                let draft = RequestDraft {
+                    quota_token: credit,
+                    ..draft
+                };
                 match self.filter_resend(now, &caller, draft) {
                     Some(draft) => self.open_request(now, draft),
                     // It has its answer, or waits for that to another request.
-                    None => self.return_credit(now, credit),
+                    None => self.return_quota_token(now, credit),
                 }
             }
             Err(reason) => {
-                self.return_credit(now, credit);
+                self.return_quota_token(now, credit);
                 self.refuse_unopened(refused, self.refusal(reason));
             }
         }
@@ -180,28 +183,28 @@
         if job.depth >= self.cfg.max_depth {
             return Err(Reason::BadRequest);
         }
-        if job.again && !job.account.spend() {
+        if job.possible_repeat && !job.retry_allowance.spend() {
             return Err(Reason::AllowanceSpent);
         }
-        let lent = job.account.lend();
+        let lent = job.retry_allowance.lend();
         let (class, priority) = job.child_class_and_priority(&operation);
         Ok(RequestDraft {
             token,
-            action: job.action,
-            dice: job.dice,
+            action_id: job.action_id,
+            admission_sample: job.admission_sample,
             class,
             priority,
             passed_level: job.passed_level,
             depth: job.depth + 1,
             deadline: job.deadline.min(now + operation.deadline),
-            account: Account::new(lent),
+            retry_allowance: Account::new(lent),
             parent: Some(run),
-            lent,
+            delegated_retries: lent,
             key: None,
-            fresh: false,
+            first_attempt: false,
             generated_key: None,
-            again: job.again,
-            credit: None,
+            possible_repeat: job.possible_repeat,
+            quota_token: None,
             request_hash: None,
             operation,
             request,
@@ -222,21 +225,21 @@
         }
         Ok(RequestDraft {
             token,
-            action: ActionId(self.rng.random()),
-            dice: self.admission.dice(&operation, dice),
+            action_id: ActionId(self.rng.random()),
+            admission_sample: self.admission.dice(&operation, dice),
             class: operation.class,
             priority: operation.priority,
             passed_level: 0,
             depth: 0,
             deadline: now + operation.deadline,
-            account: Account::new(self.tree_retries(&operation)),
+            retry_allowance: Account::new(self.tree_retries(&operation)),
             parent: None,
-            lent: 0,
+            delegated_retries: 0,
             key: None,
-            fresh: false,
+            first_attempt: false,
             generated_key: None,
-            again: false,
-            credit: None,
+            possible_repeat: false,
+            quota_token: None,
             request_hash: None,
             operation,
             request,
@@ -279,7 +282,7 @@
         }
         let key = match (draft.parent, key) {
             (Some(run), key) => {
-                draft.fresh = key.is_none() && self.is_first_run(run);
+                draft.first_attempt = key.is_none() && self.is_first_run(run);
                 self.child_key(run, service, fingerprint, key)
             }
             (None, Some(text)) => IdempotencyKey {
@@ -290,7 +293,7 @@
             (None, None) => {
                 let text: Arc<str> = format!("{:032x}", self.rng.random::<u128>()).into();
                 draft.generated_key = Some(text.clone());
-                draft.fresh = true;
+                draft.first_attempt = true;
                 IdempotencyKey {
                     caller: caller.into(),
                     service,
@@ -299,7 +302,7 @@
             }
         };
         if draft.parent.is_none() {
-            draft.action = key.action();
+            draft.action_id = key.action();
         }
         draft.key = Some((key.hash(), fingerprint));
         Ok(draft)
@@ -354,10 +357,10 @@
                 number: 0,
             },
             parent: draft.parent,
-            lent: draft.lent,
+            delegated_retries: draft.delegated_retries,
             generated_key: draft.generated_key.clone(),
             operation: draft.operation.clone(),
-            credit: draft.credit,
+            quota_token: draft.quota_token,
             request_hash: draft.request_hash,
             followers: Vec::new(),
         };
@@ -380,11 +383,12 @@
             return;
         };
         if let Some(job) = open.parent.and_then(|run| self.jobs.get_mut(&run)) {
-            job.account.give_back(open.lent, unspent);
+            job.retry_allowance
+                .give_back(open.delegated_retries, unspent);
             job.on_child_ended(now, token);
         }
         if matches!(outcome, Outcome::NotRun(_)) {
-            self.return_credit(now, open.credit);
+            self.return_quota_token(now, open.quota_token);
         }
         if let Some(sent) = open.request_hash {
             self.resends.record_end(now, sent, &outcome);
--- a/crates/engine/src/hedge.rs
+++ b/crates/engine/src/hedge.rs
@@ -84,9 +84,9 @@
         call.earlier = Some(EarlierAttempt {
             id,
             target: call.target.clone(),
-            lent: call.lent,
+            delegated_retries: call.delegated_retries,
         });
-        call.again = true;
+        call.possible_repeat = true;
         self.send_to_target(now, call, target);
     }
 
@@ -138,7 +138,7 @@
 
     fn await_earlier(&mut self, mut call: OutgoingCall, earlier: EarlierAttempt) {
         call.target = earlier.target;
-        call.lent = earlier.lent;
+        call.delegated_retries = earlier.delegated_retries;
         if let Some(open) = self.open.get_mut(&call.token) {
             open.call = earlier.id;
         }
--- a/crates/engine/src/job.rs
+++ b/crates/engine/src/job.rs
@@ -22,13 +22,13 @@
 #[derive(Debug)]
 pub(crate) struct Job {
     pub(crate) owner: JobOwner,
-    pub(crate) action: ActionId,
-    pub(crate) dice: u16,
+    pub(crate) action_id: ActionId,
+    pub(crate) admission_sample: u16,
     pub(crate) depth: u8,
     pub(crate) deadline: Time,
-    pub(crate) account: Account,
+    pub(crate) retry_allowance: Account,
     /// Each child call counts as a retry.
-    pub(crate) again: bool,
+    pub(crate) possible_repeat: bool,
     pub(crate) operation: Option<OperationKey>,
     pub(crate) fingerprint: Fingerprint,
     /// It has a key, whose record outlives the caller.
@@ -90,7 +90,7 @@
     }
 
     /// What the run has met so far in the calls that it made.
-    pub(crate) fn below(&self) -> Below {
+    pub(crate) fn downstream(&self) -> Below {
         Below {
             level: self.child_levels.values().copied().max().unwrap_or(0),
             calls: self.calls_below,
--- a/crates/engine/src/outgoing.rs
+++ b/crates/engine/src/outgoing.rs
@@ -19,8 +19,8 @@
 pub(crate) struct OutgoingCall {
     pub(crate) token: RequestToken,
     pub(crate) target: Instance,
-    pub(crate) action: ActionId,
-    pub(crate) dice: u16,
+    pub(crate) action_id: ActionId,
+    pub(crate) admission_sample: u16,
     pub(crate) class: Class,
     pub(crate) priority: u8,
     pub(crate) passed_level: u16,
@@ -28,13 +28,13 @@
     pub(crate) deadline: Time,
     pub(crate) idempotent: bool,
     pub(crate) key: Option<(KeyHash, Fingerprint)>,
-    pub(crate) fresh: bool,
+    pub(crate) first_attempt: bool,
     pub(crate) operation: OperationKey,
-    pub(crate) account: Account,
+    pub(crate) retry_allowance: Account,
     /// Lent to the present attempt.
-    pub(crate) lent: u16,
+    pub(crate) delegated_retries: u16,
     /// Each attempt below counts as a retry.
-    pub(crate) again: bool,
+    pub(crate) possible_repeat: bool,
     /// An attempt may have run whose answer was lost.
     pub(crate) may_have_run: bool,
     /// Attempts below, as far as answers told.
@@ -59,7 +59,7 @@
 pub(crate) struct EarlierAttempt {
     pub(crate) id: CallId,
     pub(crate) target: Instance,
-    pub(crate) lent: u16,
+    pub(crate) delegated_retries: u16,
 }
 
 impl OutgoingCall {
@@ -67,7 +67,7 @@
     /// a caller sent may have run; saying "not run" of it, the caller might order again with
     /// another key, and get two.
     pub(crate) fn scope_refusal(&self, refusal: Refusal) -> Refusal {
-        if self.key.is_some() && !self.fresh {
+        if self.key.is_some() && !self.first_attempt {
             refusal.of_this_attempt()
         } else {
             refusal
--- a/crates/engine/src/quota.rs
+++ b/crates/engine/src/quota.rs
@@ -305,7 +305,7 @@
     }
 
     /// A request did not run, so its token may admit another one.
-    pub(crate) fn return_credit(&mut self, now: Time, credit: Option<Credit>) {
+    pub(crate) fn return_quota_token(&mut self, now: Time, credit: Option<Credit>) {
         let Some(credit) = credit else {
             return;
         };
--- a/crates/engine/src/reattach.rs
+++ b/crates/engine/src/reattach.rs
@@ -54,7 +54,8 @@
             if call.reattaches > 0 {
                 self.reattach_later(now, frame.id, call);
             } else {
-                call.account.give_back(call.lent, call.lent);
+                call.retry_allowance
+                    .give_back(call.delegated_retries, call.delegated_retries);
                 let refusal = self.refusal(Reason::PeerLost);
                 self.after_not_run(now, call, refusal);
             }
@@ -70,7 +71,7 @@
             .members
             .get(target)
             .is_none_or(|peer| peer.state == PeerState::Dead);
-        let elsewhere = call.idempotent && call.account.left() > 0;
+        let elsewhere = call.idempotent && call.retry_allowance.left() > 0;
         if gone || elsewhere || call.reattaches >= MAX_REATTACHES {
             return self.after_lost(now, call, Reason::PeerLost);
         }
--- a/crates/engine/src/request.rs
+++ b/crates/engine/src/request.rs
@@ -27,12 +27,12 @@
     /// The run that asked, for a child call.
     pub(crate) parent: Option<RunId>,
     /// The retries that the parent lent.
-    pub(crate) lent: u16,
+    pub(crate) delegated_retries: u16,
     /// The key that this node made.
     pub(crate) generated_key: Option<Arc<str>>,
     pub(crate) operation: Operation,
     /// The token of its organisation's quota that it was admitted with.
-    pub(crate) credit: Option<Credit>,
+    pub(crate) quota_token: Option<Credit>,
     /// What was sent, for a request whose re-sends may wait for it.
     pub(crate) request_hash: Option<RequestHash>,
     /// Requests that wait for this one's answer.
@@ -91,8 +91,8 @@
     pub(crate) token: RequestToken,
     pub(crate) request: Request,
     pub(crate) operation: Operation,
-    pub(crate) action: ActionId,
-    pub(crate) dice: u16,
+    pub(crate) action_id: ActionId,
+    pub(crate) admission_sample: u16,
     /// What the whole action is for.
     pub(crate) class: Class,
     pub(crate) priority: u8,
@@ -100,15 +100,15 @@
     pub(crate) passed_level: u16,
     pub(crate) depth: u8,
     pub(crate) deadline: Time,
-    pub(crate) account: Account,
+    pub(crate) retry_allowance: Account,
     pub(crate) parent: Option<RunId>,
-    pub(crate) lent: u16,
+    pub(crate) delegated_retries: u16,
     pub(crate) key: Option<(KeyHash, Fingerprint)>,
     /// No attempt with this key can have been made before.
-    pub(crate) fresh: bool,
+    pub(crate) first_attempt: bool,
     pub(crate) generated_key: Option<Arc<str>>,
     /// Each attempt below counts as a retry.
-    pub(crate) again: bool,
-    pub(crate) credit: Option<Credit>,
+    pub(crate) possible_repeat: bool,
+    pub(crate) quota_token: Option<Credit>,
     pub(crate) request_hash: Option<RequestHash>,
 }
--- a/crates/engine/src/serve.rs
+++ b/crates/engine/src/serve.rs
@@ -109,12 +109,12 @@
         let operation = rules.decide(&request).map(Rule::operation);
         let job = Job {
             owner,
-            action: call.action,
-            dice: call.dice,
+            action_id: call.action,
+            admission_sample: call.dice,
             depth: call.depth,
             deadline: now + Duration::from_millis(u64::from(call.remaining_ms)),
-            account: Account::new(call.allowance),
-            again: call.again,
+            retry_allowance: Account::new(call.allowance),
+            possible_repeat: call.again,
             operation: operation.map(operation_key),
             fingerprint: Fingerprint::of(&request),
             keyed: call.key.is_some(),
@@ -161,7 +161,7 @@
             class: job.class,
             priority: job.priority,
             passed_level: job.passed_level,
-            dice: job.dice,
+            dice: job.admission_sample,
             deadline: job.deadline,
             arrived: now,
             admitted: job.depth > 0,
@@ -308,8 +308,8 @@
         if self.jobs_by_id.get(&job.request.id) == Some(&run) {
             self.jobs_by_id.swap_remove(&job.request.id);
         }
-        let unspent = job.account.left();
-        let below = job.below();
+        let unspent = job.retry_allowance.left();
+        let below = job.downstream();
         if let Some(operation) = job.operation.as_ref().filter(|_| job.started.is_some()) {
             self.admission.hear_path(now, operation, below);
         }
