--- a/crates/engine/src/diagnostic.rs
+++ b/crates/engine/src/diagnostic.rs
@@ -1,4 +1,4 @@
-//! What is written down of a decision: the request, what was decided, and the inputs that decided.
+//! Diagnostic events: what was decided about which request, and the inputs to the decision.
 
 use proto::Class;
 use proto::Incarnation;
@@ -12,9 +12,9 @@
 use stdx::plain;
 
 plain! {
-    /// How a request or its run ended, without what it brought.
+    /// The outcome of a request or of its run, without the response.
     pub enum OutcomeSummary {
-        /// With a whole response of this status.
+        /// A complete response with this status.
         Whole(u16),
         /// It did not run.
         NotRun(Reason),
@@ -24,11 +24,11 @@
 }
 
 plain! {
-    /// What the controllers of the own backend server held when they decided.
+    /// The state of the controllers of the own backend server at the time of the decision.
     pub struct ServerState {
         /// Runs in progress.
         pub running: u16,
-        /// Work that waits.
+        /// Queued jobs.
         pub queued: u32,
         /// The concurrency limit.
         pub limit: u16,
@@ -38,22 +38,21 @@
 }
 
 plain! {
-    /// Nodes by state.
+    /// Number of nodes in each state.
     #[derive(Default)]
     pub struct PeerCounts {
-        /// That answer.
+        /// Nodes that answer.
         pub alive: u32,
-        /// That did not answer.
+        /// Nodes that did not answer a probe.
         pub suspect: u32,
-        /// That are leaving.
+        /// Nodes that are leaving.
         pub leaving: u32,
-        /// That are taken for gone.
+        /// Nodes that are considered dead.
         pub dead: u32,
     }
 }
 
 impl PeerCounts {
-    /// One more of a state.
     pub(crate) fn add(&mut self, state: PeerState) {
         *match state {
             PeerState::Alive => &mut self.alive,
@@ -68,94 +67,95 @@
     }
 }
 
-/// One decision about a request. Its `Display` is a line of `key=value` pairs.
+/// A diagnostic event. Its `Display` implementation writes a line of `key=value` pairs.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Diagnostic {
-    /// A request got its final answer at its entry.
+    /// The ingress node gave a request its final answer.
     Answered {
-        /// The request.
+        /// The id of the request.
         request: Arc<str>,
-        /// The service that it asked.
+        /// The service that was called.
         service: Arc<str>,
-        /// What it is for.
+        /// The class of the action.
         class: Class,
-        /// How many calls are above it.
+        /// The number of calls above it.
         depth: u8,
-        /// How it ended.
+        /// The final outcome.
         outcome: OutcomeSummary,
-        /// Instances that it was sent to.
+        /// The number of attempts that were sent.
         attempts: u16,
-        /// The last of them.
+        /// The target of the last attempt.
         target: SocketAddr,
-        /// Its admission value; a level above it sheds it.
+        /// The admission value of the request. A level above it sheds the request.
         value: u16,
-        /// The level that is known of the services below.
+        /// The highest known admission level, at the target or below it.
         level: u16,
-        /// Milliseconds that it had left.
+        /// The time left until the deadline, in milliseconds.
         left_ms: u64,
     },
-    /// A request was refused before it was sent anywhere.
+    /// A request was refused before it was sent to any node.
     Refused {
-        /// The request.
+        /// The id of the request.
         request: Arc<str>,
-        /// The organisation that it is from; empty if none was found.
+        /// The organisation that sent it; empty if none was found.
         organisation: Arc<str>,
-        /// Why.
+        /// The reason for the refusal.
         reason: Reason,
-        /// The version of the rules that decided.
+        /// The version of the rules that applied.
         rules: u64,
     },
-    /// Keys of organisations are trusted from now on, or not any more.
+    /// This node began or ceased to trust the API keys of organisations.
     Keys {
-        /// Which of the two.
+        /// Whether keys are trusted now.
         trusted: bool,
-        /// The version of the rules that holds the keys.
+        /// The version of the rules that hold the keys.
         rules: u64,
-        /// The time since it was known to be the newest, if it ever was.
+        /// The time since this version was last confirmed to be the newest, if it ever was.
         age: Option<Duration>,
     },
-    /// Another node is taken for something else than before.
+    /// The state of another node changed.
     Peer {
-        /// Which.
+        /// The node.
         incarnation: Incarnation,
-        /// Where it is.
+        /// The node's address.
         addr: SocketAddr,
-        /// Its state.
+        /// The node's new state.
         state: PeerState,
-        /// Whether its backend server takes new work.
+        /// Whether the node's backend server accepts new work.
         accepts_work: bool,
     },
-    /// More nodes than are told one by one are taken for something else than before.
+    /// More nodes changed their state than are reported one by one.
     Peers {
-        /// How many, by what they are taken for now.
+        /// The nodes that changed, by their new state.
         changed: PeerCounts,
-        /// All that are known, the same way.
+        /// All known nodes, by their state.
         known: PeerCounts,
     },
-    /// The own backend server opened or closed, or is another incarnation.
+    /// The own backend server began or ceased to accept new work, or was replaced by another
+    /// incarnation.
     OwnServer {
-        /// The incarnation.
+        /// The server's incarnation.
         id: Arc<str>,
-        /// Whether it takes new work.
+        /// Whether it accepts new work.
         accepts_work: bool,
-        /// The heartbeat that decided, by its count.
+        /// The sequence number of its last heartbeat.
         sequence: u64,
     },
-    /// Work for the own backend server ended.
+    /// A job for the own backend server ended.
     Ran {
-        /// The request.
+        /// The id of the request.
         request: Arc<str>,
-        /// What it is for.
+        /// The class of the action.
         class: Class,
-        /// How many calls are above it.
+        /// The number of calls above it.
         depth: u8,
-        /// How it ended.
+        /// The outcome of the job.
         outcome: OutcomeSummary,
-        /// Whether it was given to the server.
+        /// Whether the job was passed to the server.
         started: bool,
-        /// Milliseconds that it had left.
+        /// The time left until the deadline, in milliseconds.
         left_ms: u64,
-        /// What the controllers held.
+        /// The state of the server's controllers.
         server: ServerState,
     },
 }
--- a/crates/engine/src/io.rs
+++ b/crates/engine/src/io.rs
@@ -1,4 +1,4 @@
-//! What reaches the engine and what it asks for.
+//! Inputs and outputs of the engine.
 
 use crate::Counter;
 use crate::Diagnostic;
@@ -20,133 +20,137 @@
 use stdx::Time;
 
 plain! {
-    /// The shell's name for a request that waits for its answer.
+    /// Identifies a request that waits for its answer. Assigned by the driver, the process around
+    /// the engine that does its I/O.
     #[derive(Hash, PartialOrd, Ord)]
     pub struct RequestToken(pub u64);
 }
 
-/// One thing that happened.
+/// An event that the driver reports to the engine.
 #[derive(Debug, Clone)]
 pub enum Input {
-    /// A caller, or this node's own backend server, asks for something.
+    /// A request from a caller or from this node's own backend server.
     Request {
-        /// To answer to.
+        /// Identifies the request in [`Output::Answer`] and [`Input::CallerGone`].
         token: RequestToken,
-        /// Who asks.
+        /// The name of the caller.
         caller: Arc<str>,
         /// The context header, if the request has one.
         context: Option<Arc<str>>,
-        /// The id of the request that a backend server serves by this one, as far as its own id
-        /// tells. It is a hint: if no such request runs here, this one stands for itself.
+        /// The request during which a backend server makes this one, as far as the id of this one
+        /// shows. Only a hint: if no such request runs here, this one starts a call tree of its
+        /// own.
         parent: Option<Arc<str>>,
         /// The `Idempotency-Key` header, if the request has one.
         key: Option<Arc<str>>,
-        /// The key of an organisation that the caller presents.
+        /// The digest of the organisation's API key that the caller presents.
         credential: Option<KeyDigest>,
-        /// How long the caller will wait, if it says so.
+        /// How long the caller will wait, if it sent a deadline.
         caller_timeout: Option<Duration>,
-        /// What is asked.
+        /// The request itself.
         request: Request,
     },
-    /// Whoever asked has gone.
+    /// The caller of a request has disconnected.
     CallerGone(RequestToken),
     /// A frame from another node.
     Frame {
-        /// From whom.
+        /// The sender.
         from: Incarnation,
-        /// What.
+        /// The frame.
         frame: Frame,
     },
-    /// The connection to a node is gone. Frames that were sent on it may or may not have arrived.
+    /// The connection to a node was lost. Frames sent on it may or may not have arrived.
     PeerLost(Incarnation),
-    /// A node was asked something and says nothing, not even that it still hears; perhaps its process
-    /// stands still. The connection is kept.
+    /// A node did not answer a ping, although its connection is still open. Its process may be
+    /// stalled. The connection is kept.
     PeerQuiet(Incarnation),
-    /// A node that was quiet is heard again.
+    /// A node that was quiet has answered again.
     PeerBack(Incarnation),
-    /// No connection to a node could be made; these frames were never sent.
+    /// No connection to a node could be made, so these frames were never sent.
     PeerUnreachable {
-        /// Which node.
+        /// The node.
         peer: Incarnation,
-        /// What was not sent.
+        /// The frames that were not sent.
         unsent: Vec<Frame>,
     },
-    /// A datagram.
+    /// A datagram from another node.
     Datagram {
-        /// From where.
+        /// The sender's address.
         from: SocketAddr,
-        /// What.
+        /// The datagram.
         datagram: Datagram,
     },
     /// A run on the own backend server has ended.
     RunEnded {
-        /// Which.
+        /// The run.
         run: RunId,
-        /// How.
+        /// How it ended.
         end: RunEnd,
     },
-    /// Values of the topic of views in their order, by offset.
+    /// Consecutive records of the log topic, each with its offset.
     Records(Vec<(u64, Bytes)>),
-    /// The newest value of each key of the topic, by offset.
+    /// The latest record of each key of the log topic.
     TopicSnapshot {
-        /// Offsets and values, in any order.
+        /// Records with their offsets, in any order.
         values: Vec<(u64, Bytes)>,
-        /// Where to read on.
+        /// The offset from which to continue reading.
         end: u64,
     },
-    /// The topic was read to its end.
+    /// The log topic was read to its end.
     LogCaughtUp,
-    /// A peer's state; answers [`Output::FetchState`].
+    /// The state of a peer, in response to [`Output::FetchState`].
     StateFetched(Bytes),
-    /// The operators' newest rules file, from a service that gives out versions itself.
+    /// The operators' newest rules file, from a service that assigns version numbers itself.
     RulesPublished {
-        /// Its version; only rises.
+        /// The version of the file; versions only increase.
         version: u64,
-        /// The file.
+        /// The text of the file.
         file: Arc<str>,
     },
-    /// Addresses at which nodes announced themselves; some may be gone.
+    /// Addresses at which nodes have registered. Some of the nodes may be gone.
     Directory(Vec<SocketAddr>),
-    /// The own backend server says something of itself.
+    /// The own backend server announces a change of its state.
     Server(Announcement),
-    /// Answers [`Output::CheckServer`].
+    /// Response to [`Output::CheckServer`].
     ServerChecked {
-        /// Which incarnation was asked.
+        /// The incarnation that was asked.
         id: Arc<str>,
-        /// It says that it is healthy and stays.
+        /// Whether the server reports that it is healthy and not about to stop.
         healthy: bool,
     },
-    /// Answers [`Output::CheckRules`].
+    /// Response to [`Output::CheckRules`].
     RulesChecked {
-        /// When the question was sent.
+        /// When the query was sent.
         asked: Time,
-        /// The newest version that the store holds; it was entered before, if it could be read.
+        /// The newest version in the store. If its file could be read, it was passed in as
+        /// [`Input::RulesPublished`] before this.
         version: u64,
     },
     /// The store did not answer [`Output::CheckRules`].
     RulesCheckFailed,
-    /// The store did not answer.
+    /// The store did not answer a read of the log topic.
     LogUnreachable,
-    /// The append with this number was done.
+    /// The append with this number has succeeded.
     Appended(u64),
-    /// The append with this number was not done, because the topic goes on beyond its offset.
+    /// The append with this number was rejected because the topic already has a record at its
+    /// offset.
     AppendConflict(u64),
-    /// The append with this number got no answer; it may have taken effect, or may later.
+    /// The append with this number got no answer. It may have taken effect, or may still do so.
     AppendLost(u64),
-    /// The process is asked to stop.
+    /// The process was asked to stop.
     Stop,
-    /// Time has passed.
+    /// Time has passed; a timer may be due.
     Tick,
 }
 
-/// What a backend server says of itself.
+/// What a backend server announces about itself.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Announcement {
-    /// It is there.
+    /// A heartbeat of a running server.
     Alive(Heartbeat),
-    /// It leaves, and takes nothing new.
+    /// The server is about to stop and accepts no new work.
     Leaves {
-        /// Which incarnation of it.
+        /// The incarnation that is stopping.
         id: Arc<str>,
     },
 }
@@ -154,116 +158,117 @@
 /// A backend server's heartbeat.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Heartbeat {
-    /// The name of the incarnation. A restarted server may use the name again.
+    /// The name of the incarnation. A restarted server may reuse it.
     pub id: Arc<str>,
-    /// When the incarnation started, in milliseconds since the Unix epoch by its own clock. Orders
-    /// the incarnations, whatever their names.
+    /// When the incarnation started, in milliseconds since the Unix epoch by the server's clock.
+    /// Incarnations are ordered by this value, whatever their names are.
     pub started_ms: u64,
-    /// Counts the heartbeats of the incarnation, because some arrive late.
+    /// Number of the heartbeat within the incarnation. Heartbeats may arrive out of order.
     pub sequence: u64,
-    /// The service that it belongs to.
+    /// The service that the server belongs to.
     pub service: Arc<str>,
-    /// How much it works on at a time.
+    /// How many requests the server handles at the same time.
     pub slots: u16,
-    /// It is about to leave, and takes nothing new.
+    /// Whether the server is about to stop and accepts no new work.
     pub draining: bool,
 }
 
 /// How a run on the own backend server ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RunEnd {
-    /// With a whole response.
+    /// The server sent a complete response.
     Response(proto::Response),
-    /// With the server's documented refusal, whole: it did not run.
+    /// The server sent its documented refusal completely, so the request did not run.
     Refused {
-        /// When the server says to come back.
+        /// The delay after which the server asks to be tried again.
         retry_after: Option<Duration>,
     },
-    /// Another server has the address by now, and said whole that it did not run.
+    /// The address now belongs to another server, whose complete response says that the request did
+    /// not run.
     Misdirected,
-    /// The time was up before the response was there.
+    /// The deadline passed before the response was complete.
     TimedOut,
-    /// No connection could be made: it did not run.
+    /// No connection could be made, so the request did not run.
     NeverSent,
-    /// The connection broke before the whole response was there.
+    /// The connection broke before the response was complete.
     Lost,
 }
 
-/// One thing that the shell has to do.
+/// An action for the driver to perform.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Output {
     /// Answer a request.
     Answer {
-        /// Which.
+        /// The request.
         token: RequestToken,
-        /// How it ended.
+        /// The outcome.
         outcome: Outcome,
-        /// The key that this node made for it, if its caller sent none.
+        /// The idempotency key that this node generated because the caller sent none.
         generated_key: Option<Arc<str>>,
     },
-    /// Send a frame.
+    /// Send a frame to a node.
     Send {
-        /// To whom.
+        /// The receiver.
         to: Instance,
-        /// What.
+        /// The frame.
         frame: Frame,
     },
-    /// Send a datagram.
+    /// Send a datagram to a node.
     Datagram {
-        /// Where to.
+        /// The receiver's address.
         to: SocketAddr,
-        /// What.
+        /// The datagram.
         datagram: Datagram,
     },
-    /// Hand a request to the own backend server.
+    /// Pass a request to the own backend server.
     Run {
-        /// Ends with an [`Input::RunEnded`] of this name.
+        /// Identifies the run in [`Input::RunEnded`].
         run: RunId,
-        /// What.
+        /// The request.
         request: Request,
-        /// The incarnation of the server that it is meant for, if servers announce themselves.
+        /// The server incarnation that the request is for, if servers announce themselves.
         expected_server: Option<Arc<str>>,
-        /// The time the server has.
+        /// The time until the request's deadline.
         remaining: Duration,
-        /// The run may not start after this much time, because the right to start it ends then.
+        /// The run must start within this time, because the right to start it expires then.
         start_within: Option<Duration>,
     },
-    /// Ask the own backend server whether it is healthy and stays; ends with an
+    /// Ask the own backend server whether it is healthy and not about to stop. Ends with an
     /// [`Input::ServerChecked`].
     CheckServer {
-        /// The incarnation that is meant.
+        /// The incarnation to ask.
         id: Arc<str>,
-        /// Where it says so.
+        /// The path of its health check.
         path: Arc<str>,
     },
-    /// Cancel a run; it still ends with [`Input::RunEnded`].
+    /// Cancel a run. It still ends with an [`Input::RunEnded`].
     CancelRun(RunId),
-    /// Append to the topic of views, if it ends at this offset, all or nothing.
+    /// Append the entries to the log topic atomically, provided that the topic ends at this offset.
     Append {
-        /// For the answer.
+        /// Identifies the append in its result.
         number: u64,
-        /// The offset.
+        /// The expected end of the topic.
         at: u64,
         /// Keys and values.
         entries: Vec<Entry>,
     },
-    /// Ask a node for [`crate::Engine::state_beyond`]; ends with an [`Input::StateFetched`] if it has
-    /// any. No answer is no fault.
+    /// Fetch the result of [`crate::Engine::state_beyond`] from a node. Ends with an
+    /// [`Input::StateFetched`] if the node has newer state. A missing answer is not an error.
     FetchState {
-        /// Its address.
+        /// The address of the node.
         from: SocketAddr,
-        /// What this node knows.
+        /// What this node already has.
         known: Progress,
     },
-    /// Find out at once whether the store has newer rules; ends with an [`Input::RulesChecked`] or
+    /// Check at once whether the store has newer rules. Ends with an [`Input::RulesChecked`] or an
     /// [`Input::RulesCheckFailed`].
     CheckRules,
-    /// Read the topic at once, because something is missing.
+    /// Read the log topic at once, because records are missing.
     ReadLog,
-    /// Count something.
+    /// Increment a counter.
     Count(Counter),
-    /// Write down a decision.
+    /// Write a diagnostic event to the process log.
     Diagnostic(Diagnostic),
-    /// Nothing is in flight any more; the process may end.
+    /// No work is in flight any more; the process may exit.
     Stopped,
 }
--- a/crates/engine/src/job.rs
+++ b/crates/engine/src/job.rs
@@ -1,4 +1,4 @@
-//! Work for the own backend server: what a job is, and what its run tells.
+//! Jobs for the own backend server, and what their runs report.
 
 use crate::operation_key::OperationKey;
 use crate::RequestToken;
@@ -18,7 +18,7 @@
 use std::time::Duration;
 use stdx::Time;
 
-/// Work for the own backend server, queued or running.
+/// A request for the own backend server, queued or running.
 #[derive(Debug)]
 pub(crate) struct Job {
     pub(crate) owner: JobOwner,
@@ -27,55 +27,60 @@
     pub(crate) depth: u8,
     pub(crate) deadline: Time,
     pub(crate) retry_allowance: Account,
-    /// Each child call counts as a retry.
+    /// Whether each child call counts as a retry.
     pub(crate) possible_repeat: bool,
     pub(crate) operation: Option<OperationKey>,
     pub(crate) fingerprint: Fingerprint,
-    /// It has a key, whose record outlives the caller.
+    /// Whether the request has an idempotency key. The record of the key outlives the caller.
     pub(crate) keyed: bool,
-    /// The backend server was asked to stop it, so a connection that breaks is no crash.
     pub(crate) idempotent: bool,
-    /// When its run takes longer than others.
+    /// When the run counts as late, so that its ingress node may send the request to a second
+    /// instance.
     pub(crate) late_at: Option<Time>,
+    /// Whether the backend server was asked to cancel the run. If the connection breaks after that,
+    /// the server has not crashed.
     pub(crate) cancelled: bool,
-    /// The calls below, as far as answers told.
+    /// Number of calls made below this job, as far as answers have reported them.
     pub(crate) calls_below: u16,
-    /// The levels that its child calls met last, by operation. The highest that any met would be as
-    /// old as the run.
+    /// The level that each operation's child calls met last. Levels fall again during a run, so the
+    /// highest level that any of them met could be as old as the run.
     pub(crate) child_levels: IndexMap<OperationKey, u16>,
-    /// Stands for the place in the call tree, as the scope of child keys.
+    /// The scope of the idempotency keys of child calls; identifies the job's place in the call
+    /// tree.
     pub(crate) child_key_scope: Arc<str>,
-    /// Child calls of each kind so far.
+    /// Number of child calls so far, by service and fingerprint.
     pub(crate) child_counts: IndexMap<(Arc<str>, Fingerprint), u32>,
-    /// What the whole action is for.
+    /// The class of the whole action.
     pub(crate) class: Class,
     pub(crate) priority: u8,
     /// The admission level that the action passed at its first hop.
     pub(crate) passed_level: u16,
     pub(crate) started: Option<Time>,
-    /// The incarnation of the server that it was given to.
+    /// The server incarnation that the job was given to.
     pub(crate) expected_server: Option<Arc<str>>,
-    /// Child calls in flight, since when there are any, and how long there were some.
+    /// Child calls in flight, since when there has been at least one, and for how long in total
+    /// there was one.
     pub(crate) pending_children: Vec<RequestToken>,
     pub(crate) children_pending_since: Time,
     pub(crate) child_wait: Duration,
     pub(crate) request: Request,
 }
 
-/// Who gets the result of a job.
+/// Who receives the result of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum JobOwner {
     /// An inbound call.
     Call(CallId),
-    /// All that wait for a key.
+    /// All calls that wait for an idempotency key.
     Key(KeyHash),
 }
 
 impl Job {
-    /// What a child call is for, and how urgent: a lookup that an order makes is part of the order.
-    pub(crate) fn child_class_and_priority(&self, own: &Operation) -> (Class, u8) {
-        if own.class.is_protected() {
-            (own.class, own.priority)
+    /// The class and priority of a child call. A lookup that belongs to an order is handled like
+    /// the order.
+    pub(crate) fn child_class_and_priority(&self, child: &Operation) -> (Class, u8) {
+        if child.class.is_protected() {
+            (child.class, child.priority)
         } else {
             (self.class, self.priority)
         }
@@ -89,7 +94,7 @@
         self.calls_below = self.calls_below.saturating_add(1);
     }
 
-    /// What the run has met so far in the calls that it made.
+    /// Admission level and call count that the run has met so far in its child calls.
     pub(crate) fn downstream(&self) -> Below {
         Below {
             level: self.child_levels.values().copied().max().unwrap_or(0),
@@ -104,21 +109,21 @@
         }
     }
 
-    /// What the end of the run says about the backend server. The time of an answer that reports a
-    /// failure is left out: it is often quick, and would make the limit rise.
-    pub(crate) fn ended(&self, now: Time, end: &RunEnd) -> Ended {
-        let took = self.started.map_or(Duration::ZERO, |at| now.since(at));
+    /// What the end of the run tells the concurrency controller. The duration of a response with a
+    /// server error is left out: such responses are often quick and would raise the limit.
+    pub(crate) fn server_feedback(&self, now: Time, end: &RunEnd) -> Ended {
+        let elapsed = self.started.map_or(Duration::ZERO, |at| now.since(at));
         match end {
             RunEnd::Response(response) if response.status >= 500 => Ended::Failed,
             RunEnd::Response(_) => Ended::Whole {
-                took,
-                own: took.saturating_sub(self.child_wait),
+                took: elapsed,
+                own: elapsed.saturating_sub(self.child_wait),
             },
             RunEnd::Refused { .. } => Ended::Refused,
             RunEnd::NeverSent => Ended::NeverSent,
             RunEnd::TimedOut if self.pending_children.is_empty() => Ended::GivenUp {
-                took,
-                own: took.saturating_sub(self.child_wait),
+                took: elapsed,
+                own: elapsed.saturating_sub(self.child_wait),
             },
             RunEnd::Misdirected | RunEnd::TimedOut => Ended::Failed,
             RunEnd::Lost => Ended::Lost,
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -1,8 +1,10 @@
-//! A node's decisions, whole: requests pass a filter chain, controllers keep the state.
+//! The decision logic of a node as a state machine without I/O. Requests pass through a filter
+//! chain; controllers hold the state.
 //!
-//! [`Engine::handle`] takes the time and one typed [`Input`] and gives typed [`Output`]s. It does no
-//! I/O and reads no clock, global or unseeded random number, so production, tests and benches run
-//! the same code, each with a clock and a network of its own.
+//! [`Engine::handle`] takes the current time and one [`Input`] and returns the resulting
+//! [`Output`]s. The engine performs no I/O and uses no clock, no global state and no unseeded
+//! random numbers, so production, tests and benchmarks run the same code, each with its own clock
+//! and network.
 
 mod admission;
 mod answered;
--- a/crates/engine/src/log.rs
+++ b/crates/engine/src/log.rs
@@ -1,4 +1,5 @@
-//! The log controller: folds the topic of views, announces this node, and takes it out again.
+//! The log controller: applies the records of the log topic, and appends this node's own records,
+//! above all when it joins and leaves.
 
 use crate::appends::AppendKey;
 use crate::appends::AppendQueue;
@@ -14,65 +15,66 @@
 use std::time::Duration;
 use stdx::Time;
 
-/// The longest wait between two tries of the same append.
-const MAX_APPEND_RETRY: Duration = Duration::from_secs(30);
+/// The longest delay between two attempts of the same append.
+const MAX_APPEND_BACKOFF: Duration = Duration::from_secs(30);
 
-/// How often the wait between two tries doubles at most.
-const MAX_DOUBLINGS: u32 = 5;
+/// How often the delay between two attempts may double.
+const MAX_LOST_DOUBLINGS: u32 = 5;
 
-/// The wait after an append that came second, doubled with each try and taken in a random part. A
-/// read and an append take some 20 ms together; of nodes that start at once, one wins each round.
-const CONFLICT_PAUSE: Duration = Duration::from_millis(20);
+/// The delay after an append lost the race for its offset. Doubles with each attempt and is
+/// multiplied by a random factor. A read and an append take about 20 ms together, and of nodes that
+/// start at the same time one succeeds in each round.
+const CONFLICT_BACKOFF: Duration = Duration::from_millis(20);
 
-/// How often that wait doubles at most: up to 2.5 s.
+/// How often that delay may double: up to 2.5 s.
 const MAX_CONFLICT_DOUBLINGS: u32 = 7;
 
-/// What this node has to say to the log and whether it got through.
+/// State of the log controller: the appends of this node, and how far the log could be read.
 #[derive(Debug, Default)]
 pub(crate) struct LogController {
-    /// The last read got no answer.
+    /// Whether the last read got no answer.
     pub(crate) unreachable: bool,
-    /// The log was read to its end once, or its state came from a peer. Before that the rules and
-    /// views may be older than what this address had in force when it was last up.
+    /// Whether the log was read to its end once, or its state was fetched from a peer. Before that,
+    /// the rules and views may be older than those in force when a node at this address last ran.
     pub(crate) synced: bool,
     pub(crate) appends: AppendQueue,
-    /// Where the append in flight is to stand, or the last one was.
-    append_at: u64,
-    /// The last append came second. Before the record that came first is read, each further one would
-    /// come second as well.
-    overtaken: bool,
-    /// A `Join` may stand in the topic, now or later.
+    /// The offset of the append in flight, or of the last one.
+    append_offset: u64,
+    /// Whether the last append conflicted with another record. Until that record has been read,
+    /// every further append would conflict as well.
+    append_conflicted: bool,
+    /// Whether a `Join` of this node is in the topic, or may still reach it.
     join_sent: bool,
-    /// When a stop no longer waits for its `Leave`.
-    give_up: Option<Time>,
+    /// When a stopping node gives up waiting for its `Leave` to be appended.
+    leave_deadline: Option<Time>,
 }
 
 impl LogController {
-    /// Whether nothing is left to say before the process ends.
+    /// Whether no `Leave` is waiting to be appended.
     pub(crate) fn leave_settled(&self) -> bool {
         !self.appends.contains(AppendKey::Leave)
     }
 
-    /// Whether a stop no longer waits for its `Leave`.
+    /// Whether a stopping node no longer waits for its `Leave`.
     pub(crate) fn leave_wait_ended(&self) -> bool {
-        self.give_up.is_none()
+        self.leave_deadline.is_none()
     }
 
-    fn may_append(&self, next: u64) -> bool {
-        !self.overtaken || next > self.append_at
+    fn may_append_at(&self, next: u64) -> bool {
+        !self.append_conflicted || next > self.append_offset
     }
 
-    /// When the controller has something to do, if the topic was read up to `next`.
+    /// When the controller next has work to do, given that the topic was read up to `next`.
     pub(crate) fn next_timer(&self, next: u64) -> Option<Time> {
-        let append = self.appends.next_due().filter(|_| self.may_append(next));
-        let timers = [append, self.give_up];
+        let append = self.appends.next_due().filter(|_| self.may_append_at(next));
+        let timers = [append, self.leave_deadline];
         timers.into_iter().flatten().min()
     }
 }
 
 impl Engine {
     pub(crate) fn on_records(&mut self, now: Time, records: Vec<(u64, Bytes)>) {
-        let before = self.journal.version;
+        let old_version = self.journal.version;
         for (offset, value) in records {
             match self.journal.apply(offset, &value) {
                 Change::Nothing | Change::Old | Change::Restored => {}
@@ -85,19 +87,19 @@
                 Change::Gap => return self.out.push(Output::ReadLog),
             }
         }
-        // What is read at the start is no news to anybody.
-        if self.log.synced && self.journal.version > before {
+        // Records that are read at the start are known to the other nodes.
+        if self.log.synced && self.journal.version > old_version {
             self.spread_progress(true);
         }
     }
 
-    /// Takes the newest record of each key, at a start or after records that this node lacks have
-    /// expired.
+    /// Applies the latest record of each key, at the start or after records that this node has not
+    /// read have expired.
     pub(crate) fn on_topic_snapshot(&mut self, now: Time, values: Vec<(u64, Bytes)>, end: u64) {
         let values = journal::in_order(values, end);
-        let newest = State::from_newest(&values, end);
-        if !newest.is_whole_since(self.journal.next) {
-            return self.begin_anew(now, newest);
+        let snapshot = State::from_newest(&values, end);
+        if !snapshot.is_whole_since(self.journal.next) {
+            return self.reset_to(now, snapshot);
         }
         for (offset, value) in values {
             if offset >= self.journal.next {
@@ -108,22 +110,23 @@
         self.journal.skip_to(end);
     }
 
-    /// Views were missed, and the topic does not have them any more.
-    fn begin_anew(&mut self, now: Time, newest: State) {
-        let rules_back = newest.version < self.journal.version;
-        let views_back = newest.next < self.journal.next;
-        if rules_back || views_back {
+    /// Replaces the state after views were missed that the topic no longer holds.
+    fn reset_to(&mut self, now: Time, snapshot: State) {
+        let rules_regressed = snapshot.version < self.journal.version;
+        let views_regressed = snapshot.next < self.journal.next;
+        if rules_regressed || views_regressed {
             return self.count(Counter::BrokenRecord);
         }
-        self.journal = newest;
+        self.journal = snapshot;
         self.count(Counter::Restored);
         self.on_rules(now);
         if let Some(view) = self.journal.view(&self.me.service).cloned() {
             let effects = self.home.on_baseline(now, &view);
             self.apply_home(now, effects);
         }
-        // Whether this incarnation was in one of the views that were missed cannot be told. In a
-        // view again, after others took its place for lost, it could start what they have started.
+        // Nobody can tell whether one of the missed views listed this incarnation. If it was taken
+        // for dead and others took over its slots, joining again could make it start work that they
+        // have already started.
         if self.log.join_sent && !self.stopping {
             self.expel(now);
         }
@@ -132,7 +135,7 @@
     fn on_rules(&mut self, now: Time) {
         let limit = self.journal.rules.limit(&self.me.service);
         let operations = || self.journal.rules.all_operations();
-        let longest = operations().map(|operation| operation.deadline).max();
+        let longest_deadline = operations().map(|operation| operation.deadline).max();
         let ranks = match self.cfg.policy.ranks {
             true => Ranks::new(self.journal.rules.standings()),
             false => Ranks::default(),
@@ -140,14 +143,14 @@
         self.server.set_ranks(ranks.clone());
         self.admission.set_ranks(ranks);
         self.update_quotas();
-        let longest = longest.unwrap_or(limit.key_retention);
-        self.home.set_times(limit.key_retention, longest);
+        let longest_deadline = longest_deadline.unwrap_or(limit.key_retention);
+        self.home.set_times(limit.key_retention, longest_deadline);
         self.update_concurrency_bounds();
         self.check_server(now);
         self.mark_roster_changed(now);
     }
 
-    /// Takes a rules file that was given its version elsewhere.
+    /// Takes a rules file whose version number was assigned by another service.
     pub(crate) fn on_rules_published(&mut self, now: Time, version: u64, file: &str) {
         self.log.unreachable = false;
         match self
@@ -168,7 +171,7 @@
     pub(crate) fn on_state_restored(&mut self, now: Time) {
         self.count(Counter::Restored);
         self.on_rules(now);
-        // Views before the one in the state may have been missed.
+        // The views before the one in the restored state may have been missed.
         self.update_home(now);
     }
 
@@ -182,10 +185,10 @@
         self.log.synced = true;
         self.home.on_log_read(now);
         self.check_departed(now);
-        // An incarnation that the views have dropped never comes back: it ends, and its next start
-        // is another one.
-        let dropped = self.journal.departed.contains_key(&self.me.incarnation);
-        if !self.stopping && !dropped && !self.is_listed() && self.journal.admits(&self.me) {
+        // An incarnation that was dropped from the views never joins again: its process ends, and
+        // the next start is another incarnation.
+        let has_departed = self.journal.departed.contains_key(&self.me.incarnation);
+        if !self.stopping && !has_departed && !self.is_listed() && self.journal.admits(&self.me) {
             self.append(AppendKey::Join);
         }
         if self.is_oldest_member() && self.journal.to_forget().is_some() {
@@ -193,14 +196,15 @@
         }
     }
 
-    /// Whether this is the first instance that the views name: the one that drops what is old.
+    /// Whether this is the first instance in the views, the one that removes old departures.
     fn is_oldest_member(&self) -> bool {
         let oldest = self.journal.instances().next();
         oldest.is_some_and(|oldest| oldest.incarnation == self.me.incarnation)
     }
 
-    /// Has something said, unless it waits to be said already. It is tried until the fold shows its
-    /// effect. When the queue is full it is left out and counted; ask again later.
+    /// Queues an append unless it is queued already. It is tried until the applied records show its
+    /// effect. If the queue is full, the append is dropped and counted, and the caller has to queue
+    /// it again later.
     pub(crate) fn append(&mut self, key: AppendKey) {
         if self.log.appends.contains(key) {
             return;
@@ -211,51 +215,58 @@
         self.log.appends.push(key);
     }
 
-    fn record(&self, key: AppendKey) -> Option<Record> {
-        let mine = self.me.incarnation;
+    fn record_of(&self, key: AppendKey) -> Option<Record> {
+        let own_incarnation = self.me.incarnation;
         Some(match key {
             AppendKey::Join => Record::Join(self.me.clone()),
-            AppendKey::Leave => Record::Leave(mine),
+            AppendKey::Leave => Record::Leave(own_incarnation),
             AppendKey::Evict(incarnation) => Record::Evict {
                 incarnation,
-                by: mine,
+                by: own_incarnation,
             },
             AppendKey::Forget => self.journal.to_forget()?,
         })
     }
 
-    /// Drops what the topic shows by now, and starts the next append that is due.
+    /// Removes appends whose effect the topic already shows, and starts the next one that is due.
     pub(crate) fn start_due_append(&mut self, now: Time) {
-        let mine = self.me.incarnation;
+        let own_incarnation = self.me.incarnation;
         let journal = &self.journal;
-        // A record that would change nothing must not land: it would take the key of one that did.
+        // A record without effect must not be appended: in the compacted topic it would replace the
+        // effective record of the same key.
         self.log.appends.retain(|key| match key {
-            AppendKey::Join => !journal.is_listed(mine),
-            AppendKey::Leave => !journal.departed.contains_key(&mine),
-            AppendKey::Evict(other) => journal.is_listed(other) && journal.is_listed(mine),
+            AppendKey::Join => !journal.is_listed(own_incarnation),
+            AppendKey::Leave => !journal.departed.contains_key(&own_incarnation),
+            AppendKey::Evict(other) => {
+                journal.is_listed(other) && journal.is_listed(own_incarnation)
+            }
             AppendKey::Forget => journal.to_forget().is_some(),
         });
-        if self.log.give_up.is_some_and(|give_up| give_up <= now) {
-            self.log.give_up = None;
+        if self
+            .log
+            .leave_deadline
+            .is_some_and(|deadline| deadline <= now)
+        {
+            self.log.leave_deadline = None;
             if !self.log.leave_settled() {
                 self.log.appends.remove(AppendKey::Leave);
                 self.count(Counter::LeaveUnsaid);
             }
         }
         let due = self.log.appends.next_due();
-        if due.is_none_or(|due| due > now) || !self.log.may_append(self.journal.next) {
+        if due.is_none_or(|due| due > now) || !self.log.may_append_at(self.journal.next) {
             return;
         }
         let number = self.number();
         let Some(key) = self.log.appends.start(now, number) else {
             return;
         };
-        let Some(record) = self.record(key) else {
+        let Some(record) = self.record_of(key) else {
             return;
         };
         self.log.join_sent |= key == AppendKey::Join;
-        self.log.append_at = self.journal.next;
-        self.log.overtaken = false;
+        self.log.append_offset = self.journal.next;
+        self.log.append_conflicted = false;
         self.out.push(Output::Append {
             number,
             at: self.journal.next,
@@ -269,62 +280,63 @@
         };
         match key {
             AppendKey::Leave => self.log.appends.remove(key),
-            // The fold has the last word; meanwhile there is no reason to say it again.
-            _ => self.log.appends.postpone(key, now + MAX_APPEND_RETRY),
+            // The applied records decide whether the append took effect; until they show it, there
+            // is no reason to repeat it.
+            _ => self.log.appends.postpone(key, now + MAX_APPEND_BACKOFF),
         }
         self.out.push(Output::ReadLog);
     }
 
-    /// Another record came first, so this one was not appended and never will be. It is made anew
-    /// once the other has been read.
+    /// Another record took the offset, so this append had no effect and never will. The record is
+    /// built again once the other one has been read.
     pub(crate) fn on_append_conflict(&mut self, now: Time, number: u64) {
         let Some((key, attempts)) = self.log.appends.ended(number) else {
             return;
         };
         self.count(Counter::AppendConflict);
         let doublings = attempts.saturating_sub(1).min(MAX_CONFLICT_DOUBLINGS);
-        let wait = CONFLICT_PAUSE * (1 << doublings);
-        let wait = wait.mul_f64(self.rng.random_range(0.0..1.0));
-        self.log.appends.postpone(key, now + wait);
-        self.log.overtaken = true;
+        let delay = CONFLICT_BACKOFF * (1 << doublings);
+        let delay = delay.mul_f64(self.rng.random_range(0.0..1.0));
+        self.log.appends.postpone(key, now + delay);
+        self.log.append_conflicted = true;
     }
 
-    /// The record may stand in the topic all the same; reading it again tells. All nodes lose
-    /// their answers together when the log goes down, so the next try waits longer each time and
-    /// for a random part of it; else they would all come back at once.
+    /// The record may have reached the topic all the same; reading the topic tells. When the log
+    /// fails, all nodes lose their answers together, so the delay doubles with each attempt and has
+    /// a random part. Otherwise all nodes would return at the same time.
     pub(crate) fn on_append_lost(&mut self, now: Time, number: u64) {
         let Some((key, attempts)) = self.log.appends.ended(number) else {
             return;
         };
         self.count(Counter::AppendLost);
-        let doublings = attempts.saturating_sub(1).min(MAX_DOUBLINGS);
-        let wait = self.cfg.append_retry * (1 << doublings);
-        let wait = wait
-            .min(MAX_APPEND_RETRY)
+        let doublings = attempts.saturating_sub(1).min(MAX_LOST_DOUBLINGS);
+        let delay = self.cfg.append_retry * (1 << doublings);
+        let delay = delay
+            .min(MAX_APPEND_BACKOFF)
             .mul_f64(self.rng.random_range(0.5..1.0));
-        self.log.appends.postpone(key, now + wait);
+        self.log.appends.postpone(key, now + delay);
         self.out.push(Output::ReadLog);
     }
 
-    /// Says in the topic that this node leaves. A `Join` that may be on its way makes no difference:
-    /// of the two, the one that is appended first keeps the other out or comes before it.
+    /// Queues the `Leave` of this node. A `Join` that is still in flight does no harm: if the
+    /// `Leave` is appended first, it keeps the `Join` out; otherwise it follows it.
     pub(crate) fn queue_leave(&mut self, now: Time) {
         self.log.appends.remove(AppendKey::Join);
-        let gone = self.journal.departed.contains_key(&self.me.incarnation);
-        if !gone && (self.log.join_sent || self.is_listed()) {
+        let has_departed = self.journal.departed.contains_key(&self.me.incarnation);
+        if !has_departed && (self.log.join_sent || self.is_listed()) {
             self.append(AppendKey::Leave);
-            // In an outage of the log a stop would never end. The views go on naming this node
-            // then, until another one evicts it.
-            self.log.give_up = Some(now + self.cfg.leave_patience);
+            // Without a time limit, a stop during an outage of the log would never end. The views
+            // then still list this node until another one evicts it.
+            self.log.leave_deadline = Some(now + self.cfg.leave_patience);
         }
     }
 
-    /// Whether rules are in force here that are as new as the log's, or as a peer's.
+    /// Whether rules are in force that came from a log read to its end, or from a peer.
     pub(crate) fn has_rules(&self) -> bool {
         self.log.synced && self.journal.version > 0
     }
 
-    /// Whether the log's views name this incarnation.
+    /// Whether the views in the log list this incarnation.
     pub fn is_listed(&self) -> bool {
         self.journal.is_listed(self.me.incarnation)
     }
--- a/crates/engine/src/members.rs
+++ b/crates/engine/src/members.rs
@@ -1,4 +1,4 @@
-//! The membership controller: roster, probes, loads.
+//! The membership controller: the roster of nodes, their probes and their load reports.
 
 use crate::appends::AppendKey;
 use crate::Counter;
@@ -39,7 +39,7 @@
                 version: PROTOCOL_VERSION,
                 message,
             } => self.on_quota_message(now, from, message),
-            // A node of another version, in the middle of an upgrade for example.
+            // A node that runs another protocol version, for example during a rolling upgrade.
             Datagram::Member { .. }
             | Datagram::Lease { .. }
             | Datagram::Freshness { .. }
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Takes a report that came with an answer.
+    /// Records a load report that came with an answer.
     pub(crate) fn record_load(&mut self, now: Time, from: Incarnation, load: LoadReport) {
         self.members.heard_load(now, from, load);
         self.selector.on_report(now, from, load);
@@ -80,7 +80,7 @@
         self.members.set_load(load);
         let effects = self.members.tick(now);
         self.apply_membership_effects(now, effects);
-        self.count_peers(now);
+        self.flush_peer_counts(now);
     }
 
     pub(crate) fn announce_leave(&mut self, now: Time) {
@@ -88,8 +88,9 @@
         self.apply_membership_effects(now, effects);
     }
 
-    /// The log's views name instances that this node has perhaps not heard of yet. The members are
-    /// told once for a batch of records, because a start reads the views' whole history.
+    /// Marks the roster as changed, because the views in the log may list instances that this node
+    /// does not know yet. Membership is updated once per batch of records, since a start reads the
+    /// whole history of the views.
     pub(crate) fn mark_roster_changed(&mut self, _now: Time) {
         self.roster_changed = true;
     }
@@ -101,7 +102,7 @@
         }
     }
 
-    /// Sends a frame to a node that is known, or was lately.
+    /// Sends a frame to a node that is in the membership table, or to this node itself.
     pub(crate) fn send_to(&mut self, to: Incarnation, frame: Frame) {
         if to == self.me.incarnation {
             let me = self.me.clone();
@@ -129,11 +130,12 @@
                 }
                 Effect::Changed { incarnation, state } => {
                     self.count(Counter::PeerChanged);
-                    self.note_peer(now, incarnation, state);
+                    self.report_peer_change(now, incarnation, state);
                     self.update_standing(now, incarnation, state);
                     self.quota.invalidate_election();
-                    // An eviction may have waited for the log through an outage; by now it would
-                    // take out a live instance, and its share of the keys with it.
+                    // An eviction may have been queued throughout an outage of the log. If the peer
+                    // is no longer dead, it would remove a live instance together with its share of
+                    // the keys.
                     if state != PeerState::Dead {
                         self.log.appends.remove(AppendKey::Evict(incarnation));
                     }
--- a/crates/engine/src/operation_key.rs
+++ b/crates/engine/src/operation_key.rs
@@ -1,9 +1,9 @@
-//! What operations are told apart by.
+//! Identifies operations.
 
 use rules::Operation;
 use std::sync::Arc;
 
-/// An operation: its service, and the line of its rule.
+/// An operation, identified by its service and the line of its rule.
 pub(crate) type OperationKey = (Arc<str>, u32);
 
 pub(crate) fn operation_key(operation: &Operation) -> OperationKey {
--- a/crates/engine/src/outgoing.rs
+++ b/crates/engine/src/outgoing.rs
@@ -1,4 +1,4 @@
-//! A call of this node to another, or to itself.
+//! Calls from this node to other nodes and to itself.
 
 use crate::operation_key::OperationKey;
 use crate::RequestToken;
@@ -31,25 +31,25 @@
     pub(crate) first_attempt: bool,
     pub(crate) operation: OperationKey,
     pub(crate) retry_allowance: Account,
-    /// Lent to the present attempt.
+    /// The retries lent to the current attempt.
     pub(crate) delegated_retries: u16,
-    /// Each attempt below counts as a retry.
+    /// Whether each attempt below counts as a retry.
     pub(crate) possible_repeat: bool,
-    /// An attempt may have run whose answer was lost.
+    /// Whether an attempt may have run although its answer was lost.
     pub(crate) may_have_run: bool,
-    /// Attempts below, as far as answers told.
+    /// Number of calls made below this one, as far as answers have reported them.
     pub(crate) calls_below: u16,
-    /// Attempts of this call itself.
+    /// Number of attempts of this call.
     pub(crate) attempts: u16,
-    /// How often this call itself may be tried again, whatever its action has left.
+    /// How often this call may still be retried, whatever its action has left.
     pub(crate) retries_left: u16,
-    /// Left of [`policy::Switches::hop_retries`].
+    /// What is left of [`policy::Switches::hop_retries`].
     pub(crate) hop_retries: u8,
-    /// The attempt before this one, while both are awaited.
+    /// The previous attempt, while the answers to both are awaited.
     pub(crate) earlier: Option<EarlierAttempt>,
     pub(crate) redirects: u8,
     pub(crate) reattaches: u8,
-    /// Nodes that this call shall not go to again.
+    /// Nodes that this call must not be sent to again.
     pub(crate) avoid: Vec<Incarnation>,
     pub(crate) request: Request,
 }
@@ -63,9 +63,10 @@
 }
 
 impl OutgoingCall {
-    /// A refusal by somebody who does not know the key's record. An earlier attempt with a key that
-    /// a caller sent may have run; saying "not run" of it, the caller might order again with
-    /// another key, and get two.
+    /// Limits a refusal to the current attempt if an earlier one may have run. The refusal comes
+    /// from a node that has not seen the record of the key, and a key sent by the caller may have
+    /// been sent before. If the caller were told that nothing ran, it might order again with
+    /// another key and get two orders.
     pub(crate) fn scope_refusal(&self, refusal: Refusal) -> Refusal {
         if self.key.is_some() && !self.first_attempt {
             refusal.of_this_attempt()
--- a/crates/engine/src/own_server.rs
+++ b/crates/engine/src/own_server.rs
@@ -1,4 +1,4 @@
-//! The own backend server, as it announces itself: which incarnation is there, and whether it takes
+//! The own backend server as it announces itself: its current incarnation, and whether it accepts
 //! work.
 
 use crate::Announcement;
@@ -12,43 +12,46 @@
 use std::sync::Arc;
 use stdx::Time;
 
-/// The newest incarnation of the own backend server that was heard of.
+/// The newest known incarnation of the own backend server.
 #[derive(Debug)]
 pub(crate) struct OwnServer {
     heartbeat: Heartbeat,
-    /// It has said that it leaves. That is final for this incarnation: it may not be heard again.
-    left: bool,
-    /// Whether it has to say, asked now, that it stays.
-    check: Check,
+    /// Whether it has announced that it is stopping. That is final for this incarnation, which may
+    /// send no further heartbeat.
+    is_leaving: bool,
+    /// Whether it has confirmed that it is not about to stop.
+    health_check: HealthCheck,
 }
 
-/// The question to the first server that a process of the node hears.
+/// The health check of the first server incarnation that this node process hears of.
 ///
-/// An earlier process beside it may have acknowledged that it leaves, and a heartbeat from before may
-/// arrive late. Believed, it would bring requests to a server that is about to end; one would see
-/// them fail seconds after a planned stop. Later incarnations are told apart by their start.
+/// An earlier process of this node may already have acknowledged that the server is stopping, and a
+/// heartbeat from before that may arrive late. If it were trusted, requests would go to a server
+/// that is about to exit and fail seconds after a planned stop. Later incarnations need no check,
+/// because they are told apart by their start times.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Check {
-    /// To be asked.
+enum HealthCheck {
+    /// Not sent yet.
     Due,
-    /// Asked, without an answer yet.
-    Asked,
-    /// It stays, or need not be asked.
+    /// Sent, no answer yet.
+    Pending,
+    /// The server confirmed that it stays, or need not be asked.
     Passed,
 }
 
 impl OwnServer {
-    fn is_open(&self) -> bool {
-        !self.left && !self.heartbeat.draining && self.check == Check::Passed
+    fn accepts_work(&self) -> bool {
+        !self.is_leaving && !self.heartbeat.draining && self.health_check == HealthCheck::Passed
     }
 
-    /// Heartbeats arrive late at times, also those of an incarnation that has ended. Taken for
-    /// news, one would open a server that drains, or send work to one that is gone.
-    fn is_overtaken_by(&self, newer: &Heartbeat) -> bool {
+    /// Whether a heartbeat is newer than the last one. Heartbeats may arrive late, even those of an
+    /// incarnation that has ended. If a late one were applied, it could reopen a server that is
+    /// draining, or send work to one that has exited.
+    fn is_older_than(&self, newer: &Heartbeat) -> bool {
         (newer.started_ms, newer.sequence) > (self.heartbeat.started_ms, self.heartbeat.sequence)
     }
 
-    fn is_same(&self, other: &Heartbeat) -> bool {
+    fn is_same_incarnation(&self, other: &Heartbeat) -> bool {
         self.heartbeat.started_ms == other.started_ms && self.heartbeat.id == other.id
     }
 }
@@ -57,7 +60,7 @@
     pub(crate) fn on_server_announcement(&mut self, now: Time, announcement: Announcement) {
         match announcement {
             Announcement::Alive(heartbeat) => self.on_heartbeat(now, heartbeat),
-            Announcement::Leaves { id } => self.on_leaves(now, &id),
+            Announcement::Leaves { id } => self.on_server_leaving(now, &id),
         }
     }
 
@@ -66,25 +69,25 @@
             return self.count(Counter::StrangeServer);
         }
         match &mut self.own_server {
-            Some(known) if !known.is_overtaken_by(&heartbeat) => {
+            Some(server) if !server.is_older_than(&heartbeat) => {
                 self.count(Counter::LateHeartbeat);
             }
-            Some(known) if known.is_same(&heartbeat) => {
-                known.heartbeat = heartbeat;
+            Some(server) if server.is_same_incarnation(&heartbeat) => {
+                server.heartbeat = heartbeat;
                 self.check_server(now);
                 self.on_server_changed(now, false);
             }
-            known => {
-                let check = match known {
-                    None => Check::Due,
-                    Some(_) => Check::Passed,
+            server => {
+                let health_check = match server {
+                    None => HealthCheck::Due,
+                    Some(_) => HealthCheck::Passed,
                 };
-                let known = self.own_server.insert(OwnServer {
+                let server = self.own_server.insert(OwnServer {
                     heartbeat,
-                    left: false,
-                    check,
+                    is_leaving: false,
+                    health_check,
                 });
-                let slots = known.heartbeat.slots;
+                let slots = server.heartbeat.slots;
                 self.server.restarted(now, slots);
                 self.count(Counter::ServerStarted);
                 self.check_server(now);
@@ -93,76 +96,81 @@
         }
     }
 
-    /// Asks the server whether it stays, if that is still open. Without rules it is not known where,
-    /// and without a place to ask there is nothing to go by but its heartbeat.
+    /// Sends the health check if it is still due. Without rules the path of the check is unknown;
+    /// if the rules define none, the heartbeat alone decides.
     pub(crate) fn check_server(&mut self, now: Time) {
         if !self.has_rules() {
             return;
         }
         let path = self.journal.rules.health_paths.get(&self.me.service);
-        let Some(known) = self.own_server.as_mut() else {
+        let Some(server) = self.own_server.as_mut() else {
             return;
         };
-        if known.check != Check::Due {
+        if server.health_check != HealthCheck::Due {
             return;
         }
         match path {
             Some(path) => {
-                known.check = Check::Asked;
-                let (id, path) = (known.heartbeat.id.clone(), path.clone());
+                server.health_check = HealthCheck::Pending;
+                let (id, path) = (server.heartbeat.id.clone(), path.clone());
                 self.out.push(Output::CheckServer { id, path });
             }
             None => {
-                known.check = Check::Passed;
+                server.health_check = HealthCheck::Passed;
                 self.on_server_changed(now, false);
             }
         }
     }
 
-    /// A server that does not stay, or does not answer, is asked again after its next heartbeat.
+    /// Handles the result of a health check. A server that is unhealthy, about to stop or silent is
+    /// asked again after its next heartbeat.
     pub(crate) fn on_server_checked(&mut self, now: Time, id: &str, healthy: bool) {
-        let known = self.own_server.as_mut();
-        let Some(known) = known.filter(|known| *known.heartbeat.id == *id) else {
+        let server = self.own_server.as_mut();
+        let Some(server) = server.filter(|server| *server.heartbeat.id == *id) else {
             return;
         };
-        if known.check != Check::Asked {
+        if server.health_check != HealthCheck::Pending {
             return;
         }
-        known.check = if healthy { Check::Passed } else { Check::Due };
+        server.health_check = if healthy {
+            HealthCheck::Passed
+        } else {
+            HealthCheck::Due
+        };
         self.on_server_changed(now, !healthy);
     }
 
-    fn on_leaves(&mut self, now: Time, id: &str) {
-        let known = self.own_server.as_mut();
-        if let Some(known) = known.filter(|known| *known.heartbeat.id == *id) {
-            known.left = true;
+    fn on_server_leaving(&mut self, now: Time, id: &str) {
+        let server = self.own_server.as_mut();
+        if let Some(server) = server.filter(|server| *server.heartbeat.id == *id) {
+            server.is_leaving = true;
             self.on_server_changed(now, false);
         }
     }
 
-    fn on_server_changed(&mut self, now: Time, another: bool) {
+    fn on_server_changed(&mut self, now: Time, is_new_incarnation: bool) {
         self.update_concurrency_bounds();
         let accepts_work = self.server_accepts_work();
-        if self.members.set_open(accepts_work) || another {
-            self.note_own_server(accepts_work);
+        if self.members.set_open(accepts_work) || is_new_incarnation {
+            self.report_own_server(accepts_work);
         }
         if !accepts_work {
             self.refuse_queued_jobs(now);
         }
     }
 
-    fn note_own_server(&mut self, accepts_work: bool) {
-        if let Some(known) = &self.own_server {
+    fn report_own_server(&mut self, accepts_work: bool) {
+        if let Some(server) = &self.own_server {
             self.out.push(Output::Diagnostic(Diagnostic::OwnServer {
-                id: known.heartbeat.id.clone(),
+                id: server.heartbeat.id.clone(),
                 accepts_work,
-                sequence: known.heartbeat.sequence,
+                sequence: server.heartbeat.sequence,
             }));
         }
     }
 
-    /// Work that waits for a server that leaves would reach it when it has stopped listening. Its
-    /// entry gives it to another node at once.
+    /// Refuses jobs that have not started. By their turn the stopping server would no longer be
+    /// listening, whereas their ingress nodes can send them to other nodes at once.
     fn refuse_queued_jobs(&mut self, now: Time) {
         let waiting = self.jobs.iter().filter(|(_, job)| job.started.is_none());
         let waiting: Vec<RunId> = waiting.map(|(run, _)| *run).collect();
@@ -173,40 +181,50 @@
         }
     }
 
-    /// Whether the own backend server may be given new work.
+    /// Whether the own backend server accepts new work.
     pub(crate) fn server_accepts_work(&self) -> bool {
-        !self.cfg.announced || self.own_server.as_ref().is_some_and(OwnServer::is_open)
+        !self.cfg.announced
+            || self
+                .own_server
+                .as_ref()
+                .is_some_and(OwnServer::accepts_work)
     }
 
-    /// The incarnation that work is meant for. The address may belong to another server by now,
-    /// which refuses what is not meant for it.
+    /// The server incarnation that work is sent to. Its address may belong to another server by
+    /// now, which refuses requests for this one.
     pub(crate) fn expected_server(&self) -> Option<Arc<str>> {
-        let known = self.own_server.as_ref();
-        known.map(|known| known.heartbeat.id.clone())
+        let server = self.own_server.as_ref();
+        server.map(|server| server.heartbeat.id.clone())
     }
 
-    /// Another server answered at the address in place of the expected one, which is gone. The other
-    /// one may have announced itself meanwhile, and is not meant.
+    /// Handles a response from another server at the address of the expected one, which is
+    /// therefore gone. The other server may have announced itself already and must not be marked as
+    /// stopping.
     pub(crate) fn on_misdirected(&mut self, now: Time, expected: Option<Arc<str>>) {
         if let Some(id) = expected {
-            self.on_leaves(now, &id);
+            self.on_server_leaving(now, &id);
         }
     }
 
-    /// The bounds of the rules; a server that tells its slots is never given more than those,
-    /// because what it has to queue, or can't, it may never answer.
+    /// Applies the concurrency bounds of the rules. A server that announces its number of slots
+    /// never gets more requests than that, because it might never answer those that it queues or
+    /// drops.
     pub(crate) fn update_concurrency_bounds(&mut self) {
         let limit = self.journal.rules.limit(&self.me.service);
-        let slots = self.own_server.as_ref().map(|known| known.heartbeat.slots);
-        let most = slots.map_or(limit.max_concurrency, |slots| {
-            below_knee(slots).min(limit.max_concurrency)
+        let slots = self
+            .own_server
+            .as_ref()
+            .map(|server| server.heartbeat.slots);
+        let max = slots.map_or(limit.max_concurrency, |slots| {
+            usable_slots(slots).min(limit.max_concurrency)
         });
-        let least = limit.min_concurrency.min(most);
-        self.server.set_bounds(least, most, limit.queue);
+        let min = limit.min_concurrency.min(max);
+        self.server.set_bounds(min, max, limit.queue);
     }
 }
 
-/// Some servers slow down when nearly all of their slots are taken; one in twenty is left free.
-fn below_knee(slots: u16) -> u16 {
+/// The concurrency at which a server keeps its speed. Some servers slow down when nearly all of
+/// their slots are in use, so one in twenty stays free.
+fn usable_slots(slots: u16) -> u16 {
     (slots - slots.div_ceil(20)).max(1)
 }
--- a/crates/engine/src/peer_diagnostics.rs
+++ b/crates/engine/src/peer_diagnostics.rs
@@ -1,9 +1,9 @@
-//! What is written down of other nodes' states.
+//! Diagnostic events about the states of other nodes.
 //!
-//! When many change at once, at a start or when a failure domain is lost, a line for each would be the
-//! square of the fleet's size over all nodes, in the seconds in which the processor has other work. The
-//! first ones of a second are told one by one, which is enough for the story of a single failure; the
-//! rest are counted.
+//! When many nodes change at the same time, at a start or when a failure domain is lost, an event
+//! for each would add up to the square of the fleet's size over all nodes, in the seconds in which
+//! the processors have other work. The first events of each second are written one by one, which is
+//! enough to follow a single failure; the rest are only counted.
 
 use crate::diagnostic::PeerCounts;
 use crate::Diagnostic;
@@ -14,42 +14,47 @@
 use std::time::Duration;
 use stdx::Time;
 
-/// Lines about single nodes in a second.
-const ONE_BY_ONE: u32 = 4;
+/// Events about single nodes per interval.
+const MAX_EVENTS_PER_INTERVAL: u32 = 4;
 
-/// The span for which the others are counted.
-const SPAN: Duration = Duration::from_secs(1);
+/// The interval for which further changes are counted.
+const INTERVAL: Duration = Duration::from_secs(1);
 
-/// Changes since the last line that counts them.
+/// Limits the rate of events about single nodes and counts the changes beyond it.
 #[derive(Debug, Default)]
 pub(crate) struct PeerDiagnostics {
-    /// When the present span ends.
-    until: Time,
-    told: u32,
-    counted: PeerCounts,
+    /// The end of the current interval.
+    interval_end: Time,
+    reported: u32,
+    suppressed: PeerCounts,
 }
 
 impl PeerDiagnostics {
-    /// When [`Engine::count_peers`] has something to say.
+    /// When [`Engine::flush_peer_counts`] next has something to report.
     pub(crate) fn next_timer(&self) -> Option<Time> {
-        (!self.counted.is_empty()).then_some(self.until)
+        (!self.suppressed.is_empty()).then_some(self.interval_end)
     }
 }
 
 impl Engine {
-    pub(crate) fn note_peer(&mut self, now: Time, incarnation: Incarnation, state: PeerState) {
-        self.count_peers(now);
-        if now >= self.peer_notes.until {
-            self.peer_notes.until = now + SPAN;
-            self.peer_notes.told = 0;
+    pub(crate) fn report_peer_change(
+        &mut self,
+        now: Time,
+        incarnation: Incarnation,
+        state: PeerState,
+    ) {
+        self.flush_peer_counts(now);
+        if now >= self.peer_notes.interval_end {
+            self.peer_notes.interval_end = now + INTERVAL;
+            self.peer_notes.reported = 0;
         }
         let Some(peer) = self.members.get(incarnation) else {
             return;
         };
-        if self.peer_notes.told >= ONE_BY_ONE {
-            return self.peer_notes.counted.add(state);
+        if self.peer_notes.reported >= MAX_EVENTS_PER_INTERVAL {
+            return self.peer_notes.suppressed.add(state);
         }
-        self.peer_notes.told += 1;
+        self.peer_notes.reported += 1;
         self.out.push(Output::Diagnostic(Diagnostic::Peer {
             incarnation,
             addr: peer.instance.addr,
@@ -58,12 +63,12 @@
         }));
     }
 
-    /// Tells how many were not told one by one, once their span is over.
-    pub(crate) fn count_peers(&mut self, now: Time) {
-        if now < self.peer_notes.until || self.peer_notes.counted.is_empty() {
+    /// Reports the number of changes that were not written one by one, once their interval is over.
+    pub(crate) fn flush_peer_counts(&mut self, now: Time) {
+        if now < self.peer_notes.interval_end || self.peer_notes.suppressed.is_empty() {
             return;
         }
-        let changed = std::mem::take(&mut self.peer_notes.counted);
+        let changed = std::mem::take(&mut self.peer_notes.suppressed);
         let mut known = PeerCounts::default();
         for peer in self.members.peers() {
             known.add(peer.state);
--- a/crates/engine/src/quarantine.rs
+++ b/crates/engine/src/quarantine.rs
@@ -1,4 +1,5 @@
-//! Requests that crash the backend server: who is suspected, and that the service's nodes hear of it.
+//! Quarantine of requests that are suspected of crashing backend servers. Suspects are reported to
+//! the other nodes of the service.
 
 use crate::timers::Timer;
 use crate::Counter;
@@ -20,62 +21,62 @@
 use std::time::Duration;
 use stdx::Time;
 
-/// Suspects that may wait for their turn.
-const MAX_WAITING: usize = 64;
+/// The most suspect jobs that may wait to be run.
+const MAX_WAITING_JOBS: usize = 64;
 
-/// Reports that this node sends in a second. A server that breaks off every connection must not
-/// make a flood of them.
-const MAX_REPORTS: u32 = 200;
+/// The most crashes that this node reports per second. A server that breaks every connection must
+/// not flood the other nodes with reports.
+const MAX_REPORTS_PER_SECOND: u32 = 200;
 
-/// When reports are sent again. A frame is lost with its connection, and a node that lacks the word
-/// would let its own server crash.
-const REPEATS: [Duration; 2] = [Duration::from_millis(500), Duration::from_secs(3)];
+/// When a report is sent again. A frame is lost together with its connection, and a node without
+/// the report would let its own server crash.
+const RESEND_DELAYS: [Duration; 2] = [Duration::from_millis(500), Duration::from_secs(3)];
 
-/// A report that is sent again.
+/// A crash report to be sent again.
 #[derive(Debug)]
-struct Report {
+struct CrashReport {
     at: Time,
     request: Fingerprint,
     crashes: u32,
 }
 
-/// Suspects of this node's service.
+/// Requests that are suspected of crashing servers.
 #[derive(Debug)]
 pub(crate) struct CrashSuspects {
-    known: Quarantine<Fingerprint>,
-    /// The same of calls that this node made, of all services, by a hash.
-    called: Quarantine<u64>,
-    /// The suspect that runs or is in the server's queue; only one at a time is.
-    running: Option<RunId>,
+    requests: Quarantine<Fingerprint>,
+    /// Suspects among the calls that this node made, to any service, by a hash of the call.
+    outgoing_calls: Quarantine<u64>,
+    /// The suspect job that is running or in the server's queue. Only one is admitted at a time.
+    admitted: Option<RunId>,
     waiting: VecDeque<RunId>,
-    repeats: Vec<Report>,
-    reports: u32,
-    reports_since: Time,
+    pending_resends: Vec<CrashReport>,
+    reports_in_window: u32,
+    reports_window_start: Time,
 }
 
 impl CrashSuspects {
     pub(crate) fn new() -> Self {
         Self {
-            known: Quarantine::new(),
-            called: Quarantine::new(),
-            running: None,
+            requests: Quarantine::new(),
+            outgoing_calls: Quarantine::new(),
+            admitted: None,
             waiting: VecDeque::new(),
-            repeats: Vec::new(),
-            reports: 0,
-            reports_since: Time::ZERO,
+            pending_resends: Vec::new(),
+            reports_in_window: 0,
+            reports_window_start: Time::ZERO,
         }
     }
 
-    fn may_report(&mut self, now: Time) -> bool {
-        if now.since(self.reports_since) >= Duration::from_secs(1) {
-            self.reports_since = now;
-            self.reports = 0;
+    fn take_report_permit(&mut self, now: Time) -> bool {
+        if now.since(self.reports_window_start) >= Duration::from_secs(1) {
+            self.reports_window_start = now;
+            self.reports_in_window = 0;
         }
-        self.reports += 1;
-        self.reports <= MAX_REPORTS
+        self.reports_in_window += 1;
+        self.reports_in_window <= MAX_REPORTS_PER_SECOND
     }
 
-    /// Takes work out that waits for its turn.
+    /// Removes a waiting job. Returns whether it was there.
     pub(crate) fn withdraw(&mut self, run: RunId) -> bool {
         let before = self.waiting.len();
         self.waiting.retain(|waiting| *waiting != run);
@@ -84,23 +85,23 @@
 }
 
 impl Engine {
-    /// Whether a job may be offered to the server now. If not, it was refused or waits.
-    pub(crate) fn pass_quarantine(&mut self, now: Time, run: RunId, request: Fingerprint) -> bool {
+    /// Whether a job may be offered to the server now. Otherwise it has been refused, or waits.
+    pub(crate) fn check_quarantine(&mut self, now: Time, run: RunId, request: Fingerprint) -> bool {
         if !self.cfg.policy.quarantine {
             return true;
         }
-        match self.suspects.known.verdict(now, &request) {
+        match self.suspects.requests.verdict(now, &request) {
             Verdict::Clear => true,
             Verdict::Refused(left) => {
                 let refusal = Refusal::new(Reason::Quarantined, left);
                 self.end_job(now, run, Outcome::NotRun(refusal));
                 false
             }
-            Verdict::Suspect if self.suspects.running.is_none() => {
-                self.suspects.running = Some(run);
+            Verdict::Suspect if self.suspects.admitted.is_none() => {
+                self.suspects.admitted = Some(run);
                 true
             }
-            Verdict::Suspect if self.suspects.waiting.len() < MAX_WAITING => {
+            Verdict::Suspect if self.suspects.waiting.len() < MAX_WAITING_JOBS => {
                 self.suspects.waiting.push_back(run);
                 false
             }
@@ -111,25 +112,26 @@
         }
     }
 
-    /// A run of the request was answered whole.
+    /// Clears a request after a run of it got a complete response.
     pub(crate) fn clear_suspect(&mut self, now: Time, request: Fingerprint) {
-        self.suspects.known.answered(now, request);
+        self.suspects.requests.answered(now, request);
     }
 
-    /// The connection broke while the request ran. The nodes of the service hear of it before the
-    /// entry does, so that they know when its retry comes.
-    pub(crate) fn suspect(&mut self, now: Time, request: Fingerprint) {
+    /// Records that the connection broke while the request ran. The nodes of the service are told
+    /// before the ingress node gets its answer, so that they know of the crash when the retry
+    /// arrives.
+    pub(crate) fn report_crash(&mut self, now: Time, request: Fingerprint) {
         let me = self.me.incarnation;
-        let crashes = self.suspects.known.crashed(now, request, me);
-        let Some(crashes) = crashes.filter(|_| self.suspects.may_report(now)) else {
+        let crashes = self.suspects.requests.crashed(now, request, me);
+        let Some(crashes) = crashes.filter(|_| self.suspects.take_report_permit(now)) else {
             return;
         };
         self.count(Counter::Suspected);
-        self.report_suspect(request, crashes);
-        for wait in REPEATS {
-            let at = now + wait;
+        self.broadcast_crash_report(request, crashes);
+        for delay in RESEND_DELAYS {
+            let at = now + delay;
             self.timers.set(at, Timer::CrashReports);
-            self.suspects.repeats.push(Report {
+            self.suspects.pending_resends.push(CrashReport {
                 at,
                 request,
                 crashes,
@@ -138,16 +140,18 @@
     }
 
     pub(crate) fn resend_crash_reports(&mut self, now: Time) {
-        let repeats = std::mem::take(&mut self.suspects.repeats);
-        let (due, later) = repeats.into_iter().partition(|report| report.at <= now);
-        self.suspects.repeats = later;
-        let due: Vec<Report> = due;
+        let pending_resends = std::mem::take(&mut self.suspects.pending_resends);
+        let (due, later) = pending_resends
+            .into_iter()
+            .partition(|report| report.at <= now);
+        self.suspects.pending_resends = later;
+        let due: Vec<CrashReport> = due;
         for report in due {
-            self.report_suspect(report.request, report.crashes);
+            self.broadcast_crash_report(report.request, report.crashes);
         }
     }
 
-    fn report_suspect(&mut self, request: Fingerprint, crashes: u32) {
+    fn broadcast_crash_report(&mut self, request: Fingerprint, crashes: u32) {
         let service = self.me.service.clone();
         let peers = self.members.usable(&service);
         let peers: Vec<Instance> = peers.map(|peer| peer.instance.clone()).collect();
@@ -170,45 +174,51 @@
         crashes: u32,
     ) {
         if *service == self.me.service && from != self.me.incarnation {
-            self.suspects.known.heard(now, request, from, crashes);
+            self.suspects.requests.heard(now, request, from, crashes);
         }
     }
 
-    /// A call of this node ended with its server breaking off at `target`. The word of that server's
-    /// node may reach the next one later than the retry does.
+    /// Records that a call of this node ended with the crash of a server at `target`. The report
+    /// from that server's node may reach the next node later than the retry does.
     pub(crate) fn record_call_crash(&mut self, now: Time, request: &Request, target: Incarnation) {
         if self.cfg.policy.quarantine {
-            let called = &mut self.suspects.called;
-            called.crashed(now, called_hash(request), target);
+            let outgoing_calls = &mut self.suspects.outgoing_calls;
+            outgoing_calls.crashed(now, hash_of_call(request), target);
         }
     }
 
-    /// A call of this node was answered whole.
+    /// Records that a call of this node got a complete response.
     pub(crate) fn record_call_completed(&mut self, now: Time, request: &Request) {
-        if !self.suspects.called.is_empty() {
-            self.suspects.called.answered(now, called_hash(request));
+        if !self.suspects.outgoing_calls.is_empty() {
+            self.suspects
+                .outgoing_calls
+                .answered(now, hash_of_call(request));
         }
     }
 
-    /// Refuses a call that broke off two servers.
+    /// The refusal of a call that has already crashed two servers.
     pub(crate) fn quarantine_refusal(&self, now: Time, request: &Request) -> Option<Refusal> {
-        if self.suspects.called.is_empty() {
+        if self.suspects.outgoing_calls.is_empty() {
             return None;
         }
-        match self.suspects.called.verdict(now, &called_hash(request)) {
+        match self
+            .suspects
+            .outgoing_calls
+            .verdict(now, &hash_of_call(request))
+        {
             Verdict::Refused(left) => Some(Refusal::new(Reason::Quarantined, left)),
             Verdict::Clear | Verdict::Suspect => None,
         }
     }
 
-    /// A job has ended; if it was the suspect, the next one has its turn.
-    pub(crate) fn next_suspect(&mut self, now: Time, ended: RunId) {
+    /// Handles the end of a job. If it was the running suspect, the next one is offered.
+    pub(crate) fn on_suspect_ended(&mut self, now: Time, ended: RunId) {
         self.suspects.withdraw(ended);
-        if self.suspects.running != Some(ended) {
+        if self.suspects.admitted != Some(ended) {
             return;
         }
-        self.suspects.running = None;
-        while self.suspects.running.is_none() {
+        self.suspects.admitted = None;
+        while self.suspects.admitted.is_none() {
             let Some(run) = self.suspects.waiting.pop_front() else {
                 return;
             };
@@ -217,6 +227,6 @@
     }
 }
 
-fn called_hash(request: &Request) -> u64 {
+fn hash_of_call(request: &Request) -> u64 {
     hash64(&(&request.service, Fingerprint::of(request)))
 }
--- a/crates/engine/src/quota.rs
+++ b/crates/engine/src/quota.rs
@@ -1,4 +1,4 @@
-//! The controller of quotas: who lends, and requests that wait for a token.
+//! The quota controller: elects the nodes that lend tokens, and holds requests that wait for one.
 
 use crate::request::Arrival;
 use crate::request::RefusedRequest;
@@ -29,31 +29,31 @@
 use std::time::Duration;
 use stdx::Time;
 
-/// How long a request waits for a token. A short excess over the rate passes in that time, and a caller that
-/// is refused and comes back is one more request.
+/// How long a request waits for a token. A short burst above the rate passes within this time, and
+/// a refused caller that returns costs another request.
 const MAX_WAIT: Duration = Duration::from_millis(300);
 
 /// The most requests that wait for tokens.
-const MAX_WAITING: usize = 1024;
+const MAX_WAITING_REQUESTS: usize = 1024;
 
-/// When a caller may come back to whom no lender could be asked.
-const RETRY_UNKNOWN: Duration = Duration::from_millis(500);
+/// The retry delay for a caller when no lender could be asked.
+const UNKNOWN_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// The shortest time after which a caller is told to come back whose organisation has used up its quota;
-/// up to twice as long, so that such callers do not come back together.
-const RETRY_EXCEEDED: Duration = Duration::from_millis(500);
+/// The shortest retry delay for a caller whose organisation has used up its quota. The actual delay
+/// is up to twice as long, so that such callers do not return at the same time.
+const EXCEEDED_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// How long an election holds while no peer changes.
-const ELECTION_TIME: Duration = Duration::from_millis(500);
+/// How long the result of an election is used while no peer changes.
+const ELECTION_TTL: Duration = Duration::from_millis(500);
 
-/// What is lent and borrowed here.
+/// The tokens that this node borrows and lends, and the requests that wait for them.
 #[derive(Debug)]
 pub(crate) struct QuotaController {
     pub(crate) borrower: Borrower,
     lender: Lender,
     /// Requests that wait for a token, the oldest first.
     waiting: IndexMap<RequestToken, (OrganisationId, Arrival)>,
-    /// Organisations that were given tokens back, which may admit requests that wait.
+    /// Organisations whose tokens were returned, so that waiting requests may be admitted.
     returned: Vec<OrganisationId>,
     /// The lender of each group, and the number of nodes that vote.
     elected: [Option<Incarnation>; GROUPS as usize],
@@ -79,19 +79,20 @@
         !self.waiting.is_empty()
     }
 
-    /// The peers have changed.
+    /// Discards the last election because the peers have changed.
     pub(crate) fn invalidate_election(&mut self) {
         self.elected_at = None;
     }
 }
 
 impl Engine {
-    /// Requests may still wait for a token when new rules name no organisation any more.
+    /// Whether there are quotas to enforce, or requests that still wait for a token after the last
+    /// organisation was removed from the rules.
     fn has_quotas(&self) -> bool {
         self.journal.rules.organisations.is_some() || self.quota.has_waiting()
     }
 
-    /// New rules are in force.
+    /// Applies the quotas of new rules.
     pub(crate) fn update_quotas(&mut self) {
         let organisations = self.journal.rules.organisations.as_ref();
         let quota_of = |id| organisations.and_then(|all| all.get(id)?.quota);
@@ -109,8 +110,8 @@
             return Some(Time::ZERO);
         }
         let oldest = self.quota.waiting.first();
-        let give_up = oldest.map(|(_, (_, arrival))| arrival.at + MAX_WAIT);
-        let timers = [self.quota.borrower.next_timer(), give_up];
+        let expiry = oldest.map(|(_, (_, arrival))| arrival.at + MAX_WAIT);
+        let timers = [self.quota.borrower.next_timer(), expiry];
         timers.into_iter().flatten().min()
     }
 
@@ -119,41 +120,41 @@
             return;
         }
         for organisation in std::mem::take(&mut self.quota.returned) {
-            self.serve_waiting(now, organisation);
+            self.admit_waiting(now, organisation);
         }
-        self.give_up_waiting(now);
+        self.refuse_expired_requests(now);
         if !self.quota.borrower.is_due(now) {
             return;
         }
-        self.elect(now);
+        self.refresh_election(now);
         for group in 0..GROUPS {
             let mut lender = self.quota.elected[usize::from(group)];
             if lender.is_some_and(|lender| self.quota.borrower.avoids(now, group, lender)) {
-                lender = self.elected(now, group);
+                lender = self.elect_lender(now, group);
             }
             if let Some(loans) = self.quota.borrower.poll(now, group, lender) {
-                self.ask_lender(now, group, loans);
+                self.request_loans(now, group, loans);
             }
         }
     }
 
-    fn elect(&mut self, now: Time) {
-        let held = self.quota.elected_at;
-        if held.is_some_and(|at| now.since(at) < ELECTION_TIME) {
+    fn refresh_election(&mut self, now: Time) {
+        let elected_at = self.quota.elected_at;
+        if elected_at.is_some_and(|at| now.since(at) < ELECTION_TTL) {
             return;
         }
         self.quota.elected_at = Some(now);
         self.quota.voters = self.members.voters(now);
         for group in 0..GROUPS {
-            self.quota.elected[usize::from(group)] = self.elected(now, group);
+            self.quota.elected[usize::from(group)] = self.elect_lender(now, group);
         }
     }
 
-    /// The node that lends in a group: the first by rendezvous hash.
-    fn elected(&self, now: Time, group: u8) -> Option<Incarnation> {
-        let live = self.members.peers();
-        let live = live.filter(|peer| peer.state == PeerState::Alive);
-        let peers = live.map(|peer| peer.instance.incarnation);
+    /// The node that lends in a group: the first one by rendezvous hashing.
+    fn elect_lender(&self, now: Time, group: u8) -> Option<Incarnation> {
+        let peers = self.members.peers();
+        let alive = peers.filter(|peer| peer.state == PeerState::Alive);
+        let peers = alive.map(|peer| peer.instance.incarnation);
         let me = (!self.stopping).then_some(self.me.incarnation);
         let borrower = &self.quota.borrower;
         let nodes = peers
@@ -162,7 +163,7 @@
         nodes.max_by_key(|node| (hash64(&(group, node)), *node))
     }
 
-    fn ask_lender(&mut self, now: Time, group: u8, loans: LoanRequest) {
+    fn request_loans(&mut self, now: Time, group: u8, loans: LoanRequest) {
         let LoanRequest {
             lender,
             number,
@@ -172,7 +173,7 @@
         let me = self.me.incarnation;
         if lender == me {
             let (stamp, lent) = self.lend(now, group, me, vote, &wanted);
-            return self.on_lent(now, me, group, number, stamp, &lent);
+            return self.on_loans_granted(now, me, group, number, stamp, &lent);
         }
         let Some(peer) = self.members.get(lender) else {
             return;
@@ -200,7 +201,7 @@
                 vote,
                 wanted,
             } if to == me && group < GROUPS => {
-                self.elect(now);
+                self.refresh_election(now);
                 let (stamp, lent) = self.lend(now, group, from, vote, &wanted);
                 let message = QuotaMessage::Lend {
                     from: me,
@@ -220,9 +221,10 @@
                 stamp,
                 lent,
             } if to == me && group < GROUPS => {
-                self.on_lent(now, from, group, number, stamp, &lent);
+                self.on_loans_granted(now, from, group, number, stamp, &lent);
             }
-            // For an earlier incarnation at this address, which lends nothing any more and holds no vote.
+            // Meant for an earlier incarnation at this address, which no longer lends and holds no
+            // votes.
             QuotaMessage::Borrow {
                 from,
                 to,
@@ -271,7 +273,7 @@
         (Lender::stamp(now), lent)
     }
 
-    fn on_lent(
+    fn on_loans_granted(
         &mut self,
         now: Time,
         from: Incarnation,
@@ -283,20 +285,20 @@
         let borrower = &mut self.quota.borrower;
         let loans = borrower.on_lend(now, from, group, number, stamp, lent);
         for loan in loans {
-            self.serve_waiting(now, loan.organisation);
+            self.admit_waiting(now, loan.organisation);
         }
     }
 
-    /// Admits requests that wait, as far as there are tokens.
-    fn serve_waiting(&mut self, now: Time, id: OrganisationId) {
+    /// Admits waiting requests as long as there are tokens.
+    fn admit_waiting(&mut self, now: Time, id: OrganisationId) {
         let waiting = self.quota.waiting.iter();
         let waiting = waiting.filter(|(_, (organisation, _))| *organisation == id);
         let tokens: Vec<RequestToken> = waiting.map(|(token, _)| *token).collect();
         for token in tokens {
             match self.quota.borrower.take_waiting(now, id) {
-                Some(credit) => {
+                Some(quota_token) => {
                     if let Some((_, arrival)) = self.quota.waiting.shift_remove(&token) {
-                        self.on_credit(now, arrival, credit);
+                        self.on_credit(now, arrival, quota_token);
                     }
                 }
                 None => return,
@@ -304,33 +306,33 @@
         }
     }
 
-    /// A request did not run, so its token may admit another one.
-    pub(crate) fn return_quota_token(&mut self, now: Time, credit: Option<Credit>) {
-        let Some(credit) = credit else {
+    /// Returns the token of a request that did not run, so that it may admit another one.
+    pub(crate) fn return_quota_token(&mut self, now: Time, quota_token: Option<Credit>) {
+        let Some(quota_token) = quota_token else {
             return;
         };
-        self.quota.borrower.put_back(now, credit);
+        self.quota.borrower.put_back(now, quota_token);
         if self.quota.has_waiting() {
-            self.quota.returned.push(credit.organisation);
+            self.quota.returned.push(quota_token.organisation);
         }
     }
 
-    /// A request finds no token here.
+    /// Holds a request for which this node has no token.
     pub(crate) fn wait_for_quota(
         &mut self,
         now: Time,
         arrival: Arrival,
         organisation: OrganisationId,
     ) {
-        if self.quota.waiting.len() >= MAX_WAITING {
-            return self.refuse_for_quota(arrival, Reason::QuotaUnknown);
+        if self.quota.waiting.len() >= MAX_WAITING_REQUESTS {
+            return self.refuse_without_quota_token(arrival, Reason::QuotaUnknown);
         }
         self.quota.borrower.wait(now, organisation);
         let token = arrival.token;
         self.quota.waiting.insert(token, (organisation, arrival));
     }
 
-    /// Whether a request waited whose caller has gone.
+    /// Removes the waiting request of a caller that has gone. Returns whether there was one.
     pub(crate) fn cancel_quota_wait(&mut self, token: RequestToken) -> bool {
         let Some((organisation, _)) = self.quota.waiting.shift_remove(&token) else {
             return false;
@@ -339,31 +341,31 @@
         true
     }
 
-    fn give_up_waiting(&mut self, now: Time) {
+    fn refuse_expired_requests(&mut self, now: Time) {
         while let Some((token, (_, arrival))) = self.quota.waiting.first() {
             if now < arrival.at + MAX_WAIT {
                 return;
             }
             let token = *token;
-            self.refuse_waiting(token);
+            self.refuse_waiting_request(token);
         }
     }
 
-    fn refuse_waiting(&mut self, token: RequestToken) {
+    fn refuse_waiting_request(&mut self, token: RequestToken) {
         if let Some((organisation, arrival)) = self.quota.waiting.shift_remove(&token) {
             let reason = match self.quota.borrower.was_short(organisation) {
                 true => Reason::QuotaExceeded,
                 false => Reason::QuotaUnknown,
             };
             self.quota.borrower.stop_waiting(organisation);
-            self.refuse_for_quota(arrival, reason);
+            self.refuse_without_quota_token(arrival, reason);
         }
     }
 
-    fn refuse_for_quota(&mut self, arrival: Arrival, reason: Reason) {
+    fn refuse_without_quota_token(&mut self, arrival: Arrival, reason: Reason) {
         let retry_after = match reason {
-            Reason::QuotaExceeded => RETRY_EXCEEDED.mul_f64(self.rng.random_range(1.0..2.0)),
-            _ => RETRY_UNKNOWN,
+            Reason::QuotaExceeded => EXCEEDED_RETRY_AFTER.mul_f64(self.rng.random_range(1.0..2.0)),
+            _ => UNKNOWN_RETRY_AFTER,
         };
         self.refuse_unopened(
             RefusedRequest::from(&arrival),
@@ -371,7 +373,7 @@
         );
     }
 
-    /// A node that stops lends no more, and says so to whoever asks.
+    /// Stops lending because this node is stopping. Nodes that ask later are told so.
     pub(crate) fn resign_lender(&mut self, now: Time) {
         let voters = self.quota.voters;
         self.quota.lender.resign(now, voters);
--- a/crates/engine/src/reattach.rs
+++ b/crates/engine/src/reattach.rs
@@ -1,4 +1,4 @@
-//! Calls whose connection is lost.
+//! Calls whose connection was lost.
 
 use crate::outgoing::OutgoingCall;
 use crate::timers::Timer;
@@ -15,14 +15,13 @@
 /// How often a call is sent again under the same id over a new connection.
 const MAX_REATTACHES: u8 = 5;
 
-/// How long to wait before a call is sent again that a new connection did not take either; doubles
-/// each time.
-const REATTACH_WAIT: Duration = Duration::from_millis(200);
+/// The delay before a call is sent again if the new connection failed too. Doubles each time.
+const REATTACH_DELAY: Duration = Duration::from_millis(200);
 
 impl Engine {
-    /// The connection is gone: calls go out again under the same id, which makes the other end
-    /// attach them to what it already has. Without this an answer that was on its way when the
-    /// connection went silent would be lost, though the work was done.
+    /// Sends the calls of a lost connection again under the same ids, so that the peer attaches
+    /// them to the work that it already has. Otherwise an answer that was in transit when the
+    /// connection was lost would be lost as well, although the work was done.
     pub(crate) fn on_peer_lost(&mut self, now: Time, peer: Incarnation) {
         for id in self.calls_to(peer) {
             let Some(mut call) = self.calls.swap_remove(&id) else {
@@ -41,7 +40,8 @@
         }
     }
 
-    /// Frames could not be sent. A call's first sending certainly did not run.
+    /// Handles frames that could not be sent. A call that was never sent before has certainly not
+    /// run.
     pub(crate) fn on_peer_unreachable(&mut self, now: Time, peer: Incarnation, unsent: Vec<Frame>) {
         self.selector.on_failed(now, peer, &mut self.rng);
         for frame in unsent {
@@ -52,7 +52,7 @@
                 continue;
             };
             if call.reattaches > 0 {
-                self.reattach_later(now, frame.id, call);
+                self.schedule_reattach(now, frame.id, call);
             } else {
                 call.retry_allowance
                     .give_back(call.delegated_retries, call.delegated_retries);
@@ -62,10 +62,10 @@
         }
     }
 
-    /// A call that may have been sent before could not be sent again. Whether it ran is known only
-    /// over there, so it is tried until the other end is known to be gone; what may just as well
-    /// run elsewhere does not wait for that.
-    fn reattach_later(&mut self, now: Time, id: CallId, mut call: OutgoingCall) {
+    /// Retries a call that may have been sent before and could not be sent again. Only the target
+    /// knows whether it ran, so the call is retried there until the target is known to be dead. A
+    /// call that may as well run elsewhere does not wait for that.
+    fn schedule_reattach(&mut self, now: Time, id: CallId, mut call: OutgoingCall) {
         let target = call.target.incarnation;
         let gone = self
             .members
@@ -75,10 +75,10 @@
         if gone || elsewhere || call.reattaches >= MAX_REATTACHES {
             return self.after_lost(now, call, Reason::PeerLost);
         }
-        let wait = REATTACH_WAIT * (1 << call.reattaches);
+        let delay = REATTACH_DELAY * (1 << call.reattaches);
         call.reattaches += 1;
         self.timers.set(call.deadline, Timer::CallDeadline(id));
-        self.timers.set(now + wait, Timer::Reattach(id));
+        self.timers.set(now + delay, Timer::Reattach(id));
         self.selector.on_sent(target);
         self.calls.insert(id, call);
     }
--- a/crates/engine/src/refusal.rs
+++ b/crates/engine/src/refusal.rs
@@ -1,4 +1,4 @@
-//! Refusals that this node gives by itself.
+//! Refusals by this node itself.
 
 use crate::Engine;
 use proto::Outcome;
@@ -6,13 +6,13 @@
 use proto::Refusal;
 use std::time::Duration;
 
-/// When a caller may come back after a refusal that says nothing more exact: long enough for another
-/// node to be heard of, and short against the deadlines of callers, which are seconds.
-pub(crate) const RETRY_AFTER: Duration = Duration::from_secs(1);
+/// The retry delay of a refusal without a more precise one. Long enough to learn of another node,
+/// and short compared with the deadlines of callers, which are several seconds.
+pub(crate) const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 impl Engine {
     pub(crate) fn refusal(&self, reason: Reason) -> Refusal {
-        Refusal::new(reason, RETRY_AFTER)
+        Refusal::new(reason, DEFAULT_RETRY_AFTER)
     }
 
     pub(crate) fn not_run(&self, reason: Reason) -> Outcome {
--- a/crates/engine/src/request.rs
+++ b/crates/engine/src/request.rs
@@ -1,4 +1,4 @@
-//! A request from a caller or from the own backend server, as its entry holds it.
+//! A request from a caller or from the own backend server, as its ingress node holds it.
 
 use crate::RequestToken;
 use organisation::Credit;
@@ -16,30 +16,30 @@
 use std::time::Duration;
 use stdx::Time;
 
-/// Stands for a caller and its request, whole.
+/// A hash of a caller and its complete request.
 pub(crate) type RequestHash = u64;
 
 /// A request in flight at this node.
 #[derive(Debug)]
 pub(crate) struct OpenRequest {
-    /// The present attempt.
+    /// The current attempt.
     pub(crate) call: CallId,
-    /// The run that asked, for a child call.
+    /// The run that made this child call.
     pub(crate) parent: Option<RunId>,
     /// The retries that the parent lent.
     pub(crate) delegated_retries: u16,
-    /// The key that this node made.
+    /// The idempotency key that this node generated.
     pub(crate) generated_key: Option<Arc<str>>,
     pub(crate) operation: Operation,
-    /// The token of its organisation's quota that it was admitted with.
+    /// The quota token with which the request was admitted.
     pub(crate) quota_token: Option<Credit>,
-    /// What was sent, for a request whose re-sends may wait for it.
+    /// Identifies the request if re-sends of it may wait for its answer.
     pub(crate) request_hash: Option<RequestHash>,
-    /// Requests that wait for this one's answer.
+    /// Requests that wait for the answer to this one.
     pub(crate) followers: Vec<RequestToken>,
 }
 
-/// A request as it came.
+/// A request as it arrived.
 #[derive(Debug)]
 pub(crate) struct Arrival {
     pub(crate) token: RequestToken,
@@ -52,13 +52,13 @@
     pub(crate) request: Request,
 }
 
-/// What is written down and answered of a request that is refused before it was opened.
+/// What is needed to answer and log a request that is refused before it is opened.
 #[derive(Debug)]
 pub(crate) struct RefusedRequest {
     pub(crate) token: RequestToken,
     pub(crate) request: Arc<str>,
     pub(crate) organisation: Arc<str>,
-    /// Its caller sent an idempotency key.
+    /// Whether the caller sent an idempotency key.
     pub(crate) keyed: bool,
 }
 
@@ -79,24 +79,25 @@
     }
 }
 
-/// What a request says of the run that it is part of.
+/// What a request says about the run that it is part of.
 #[derive(Debug, Clone)]
 pub(crate) struct ParentInfo {
     pub(crate) context: Option<Arc<str>>,
     pub(crate) parent: Option<Arc<str>>,
 }
 
-/// What the filters have found out about a request.
+/// A request on its way through the filter chain.
 pub(crate) struct RequestDraft {
     pub(crate) token: RequestToken,
     pub(crate) request: Request,
     pub(crate) operation: Operation,
     pub(crate) action_id: ActionId,
     pub(crate) admission_sample: u16,
-    /// What the whole action is for.
+    /// The class of the whole action.
     pub(crate) class: Class,
     pub(crate) priority: u8,
-    /// The admission level that the action passed at its first hop, as far as it got there.
+    /// The admission level that the action passed at its first hop, as far as it has been checked
+    /// there.
     pub(crate) passed_level: u16,
     pub(crate) depth: u8,
     pub(crate) deadline: Time,
@@ -104,10 +105,10 @@
     pub(crate) parent: Option<RunId>,
     pub(crate) delegated_retries: u16,
     pub(crate) key: Option<(KeyHash, Fingerprint)>,
-    /// No attempt with this key can have been made before.
+    /// Whether no attempt with this key can have been made before.
     pub(crate) first_attempt: bool,
     pub(crate) generated_key: Option<Arc<str>>,
-    /// Each attempt below counts as a retry.
+    /// Whether each attempt below counts as a retry.
     pub(crate) possible_repeat: bool,
     pub(crate) quota_token: Option<Credit>,
     pub(crate) request_hash: Option<RequestHash>,
--- a/crates/engine/src/resends.rs
+++ b/crates/engine/src/resends.rs
@@ -1,10 +1,12 @@
-//! Callers that send a request again: they wait for the work in flight, or draw on a ratio.
+//! Callers that send a request again: a re-send waits for the request in flight, or counts against
+//! a limit.
 //!
-//! A caller that got no answer yet, or a refusal, and sends again makes load out of slowness. Here
-//! a second request that is the same in every byte and comes from the same caller waits for the
-//! answer to the first. One that was refused, and comes back before it was told to, counts against
-//! a share of first sends that the rules set. A call with a key is never counted: only the key's
-//! home knows whether it ran, and the caller may be asking just that.
+//! Callers that send again when an answer is late, or after a refusal, turn slowness into load.
+//! Here a request from the same caller that is identical in every byte waits for the answer to the
+//! first one. A request that was refused and returns before its retry delay is over counts against
+//! a limit, which the rules set as a share of first requests. A call with an idempotency key is
+//! never counted: only the home of the key knows whether it ran, and that may be what the caller
+//! wants to find out.
 
 use crate::request::RequestDraft;
 use crate::request::RequestHash;
@@ -24,18 +26,18 @@
 use stdx::Bounded;
 use stdx::Time;
 
-/// Refused requests that are remembered.
-const REFUSALS_KEPT: usize = 8192;
+/// The most refused requests that are remembered.
+const MAX_REFUSALS: usize = 8192;
 
-/// The most requests that wait for one answer.
+/// The most requests that wait for the same answer.
 const MAX_FOLLOWERS: usize = 16;
 
-/// Requests in flight and refused, by what was sent.
+/// Requests in flight and refused requests, by their hash.
 #[derive(Debug)]
 pub(crate) struct Resends {
     in_flight: IndexMap<RequestHash, RequestToken>,
-    /// When a refused caller may come back.
-    refused: Bounded<RequestHash, Time>,
+    /// When a refused request may be sent again.
+    retry_times: Bounded<RequestHash, Time>,
     budgets: Budgets,
 }
 
@@ -43,7 +45,7 @@
     pub(crate) fn new() -> Self {
         Self {
             in_flight: IndexMap::new(),
-            refused: Bounded::new(REFUSALS_KEPT),
+            retry_times: Bounded::new(MAX_REFUSALS),
             budgets: Budgets::new(Bounds::default()),
         }
     }
@@ -52,24 +54,25 @@
         hash64(&(caller, request))
     }
 
-    /// Notes how a request ended.
+    /// Records how a request ended.
     pub(crate) fn record_end(&mut self, now: Time, request_hash: RequestHash, outcome: &Outcome) {
         self.in_flight.swap_remove(&request_hash);
         if let Outcome::NotRun(refusal) = outcome {
-            let wait = std::time::Duration::from_millis(u64::from(refusal.retry_after_ms));
-            self.refused.insert(request_hash, now + wait);
+            let delay = std::time::Duration::from_millis(u64::from(refusal.retry_after_ms));
+            self.retry_times.insert(request_hash, now + delay);
         }
     }
 
-    /// Takes one from the ratio if the request comes back too early, and tells when it may.
-    fn draw(
+    /// Counts a request that returns before its retry delay is over. If the limit is used up,
+    /// returns when the delay is over.
+    fn check_early_resend(
         &mut self,
         now: Time,
         request_hash: RequestHash,
         service: &Arc<str>,
         ratio: f64,
     ) -> Option<Time> {
-        let not_before = self.refused.get(&request_hash).copied();
+        let not_before = self.retry_times.get(&request_hash).copied();
         match not_before.filter(|at| now < *at) {
             Some(at) => Some(at).filter(|_| !self.budgets.spend(now, service)),
             None => {
@@ -81,27 +84,30 @@
 }
 
 impl Engine {
-    /// Lets a re-send wait for the work in flight, or refuses it; what is new goes on.
+    /// Lets a re-send wait for the request in flight, or refuses it. Any other request passes.
     pub(crate) fn filter_resend(
         &mut self,
         now: Time,
         caller: &str,
         mut draft: RequestDraft,
     ) -> Option<RequestDraft> {
-        // Two non-idempotent requests without a key may be two orders, however alike they are.
-        let alike = draft.operation.idempotent && draft.key.is_none();
-        let counts = draft.parent.is_none() && alike;
-        if !self.cfg.policy.resend_limit || !counts {
+        // Two non-idempotent requests without a key may be two orders, even if they are identical.
+        let is_coalescable = draft.operation.idempotent && draft.key.is_none();
+        let is_limited = draft.parent.is_none() && is_coalescable;
+        if !self.cfg.policy.resend_limit || !is_limited {
             return Some(draft);
         }
         let request_hash = Resends::hash_of(caller, &draft.request);
-        if let Some(leader) = self.leader(request_hash, &draft) {
+        if let Some(leader) = self.find_leader(request_hash, &draft) {
             self.follow(leader, draft);
             return None;
         }
         let service = &draft.request.service;
         let ratio = f64::from(self.journal.rules.resend_percent(service)) / 100.0;
-        if let Some(not_before) = self.resends.draw(now, request_hash, service, ratio) {
+        if let Some(not_before) = self
+            .resends
+            .check_early_resend(now, request_hash, service, ratio)
+        {
             let refusal = Refusal::new(Reason::ResendLimit, now.until(not_before));
             self.refuse(draft.token, refusal);
             return None;
@@ -111,13 +117,13 @@
         Some(draft)
     }
 
-    /// The request in flight that is the same in every byte; a hash alone might be another's. Its
-    /// answer must come before the re-send's own deadline.
-    fn leader(&self, request_hash: RequestHash, draft: &RequestDraft) -> Option<RequestToken> {
+    /// The request in flight that is identical in every byte, since another request could have the
+    /// same hash. Its deadline must not be later than the one of the re-send.
+    fn find_leader(&self, request_hash: RequestHash, draft: &RequestDraft) -> Option<RequestToken> {
         let token = self.resends.in_flight.get(&request_hash)?;
         let call = self.calls.get(&self.open.get(token)?.call)?;
-        let fits = call.request == draft.request && call.deadline <= draft.deadline;
-        fits.then_some(*token)
+        let is_same = call.request == draft.request && call.deadline <= draft.deadline;
+        is_same.then_some(*token)
     }
 
     fn follow(&mut self, leader: RequestToken, draft: RequestDraft) {
@@ -133,14 +139,14 @@
         self.count(Counter::Attached);
     }
 
-    /// A caller has gone that waited for another request's answer, or for whose request others
-    /// wait. Gives whether the work is still wanted.
+    /// Handles a caller that has gone, whose request waited for another one's answer or has others
+    /// waiting for it. Returns whether the work is still wanted.
     pub(crate) fn unfollow(&mut self, token: RequestToken) -> bool {
         if let Some(leader) = self.followers.swap_remove(&token) {
             if let Some(open) = self.open.get_mut(&leader) {
                 open.followers.retain(|follower| *follower != token);
             }
-            // Every token gets an answer, or whoever holds it waits for ever.
+            // Every request must be answered, otherwise its connection would stay open for ever.
             self.out.push(Output::Answer {
                 token,
                 outcome: Outcome::Unknown(Reason::CallerGone),
--- a/crates/engine/src/routing.rs
+++ b/crates/engine/src/routing.rs
@@ -1,4 +1,4 @@
-//! Whom a call goes to.
+//! Chooses the instances that calls are sent to.
 
 use crate::outgoing::OutgoingCall;
 use crate::Engine;
@@ -18,33 +18,34 @@
 
     pub(crate) fn choose_instance(&mut self, now: Time, call: &OutgoingCall) -> Option<Instance> {
         let service = &call.request.service;
-        let mine = self.me.incarnation;
+        let own_incarnation = self.me.incarnation;
         if self.me.service == *service {
             self.update_own_standing(now);
         }
         let chosen = self
             .selector
             .choose(now, service, &call.avoid, &mut self.rng)?;
-        if chosen == mine {
+        if chosen == own_incarnation {
             return Some(self.me.clone());
         }
         self.members.get(chosen).map(|peer| peer.instance.clone())
     }
 
-    /// This node's own backend server is one to choose among, and its load is known exactly.
+    /// Adds the own backend server to the candidates. Its load is known exactly.
     fn update_own_standing(&mut self, now: Time) {
         let standing = if self.stopping {
             Standing::Closed
         } else {
             Standing::Ready
         };
-        let (mine, service) = (self.me.incarnation, &self.me.service);
+        let (own_incarnation, service) = (self.me.incarnation, &self.me.service);
         self.selector
-            .set(now, mine, service, Place::SameDomain, standing);
-        self.selector.on_report(now, mine, self.server.report());
+            .set(now, own_incarnation, service, Place::SameDomain, standing);
+        self.selector
+            .on_report(now, own_incarnation, self.server.report());
     }
 
-    /// Takes a peer's new state over into the choice of instances.
+    /// Updates a peer among the candidates after its state has changed.
     pub(crate) fn update_standing(&mut self, now: Time, peer: Incarnation, state: PeerState) {
         let Some(peer) = self.members.get(peer) else {
             return;
--- a/crates/engine/src/serve.rs
+++ b/crates/engine/src/serve.rs
@@ -1,4 +1,4 @@
-//! Calls from other nodes, and work on the own backend server.
+//! Calls from other nodes, and jobs for the own backend server.
 
 use crate::admission::shed;
 use crate::answered::Seen;
@@ -37,27 +37,27 @@
 use std::time::Duration;
 use stdx::Time;
 
-/// A call from another node that has no answer yet.
+/// A call from another node that has not been answered yet.
 #[derive(Debug)]
 pub(crate) struct InboundCall {
-    /// What it waits for.
     pub(crate) work: InboundWork,
 }
 
 /// What an inbound call waits for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum InboundWork {
-    /// A run of its own.
+    /// A run for this call alone.
     Run(RunId),
-    /// The run of a key, perhaps together with others.
+    /// The run of an idempotency key, which other calls may wait for too.
     Key(KeyHash),
-    /// The key's slot, which is on its way here.
+    /// The transfer of the key's slot to this node.
     Held,
 }
 
 impl Engine {
     pub(crate) fn on_call(&mut self, now: Time, from: Incarnation, call: Call) {
-        // The id is known: the call came over a connection that was lost, or the frame came twice.
+        // The id is known if the call was sent again after its connection was lost, or if the frame
+        // arrived twice.
         if self.inbound.contains_key(&call.id) {
             return;
         }
@@ -66,7 +66,7 @@
                 let frame = Frame::Answer(call.id, Box::new(answer.clone()));
                 return self.send_to(from, frame);
             }
-            Seen::Forgotten => return self.answer_forgotten(from, call.id),
+            Seen::Forgotten => return self.answer_forgotten_call(from, call.id),
             Seen::Never => {}
         }
         match call.leg {
@@ -98,7 +98,7 @@
         self.offer(now, run);
     }
 
-    /// Enters work for the own backend server.
+    /// Creates a job for the own backend server.
     pub(crate) fn new_job(&mut self, now: Time, owner: JobOwner, call: Call) -> RunId {
         let run = RunId {
             at: self.me.incarnation,
@@ -145,13 +145,13 @@
         run
     }
 
-    /// Offers a job to the server's limit and queue.
+    /// Offers a job to the concurrency limiter and queue of the server.
     pub(crate) fn offer(&mut self, now: Time, run: RunId) {
         let Some(job) = self.jobs.get(&run) else {
             return;
         };
-        // While the log is down no next home is named, and calls for this node's keys would go on
-        // coming until the instance is taken away in the middle of one.
+        // During an outage of the log no new home is assigned, and calls for the keys of this node
+        // would keep coming until the process exits in the middle of one.
         if self.stopping && now >= self.closed_at {
             return self.end_job(now, run, self.not_run(Reason::Draining));
         }
@@ -166,51 +166,51 @@
             arrived: now,
             admitted: job.depth > 0,
         };
-        if !self.pass_quarantine(now, run, fingerprint) {
+        if !self.check_quarantine(now, run, fingerprint) {
             return;
         }
         if !ticket.admitted {
-            let level = self.path_level(now, run);
+            let level = self.downstream_level(now, run);
             if admission_value(ticket.class, ticket.dice) < level {
                 self.server.refused_before(now, ticket.class);
                 let refusal = shed(level, ticket.class, ticket.dice);
                 if let Some(job) = self.jobs.get_mut(&run) {
                     job.child_levels
-                        .extend(job.operation.clone().map(|own| (own, level)));
+                        .extend(job.operation.clone().map(|operation| (operation, level)));
                 }
-                return self.after_offer(now, run, Offer::Refused(refusal));
+                return self.apply_offer(now, run, Offer::Refused(refusal));
             }
             ticket.passed_level = ticket.passed_level.max(level);
         }
         let offer = self.server.offer(now, ticket);
         if !ticket.admitted {
-            let passed = ticket.passed_level.max(self.server.level());
+            let passed_level = ticket.passed_level.max(self.server.level());
             if let Some(job) = self.jobs.get_mut(&run) {
-                job.passed_level = passed;
+                job.passed_level = passed_level;
             }
         }
-        self.after_offer(now, run, offer);
+        self.apply_offer(now, run, offer);
     }
 
-    /// The level of the services below a job's operation.
-    fn path_level(&self, now: Time, run: RunId) -> u16 {
+    /// The admission level of the services below a job's operation.
+    fn downstream_level(&self, now: Time, run: RunId) -> u16 {
         let job = self.jobs.get(&run).filter(|_| self.cfg.policy.levels);
         let operation = job.and_then(|job| job.operation.as_ref());
         operation.map_or(0, |operation| self.admission.path(now, operation))
     }
 
-    /// Lets the queue move.
+    /// Starts or refuses queued jobs whose turn has come.
     pub(crate) fn start_queued_jobs(&mut self, now: Time) {
         while let Some((ticket, offer)) = self.server.next(now) {
             let run = RunId {
                 at: self.me.incarnation,
                 number: ticket.id,
             };
-            self.after_offer(now, run, offer);
+            self.apply_offer(now, run, offer);
         }
     }
 
-    fn after_offer(&mut self, now: Time, run: RunId, offer: Offer) {
+    fn apply_offer(&mut self, now: Time, run: RunId, offer: Offer) {
         match offer {
             Offer::Start => self.start(now, run),
             Offer::Queued => {}
@@ -255,20 +255,21 @@
         let (class, fingerprint) = (job.class, job.fingerprint);
         let cancelled = job.cancelled;
         let expected_server = job.expected_server.clone();
-        let made_calls = matches!(job.owner, JobOwner::Key(_)) && !job.child_counts.is_empty();
-        let ended = job.ended(now, &end);
-        self.learn_run(now, run, ended);
-        self.server.finished(now, class, ended);
+        let made_child_calls =
+            matches!(job.owner, JobOwner::Key(_)) && !job.child_counts.is_empty();
+        let feedback = job.server_feedback(now, &end);
+        self.learn_run(now, run, feedback);
+        self.server.finished(now, class, feedback);
         let outcome = match end {
             RunEnd::Response(response) => {
                 self.clear_suspect(now, fingerprint);
                 Outcome::Whole(response)
             }
-            // The next run would make the same child keys, which would not be new then. So a run
-            // that made child calls is never taken for one that did not run.
-            RunEnd::Refused { .. } if made_calls => Outcome::Unknown(Reason::ServerRefused),
+            // The next run would generate the same child keys, which would then no longer be new.
+            // So a run that made child calls never counts as one that did not run.
+            RunEnd::Refused { .. } if made_child_calls => Outcome::Unknown(Reason::ServerRefused),
             RunEnd::Refused { retry_after } => {
-                let retry_after = retry_after.unwrap_or(crate::refusal::RETRY_AFTER);
+                let retry_after = retry_after.unwrap_or(crate::refusal::DEFAULT_RETRY_AFTER);
                 Outcome::NotRun(Refusal::new(Reason::ServerRefused, retry_after))
             }
             RunEnd::NeverSent => self.not_run(Reason::ServerLost),
@@ -280,7 +281,7 @@
             RunEnd::Lost => {
                 self.count(Counter::RunLost);
                 if !cancelled {
-                    self.suspect(now, fingerprint);
+                    self.report_crash(now, fingerprint);
                 }
                 Outcome::Unknown(Reason::ServerLost)
             }
@@ -319,7 +320,7 @@
             JobOwner::Key(key) => self.end_key(now, key, unspent, outcome),
         }
         self.run_below = Below::default();
-        self.next_suspect(now, run);
+        self.on_suspect_ended(now, run);
     }
 
     pub(crate) fn on_cancel(&mut self, now: Time, _from: Incarnation, id: CallId) {
@@ -333,8 +334,8 @@
         }
     }
 
-    /// Takes work out of the queue, or asks the backend server to stop it. Nobody waits for what
-    /// its child calls would give.
+    /// Removes a job from the queue, or asks the backend server to stop its run. The child calls of
+    /// the run are cancelled too, as nobody waits for their answers.
     pub(crate) fn cancel_run(&mut self, now: Time, run: RunId) {
         if self.withdraw(run) {
             return self.end_withdrawn_job(now, run);
@@ -349,25 +350,26 @@
         }
     }
 
-    /// The cancel of a call may be lost, or its node; its work would go on for nobody.
+    /// Cancels a run at its deadline. The cancel message may have been lost, or the node that
+    /// should have sent it, and the work would go on for nobody.
     pub(crate) fn on_run_deadline(&mut self, now: Time, run: RunId) {
         if self.jobs.contains_key(&run) {
             self.cancel_run(now, run);
         }
     }
 
-    /// Takes work back that has not started; `false` if it has.
+    /// Removes a job that has not started. Returns `false` if it has started.
     pub(crate) fn withdraw(&mut self, run: RunId) -> bool {
         self.server.withdraw(run.number) || self.suspects.withdraw(run)
     }
 
-    /// Ends a job that was taken out of the queue.
+    /// Ends a job that was removed from the queue.
     pub(crate) fn end_withdrawn_job(&mut self, now: Time, run: RunId) {
         self.end_job(now, run, self.not_run(Reason::CallerGone));
     }
 
-    /// Answers a call of which nobody can tell whether it was answered before.
-    fn answer_forgotten(&mut self, from: Incarnation, id: CallId) {
+    /// Answers a call when it is no longer known whether it was answered before.
+    fn answer_forgotten_call(&mut self, from: Incarnation, id: CallId) {
         let answer = Answer {
             outcome: Outcome::Unknown(Reason::PeerLost),
             unspent: 0,
@@ -377,7 +379,7 @@
         self.send_to(from, Frame::Answer(id, Box::new(answer)));
     }
 
-    /// Answers an inbound call, once.
+    /// Answers an inbound call and removes it.
     pub(crate) fn answer_call(&mut self, id: CallId, unspent: u16, outcome: Outcome) {
         self.inbound.swap_remove(&id);
         let answer = Answer {
@@ -401,7 +403,8 @@
     }
 }
 
-/// The scope of the keys of child calls: the same for every run of the same call of the action.
+/// The scope of the keys of child calls. It is the same for every run of the same call of the
+/// action.
 fn child_key_scope(action: ActionId, key: Option<KeyHash>) -> Arc<str> {
     match key {
         Some(key) => format!("{action}/{:032x}", key.0).into(),
--- a/crates/engine/src/timers.rs
+++ b/crates/engine/src/timers.rs
@@ -1,4 +1,4 @@
-//! What is due when.
+//! Timers of the engine.
 
 use proto::CallId;
 use proto::RunId;
@@ -10,26 +10,26 @@
     /// What a timer is for.
     #[derive(PartialOrd, Ord)]
     pub(crate) enum Timer {
-        /// A call's deadline.
+        /// The deadline of a call.
         CallDeadline(CallId),
-        /// A run takes longer than others.
+        /// A run counts as late.
         LateRun(RunId),
-        /// Reports of suspects are due again.
+        /// Crash reports are to be sent again.
         CrashReports,
-        /// The deadline of work for the own backend server.
+        /// The deadline of a job for the own backend server.
         RunDeadline(RunId),
-        /// A call has waited for its slot for long enough.
+        /// A call stops waiting for the transfer of its slot.
         HeldCallTimeout(CallId),
-        /// A stopping node has waited long enough for its slots to be taken.
+        /// A stopping node stops waiting for its slots to be taken over.
         HandoverTimeout,
-        /// A stopping node takes no new requests any more.
+        /// A stopping node stops accepting new requests.
         StopGracePeriod,
         /// A call is to be sent again over a new connection.
         Reattach(CallId),
     }
 }
 
-/// Timers in the order in which they are due.
+/// Timers ordered by due time.
 #[derive(Debug, Default)]
 pub(crate) struct Timers {
     due: BTreeSet<(Time, Timer)>,
@@ -48,7 +48,7 @@
         self.due.first().map(|(at, _)| *at)
     }
 
-    /// Takes out a timer that is due.
+    /// Removes a timer that is due, if there is one.
     pub(crate) fn pop(&mut self, now: Time) -> Option<Timer> {
         if self.next()? > now {
             return None;
