--- a/crates/engine/src/log.rs
+++ b/crates/engine/src/log.rs
@@ -301,9 +301,9 @@
         self.log.append_conflicted = true;
     }
 
-    /// The record may have reached the topic all the same; reading the topic tells. When the log
-    /// fails, all nodes lose their answers together, so the delay doubles with each attempt and has
-    /// a random part. Otherwise all nodes would return at the same time.
+    /// The record may be in the topic all the same; reading the topic shows whether it is. When the
+    /// log fails, all nodes lose their answers together, so the delay doubles with each attempt and
+    /// has a random part. Otherwise all nodes would return at the same time.
     pub(crate) fn on_append_lost(&mut self, now: Time, number: u64) {
         let Some((key, attempts)) = self.log.appends.ended(number) else {
             return;
--- a/crates/engine/src/outgoing.rs
+++ b/crates/engine/src/outgoing.rs
@@ -31,7 +31,7 @@
     pub(crate) first_attempt: bool,
     pub(crate) operation: OperationKey,
     pub(crate) retry_allowance: Account,
-    /// The retries lent to the current attempt.
+    /// The retries delegated to the current attempt.
     pub(crate) delegated_retries: u16,
     /// Whether each attempt below counts as a retry.
     pub(crate) possible_repeat: bool,
--- a/crates/engine/src/request.rs
+++ b/crates/engine/src/request.rs
@@ -26,7 +26,7 @@
     pub(crate) call: CallId,
     /// The run that made this child call.
     pub(crate) parent: Option<RunId>,
-    /// The retries that the parent lent.
+    /// The retries that the parent delegated.
     pub(crate) delegated_retries: u16,
     /// The idempotency key that this node generated.
     pub(crate) generated_key: Option<Arc<str>>,
--- a/crates/engine/tests/load.rs
+++ b/crates/engine/tests/load.rs
@@ -1,4 +1,4 @@
-//! What an entry does under load, with the other nodes' part played by the test.
+//! Behaviour of an ingress node under load. The test plays the other nodes.
 
 use bilberry_engine::Config;
 use bilberry_engine::Engine;
@@ -30,11 +30,11 @@
 resends patterns percent=0 # asked by Giulia
 ";
 
-/// An entry of the service `shop`, and two instances of `patterns`.
-struct Entry {
+/// An ingress node of the service `shop` that knows two instances of `patterns`.
+struct IngressNode {
     engine: Engine,
     now: Time,
-    tokens: u64,
+    last_token: u64,
     /// Calls that were sent and not answered yet.
     calls: Vec<(Incarnation, Call)>,
     answers: Vec<(RequestToken, Outcome)>,
@@ -50,7 +50,7 @@
     }
 }
 
-impl Entry {
+impl IngressNode {
     fn new() -> Self {
         Self::with_config(Config::default())
     }
@@ -68,17 +68,17 @@
             Record::Join(instance(3, "patterns")),
         ];
         let records = records.iter().map(|record| proto::encode(record).into());
-        let mut entry = Self {
+        let mut ingress = Self {
             engine: Engine::new(cfg, instance(1, "shop")),
-            // Long enough after its start to have its part of the retries.
+            // Long enough after the start for the node's full share of the retry budget.
             now: Time::ZERO + Duration::from_secs(10),
-            tokens: 0,
+            last_token: 0,
             calls: Vec::new(),
             answers: Vec::new(),
         };
-        entry.input(Input::Records((0..).zip(records).collect()));
-        entry.input(Input::LogCaughtUp);
-        entry
+        ingress.input(Input::Records((0..).zip(records).collect()));
+        ingress.input(Input::LogCaughtUp);
+        ingress
     }
 
     fn input(&mut self, input: Input) {
@@ -100,8 +100,8 @@
     }
 
     fn send(&mut self, caller: &str, path: &str) -> RequestToken {
-        self.tokens += 1;
-        let token = RequestToken(self.tokens);
+        self.last_token += 1;
+        let token = RequestToken(self.last_token);
         self.input(Input::Request {
             credential: None,
             token,
@@ -128,8 +128,8 @@
         self.input(Input::Frame { from, frame });
     }
 
-    /// The node of the oldest call says that its run takes longer than others.
-    fn is_late(&mut self) {
+    /// The node of the oldest call reports that its run takes longer than usual.
+    fn report_slow_run(&mut self) {
         let (from, call) = &self.calls[0];
         let (from, frame) = (*from, Frame::Late(call.id));
         self.input(Input::Frame { from, frame });
@@ -140,7 +140,7 @@
     }
 }
 
-fn whole() -> Outcome {
+fn completed() -> Outcome {
     Outcome::Whole(Response {
         status: 200,
         headers: Vec::new(),
@@ -152,130 +152,136 @@
     Outcome::NotRun(Refusal::new(reason, Duration::from_secs(5)))
 }
 
-/// Two requests that differ as given: how many calls go out.
-fn check_attached(first: (&str, &str), second: (&str, &str), calls: usize) {
-    let mut entry = Entry::new();
-    entry.send(first.0, first.1);
-    entry.send(second.0, second.1);
-    assert_eq!(entry.calls.len(), calls);
+/// Sends two requests, each given by its caller and path, and checks how many calls they cause.
+fn check_call_count(first: (&str, &str), second: (&str, &str), calls: usize) {
+    let mut ingress = IngressNode::new();
+    ingress.send(first.0, first.1);
+    ingress.send(second.0, second.1);
+    assert_eq!(ingress.calls.len(), calls);
     for _ in 0..calls {
-        entry.reply(whole(), Below::default());
+        ingress.reply(completed(), Below::default());
     }
-    assert_eq!(entry.outcomes(), [whole(), whole()]);
+    assert_eq!(ingress.outcomes(), [completed(), completed()]);
 }
 
-/// A counter's lookup hangs and its caller sends it again. A second run would double the load just
-/// when there is too much; another caller's answer would be worse.
+/// A lookup hangs and its caller sends it again. A second run would double the load when there is
+/// too much already. An answer to another caller or another path must never be shared.
 #[test]
 fn a_resend_waits_for_the_work_in_flight() {
-    check_attached(("a", "/p/1"), ("a", "/p/1"), 1);
-    check_attached(("a", "/p/1"), ("b", "/p/1"), 2);
-    check_attached(("a", "/p/1"), ("a", "/p/2"), 2);
+    check_call_count(("a", "/p/1"), ("a", "/p/1"), 1);
+    check_call_count(("a", "/p/1"), ("b", "/p/1"), 2);
+    check_call_count(("a", "/p/1"), ("a", "/p/2"), 2);
 }
 
-/// The first connection of a caller breaks while its re-send waits for the same work. Cancelling
-/// the work would leave the re-send without an answer.
+/// The connection of a caller breaks while a re-send waits for the same work. If the work were
+/// cancelled, the re-send would get no answer.
 #[test]
 fn work_that_a_resend_waits_for_is_not_cancelled() {
-    let mut entry = Entry::new();
-    let first = entry.send("a", "/p/1");
-    let second = entry.send("a", "/p/1");
-    entry.input(Input::CallerGone(first));
-    entry.reply(whole(), Below::default());
-    assert!(entry.answers.contains(&(second, whole())));
+    let mut ingress = IngressNode::new();
+    let first = ingress.send("a", "/p/1");
+    let second = ingress.send("a", "/p/1");
+    ingress.input(Input::CallerGone(first));
+    ingress.reply(completed(), Below::default());
+    assert!(ingress.answers.contains(&(second, completed())));
 }
 
-/// A re-send that waits is given up as well. Its connection is held for as long as nobody answers
-/// it; seed 3 of the random runs saw one that never was.
+/// The caller of a waiting re-send gives up too. Its connection stays open until it is answered;
+/// seed 3 of the random runs found one that never was.
 #[test]
 fn a_resend_that_is_given_up_is_answered() {
-    let mut entry = Entry::new();
-    entry.send("a", "/p/1");
-    let second = entry.send("a", "/p/1");
-    entry.input(Input::CallerGone(second));
+    let mut ingress = IngressNode::new();
+    ingress.send("a", "/p/1");
+    let second = ingress.send("a", "/p/1");
+    ingress.input(Input::CallerGone(second));
     let gone = Outcome::Unknown(Reason::CallerGone);
-    assert_eq!(entry.answers, [(second, gone)]);
-    entry.reply(whole(), Below::default());
-    assert_eq!(entry.answers.len(), 2);
+    assert_eq!(ingress.answers, [(second, gone)]);
+    ingress.reply(completed(), Below::default());
+    assert_eq!(ingress.answers.len(), 2);
 }
 
-/// Callers that were refused send again at once, whatever they were told. Each would cost a call
-/// through the whole chain; the rules allow none here beyond the first ten.
+/// Refused callers send again at once and ignore the retry delay. Each re-send would cost a call
+/// through the whole chain. The rules allow none here, beyond the first ten.
 #[test]
-fn early_resends_draw_on_a_ratio_and_late_ones_do_not() {
-    let mut entry = Entry::new();
+fn early_resends_are_limited_and_late_ones_are_not() {
+    let mut ingress = IngressNode::new();
     let mut limited = 0;
     for _ in 0..30 {
-        entry.send("a", "/p/1");
-        if !entry.calls.is_empty() {
-            entry.reply(not_run(Reason::Shed), Below::default());
+        ingress.send("a", "/p/1");
+        if !ingress.calls.is_empty() {
+            ingress.reply(not_run(Reason::Shed), Below::default());
         }
-        let last = entry.outcomes().pop();
+        let last = ingress.outcomes().pop();
         limited += usize::from(
             matches!(last, Some(Outcome::NotRun(refusal)) if refusal.reason == Reason::ResendLimit),
         );
     }
     assert_eq!(limited, 19);
-    entry.wait(5_000);
-    entry.send("a", "/p/1");
-    assert_eq!(entry.calls.len(), 1);
+    ingress.wait(5_000);
+    ingress.send("a", "/p/1");
+    assert_eq!(ingress.calls.len(), 1);
 }
 
-/// Sends 200 calls of the path and counts those that are let out.
-fn let_out(entry: &mut Entry, path: &str) -> usize {
-    entry.calls.clear();
+/// Sends 200 requests for the path and counts the calls that go out.
+fn count_sent_calls(ingress: &mut IngressNode, path: &str) -> usize {
+    ingress.calls.clear();
     for n in 0..200 {
-        entry.send(&n.to_string(), path);
+        ingress.send(&n.to_string(), path);
     }
-    entry.calls.len()
+    ingress.calls.len()
 }
 
-/// A service far below is overloaded and sheds half of the lookups. Without a word of it the
-/// entry lets them in, all services between work for nothing, and the overload feeds on it.
+/// A service deep in the call tree is overloaded and sheds half of the lookups. If the ingress node
+/// does not learn of it, it admits them all, every service in between works in vain, and the
+/// overload sustains itself.
 #[test]
-fn the_entry_sheds_what_a_deeper_service_would() {
-    let mut entry = Entry::new();
+fn ingress_sheds_what_a_downstream_service_would_shed() {
+    let mut ingress = IngressNode::new();
     for n in 0..20 {
-        entry.wait(50);
-        entry.send(&n.to_string(), "/p/1");
+        ingress.wait(50);
+        ingress.send(&n.to_string(), "/p/1");
         let below = Below {
             level: 0x4000,
             calls: 3,
         };
-        if !entry.calls.is_empty() {
-            entry.reply(whole(), below);
+        if !ingress.calls.is_empty() {
+            ingress.reply(completed(), below);
         }
     }
-    let lookups = let_out(&mut entry, "/p/2");
+    let lookups = count_sent_calls(&mut ingress, "/p/2");
     assert!((70..130).contains(&lookups), "{lookups} of 200");
-    assert_eq!(let_out(&mut entry, "/check/2"), 200);
-    entry.wait(2_000);
-    assert_eq!(let_out(&mut entry, "/p/3"), 200, "the level is forgotten");
+    assert_eq!(count_sent_calls(&mut ingress, "/check/2"), 200);
+    ingress.wait(2_000);
+    assert_eq!(
+        count_sent_calls(&mut ingress, "/p/3"),
+        200,
+        "the level has expired"
+    );
 }
 
-/// The answer of a first attempt is lost, and the second one is refused. "Not run" would be wrong
-/// of the two together, and the caller would do the work another way as well.
+/// The answer to the first attempt is lost and the second attempt is refused. "Not run" would be
+/// wrong for the two together, and the caller would do the work a second time by other means.
 #[test]
 fn a_refused_retry_of_a_lost_attempt_is_unknown() {
-    let mut entry = Entry::new();
-    entry.send("a", "/p/1");
-    entry.reply(Outcome::Unknown(Reason::ServerLost), Below::default());
-    assert!(entry.calls[0].1.again);
-    entry.reply(not_run(Reason::Shed), Below::default());
-    assert_eq!(entry.outcomes(), [Outcome::Unknown(Reason::Shed)]);
+    let mut ingress = IngressNode::new();
+    ingress.send("a", "/p/1");
+    ingress.reply(Outcome::Unknown(Reason::ServerLost), Below::default());
+    assert!(ingress.calls[0].1.again);
+    ingress.reply(not_run(Reason::Shed), Below::default());
+    assert_eq!(ingress.outcomes(), [Outcome::Unknown(Reason::Shed)]);
 }
 
-/// Every call fails, and every action has retries left. All together they would triple the load.
+/// Every call fails while every action has retries left. Without a limit per node, the retries
+/// would triple the load.
 #[test]
 fn retries_of_a_node_are_a_share_of_its_calls() {
     let attempts_of_200 = |path: &str| {
-        let mut entry = Entry::new();
+        let mut ingress = IngressNode::new();
         let mut attempts = 0;
         for n in 0..200 {
-            entry.send(&n.to_string(), path);
-            while !entry.calls.is_empty() {
+            ingress.send(&n.to_string(), path);
+            while !ingress.calls.is_empty() {
                 attempts += 1;
-                entry.reply(not_run(Reason::ServerRefused), Below::default());
+                ingress.reply(not_run(Reason::ServerRefused), Below::default());
             }
         }
         attempts
@@ -285,158 +291,163 @@
         (220..=240).contains(&protected),
         "{protected} for 200 calls"
     );
-    // Lookups leave a part to protected calls, though there are none here.
+    // Lookups leave a share of the budget to protected classes, although there are no such calls
+    // here.
     let lookups = attempts_of_200("/p/1");
     assert!((210..=240).contains(&lookups), "{lookups} for 200 calls");
 }
 
-/// The machine of one of two instances stands still. Its connections stay open, and every second lookup
-/// would go there until they are given up two seconds later.
+/// The process of one of two instances stalls. Its connections stay open, and every second lookup
+/// would go there until they are closed two seconds later.
 #[test]
-fn an_instance_that_is_quiet_gets_nothing_until_it_is_heard() {
-    let mut entry = Entry::new();
+fn a_quiet_instance_gets_no_calls_until_it_answers() {
+    let mut ingress = IngressNode::new();
     let quiet = Incarnation(2);
-    let to_quiet = |entry: &mut Entry| {
+    let to_quiet = |ingress: &mut IngressNode| {
         for _ in 0..20 {
-            let path = format!("/p/{}", entry.tokens);
-            entry.send("shop", &path);
+            let path = format!("/p/{}", ingress.last_token);
+            ingress.send("shop", &path);
         }
-        let calls = entry.calls.drain(..);
+        let calls = ingress.calls.drain(..);
         calls.filter(|(to, _)| *to == quiet).count()
     };
-    assert!(to_quiet(&mut entry) > 0);
-    entry.input(Input::PeerQuiet(quiet));
-    assert_eq!(to_quiet(&mut entry), 0);
-    entry.input(Input::PeerBack(quiet));
-    assert!(to_quiet(&mut entry) > 0);
+    assert!(to_quiet(&mut ingress) > 0);
+    ingress.input(Input::PeerQuiet(quiet));
+    assert_eq!(to_quiet(&mut ingress), 0);
+    ingress.input(Input::PeerBack(quiet));
+    assert!(to_quiet(&mut ingress) > 0);
 }
 
-/// An entry whose lookups make twelve calls below, by what their last run told.
-fn entry_of_trees() -> Entry {
-    let mut entry = Entry::with_config(Config {
+/// An ingress node whose last lookup made twelve calls downstream.
+fn ingress_with_call_trees() -> IngressNode {
+    let mut ingress = IngressNode::with_config(Config {
         tree_retries: TreeRetries::ByCalls(6),
         ..Config::default()
     });
     for (offset, n) in [(4, 4), (5, 5)] {
         let join = Record::Join(instance(n, "patterns"));
         let records = vec![(offset, proto::encode(&join).into())];
-        entry.input(Input::Records(records));
+        ingress.input(Input::Records(records));
     }
-    entry.send("a", "/p/1");
+    ingress.send("a", "/p/1");
     let below = Below {
         calls: 12,
         ..Below::default()
     };
-    entry.reply(whole(), below);
-    entry
+    ingress.reply(completed(), below);
+    ingress
 }
 
-/// A server loses one answer in twenty, and a lookup ends in eight reads there. With one retry for the
-/// whole lookup, one in seventeen fails though nearly every read could be had at the second try.
+/// A server loses one answer in twenty, and a lookup makes eight reads there. With one retry for
+/// the whole lookup, one lookup in seventeen fails, although nearly every read would succeed at the
+/// second attempt.
 #[test]
 fn a_lookup_of_many_calls_has_more_retries() {
-    let mut entry = entry_of_trees();
-    entry.send("b", "/p/2");
-    let (_, call) = &entry.calls[0];
+    let mut ingress = ingress_with_call_trees();
+    ingress.send("b", "/p/2");
+    let (_, call) = &ingress.calls[0];
     let declared = 2;
     assert_eq!(
         call.allowance,
         declared + 2,
-        "none is kept, a second run would need twelve"
+        "no retry is kept: a second run would need twelve"
     );
 }
 
-/// What is lent with a call is gone if its answer is lost. A read that makes no calls is tried again
-/// by its entry then, so the entry keeps a retry for it.
+/// Retries that are delegated with a call are lost if its answer is lost. A read that makes no
+/// calls can only be retried by its ingress node, which therefore keeps a retry.
 #[test]
-fn the_entry_of_a_single_read_keeps_a_retry() {
-    let mut entry = Entry::new();
-    entry.send("a", "/p/1");
-    let (_, call) = &entry.calls[0];
+fn ingress_keeps_a_retry_for_a_single_read() {
+    let mut ingress = IngressNode::new();
+    ingress.send("a", "/p/1");
+    let (_, call) = &ingress.calls[0];
     assert_eq!(call.allowance, 1);
 }
 
-/// The operator allows two retries of a call. What its action has left for others does not change that.
+/// The operator allows two retries of a call. It must not get more because its action has some left
+/// for other calls.
 #[test]
-fn a_call_is_not_tried_more_often_than_its_own_operation_says() {
-    let mut entry = entry_of_trees();
-    entry.send("b", "/p/2");
+fn a_call_is_not_retried_more_often_than_its_operation_allows() {
+    let mut ingress = ingress_with_call_trees();
+    ingress.send("b", "/p/2");
     for _ in 0..3 {
-        assert_eq!(entry.calls.len(), 1);
-        entry.reply(not_run(Reason::ServerRefused), Below::default());
+        assert_eq!(ingress.calls.len(), 1);
+        ingress.reply(not_run(Reason::ServerRefused), Below::default());
     }
-    assert_eq!(entry.calls.len(), 0, "four instances, three attempts");
+    assert_eq!(ingress.calls.len(), 0, "four instances, three attempts");
 }
 
-/// A server has run a read and its answer is lost. Nothing comes before the deadline of the read, and the
-/// lookup that it is for fails with it.
+/// A server has run a read but its answer is lost. Without a second attempt nothing arrives before
+/// the deadline of the read, and the lookup that needs it fails too.
 #[test]
 fn a_read_that_is_late_is_sent_to_another_instance() {
-    let mut entry = Entry::new();
-    entry.send("b", "/p/x");
-    entry.is_late();
-    assert_eq!(entry.calls.len(), 2);
-    assert_ne!(entry.calls[0].0, entry.calls[1].0);
-    assert_ne!(entry.calls[0].1.id, entry.calls[1].1.id);
-    entry.calls.remove(0);
-    entry.reply(whole(), Below::default());
-    assert_eq!(entry.outcomes(), [whole()]);
+    let mut ingress = IngressNode::new();
+    ingress.send("b", "/p/x");
+    ingress.report_slow_run();
+    assert_eq!(ingress.calls.len(), 2);
+    assert_ne!(ingress.calls[0].0, ingress.calls[1].0);
+    assert_ne!(ingress.calls[0].1.id, ingress.calls[1].1.id);
+    ingress.calls.remove(0);
+    ingress.reply(completed(), Below::default());
+    assert_eq!(ingress.outcomes(), [completed()]);
 }
 
-/// The first instance was only slow, and its answer is there before the second one's. It is delivered: what
-/// is ready is not thrown away.
+/// The first instance was only slow, and answers before the second one does. Its answer is used
+/// rather than thrown away.
 #[test]
 fn a_late_answer_that_comes_first_is_delivered() {
-    let mut entry = Entry::new();
-    entry.send("b", "/p/x");
-    entry.is_late();
-    assert_eq!(entry.calls.len(), 2);
-    entry.reply(whole(), Below::default());
-    assert_eq!(entry.outcomes(), [whole()]);
-    entry.reply(whole(), Below::default());
-    assert_eq!(entry.outcomes(), []);
+    let mut ingress = IngressNode::new();
+    ingress.send("b", "/p/x");
+    ingress.report_slow_run();
+    assert_eq!(ingress.calls.len(), 2);
+    ingress.reply(completed(), Below::default());
+    assert_eq!(ingress.outcomes(), [completed()]);
+    ingress.reply(completed(), Below::default());
+    assert_eq!(ingress.outcomes(), []);
 }
 
 /// The second instance refuses. The first one may still answer, and does.
 #[test]
 fn a_refused_second_attempt_leaves_the_first_one_to_answer() {
-    let mut entry = Entry::new();
-    entry.send("b", "/p/x");
-    entry.is_late();
-    assert_eq!(entry.calls.len(), 2);
-    let first = entry.calls.remove(0);
-    entry.reply(not_run(Reason::Shed), Below::default());
-    assert_eq!(entry.outcomes(), []);
-    entry.calls.push(first);
-    entry.reply(whole(), Below::default());
-    assert_eq!(entry.outcomes(), [whole()]);
+    let mut ingress = IngressNode::new();
+    ingress.send("b", "/p/x");
+    ingress.report_slow_run();
+    assert_eq!(ingress.calls.len(), 2);
+    let first = ingress.calls.remove(0);
+    ingress.reply(not_run(Reason::Shed), Below::default());
+    assert_eq!(ingress.outcomes(), []);
+    ingress.calls.push(first);
+    ingress.reply(completed(), Below::default());
+    assert_eq!(ingress.outcomes(), [completed()]);
 }
 
-/// An order is late. It may run now, or have run; sent to another instance it could be done twice.
+/// An order is late. It may be running or have run already, and sent to a second instance it could
+/// be done twice.
 #[test]
 fn an_order_that_is_late_is_not_sent_again() {
-    let mut entry = Entry::new();
-    entry.send("b", "/o/x");
-    entry.is_late();
-    assert_eq!(entry.calls.len(), 1);
+    let mut ingress = IngressNode::new();
+    ingress.send("b", "/o/x");
+    ingress.report_slow_run();
+    assert_eq!(ingress.calls.len(), 1);
 }
 
-/// A read is sent again half a second before its caller gives up. Told that it has the whole time, the
-/// second instance would work for nobody; told a sliver, it would give up work that could still end.
+/// A read is sent again half a second before its caller gives up. If the second instance were given
+/// the whole time, it would work on after the caller has gone. If it were given hardly any, it
+/// would give up work that could still be finished.
 #[test]
 fn a_second_attempt_is_offered_with_the_time_that_is_left() {
-    let mut entry = Entry::new();
-    entry.send("b", "/p/x");
-    let whole_time = 2000;
-    let way_back = 25;
-    let first = entry.calls[0].1.remaining_ms;
+    let mut ingress = IngressNode::new();
+    ingress.send("b", "/p/x");
+    let full_time = 2000;
+    let return_time = 25;
+    let first = ingress.calls[0].1.remaining_ms;
     assert!(
-        (whole_time - way_back..=whole_time).contains(&first),
+        (full_time - return_time..=full_time).contains(&first),
         "{first}"
     );
-    entry.wait(1500);
-    entry.is_late();
-    let second = entry.calls[1].1.remaining_ms;
-    let left = whole_time - 1500;
-    assert!((left - way_back..=left).contains(&second), "{second}");
+    ingress.wait(1500);
+    ingress.report_slow_run();
+    let second = ingress.calls[1].1.remaining_ms;
+    let left = full_time - 1500;
+    assert!((left - return_time..=left).contains(&second), "{second}");
 }
--- a/crates/engine/tests/log/driver.rs
+++ b/crates/engine/tests/log/driver.rs
@@ -1,4 +1,4 @@
-//! Drives one node's engine by a clock and a log of the test's own.
+//! Drives the engine of one node with a clock and a log that the test controls.
 
 use bilberry_engine::Config;
 use bilberry_engine::Counter;
@@ -24,17 +24,17 @@
     }
 }
 
-/// A node, and a log that does what the test says.
+/// A node, and a log whose answers the test chooses.
 pub struct Driver {
     pub engine: Engine,
     pub now: Time,
     pub offset: u64,
     pub appends: Vec<(u64, Record)>,
-    pub counted: Vec<Counter>,
+    pub counters: Vec<Counter>,
     pub stopped: bool,
-    /// How often the topic was to be read at once.
-    pub reads: u32,
-    /// Addresses that were asked for the state.
+    /// Number of requests to read the log topic at once.
+    pub read_requests: u32,
+    /// Addresses that the state was requested from.
     pub fetches: Vec<(SocketAddr, Progress)>,
     pub answers: Vec<Outcome>,
 }
@@ -50,9 +50,9 @@
             now: Time::ZERO,
             offset: 0,
             appends: Vec::new(),
-            counted: Vec::new(),
+            counters: Vec::new(),
             stopped: false,
-            reads: 0,
+            read_requests: 0,
             fetches: Vec::new(),
             answers: Vec::new(),
         }
@@ -66,14 +66,17 @@
                     at,
                     entries,
                 } => {
-                    assert_eq!(at, self.offset, "an append that could only fail");
+                    assert_eq!(
+                        at, self.offset,
+                        "the append expects an offset that is not the end of the topic"
+                    );
                     let (_, value) = entries.last().unwrap();
                     self.appends.push((number, proto::decode(value).unwrap()));
                 }
-                Output::Count(counter) => self.counted.push(counter),
+                Output::Count(counter) => self.counters.push(counter),
                 Output::FetchState { from, known } => self.fetches.push((from, known)),
                 Output::Answer { outcome, .. } => self.answers.push(outcome),
-                Output::ReadLog => self.reads += 1,
+                Output::ReadLog => self.read_requests += 1,
                 Output::Stopped => self.stopped = true,
                 _ => {}
             }
@@ -81,7 +84,7 @@
     }
 
     /// Lets time pass, timer by timer.
-    pub fn pass(&mut self, time: Duration) {
+    pub fn advance(&mut self, time: Duration) {
         let end = self.now + time;
         while let Some(due) = self.engine.next_timer().filter(|due| *due <= end) {
             self.now = self.now.max(due);
@@ -90,26 +93,26 @@
         self.now = end;
     }
 
-    /// Lets time pass until the next timer is due.
-    pub fn pass_one(&mut self) {
+    /// Advances the time to the next timer.
+    pub fn advance_to_next_timer(&mut self) {
         let due = self.engine.next_timer().unwrap();
         self.now = self.now.max(due);
         self.feed(Input::Tick);
     }
 
-    /// The records that the node asked to append since the last call.
-    pub fn appended(&mut self) -> Vec<(u64, Record)> {
+    /// The appends that the node has requested since the last call.
+    pub fn take_appends(&mut self) -> Vec<(u64, Record)> {
         std::mem::take(&mut self.appends)
     }
 
-    pub fn one_append(&mut self) -> (u64, Record) {
-        let mut appends = self.appended();
+    pub fn take_one_append(&mut self) -> (u64, Record) {
+        let mut appends = self.take_appends();
         assert_eq!(appends.len(), 1, "{appends:?}");
         appends.remove(0)
     }
 
-    /// The topic shows a record.
-    pub fn show(&mut self, record: &Record) {
+    /// The node reads a record from the log topic.
+    pub fn read_record(&mut self, record: &Record) {
         for (_, value) in record.entries() {
             let offset = self.offset;
             self.offset += 1;
@@ -119,6 +122,6 @@
     }
 
     pub fn count(&self, counter: Counter) -> usize {
-        self.counted.iter().filter(|c| **c == counter).count()
+        self.counters.iter().filter(|c| **c == counter).count()
     }
 }
--- a/crates/engine/tests/log/main.rs
+++ b/crates/engine/tests/log/main.rs
@@ -2,7 +2,7 @@
 
 mod appends;
 mod driver;
-mod newest;
 mod outage;
+mod propagation;
 mod shared_reads;
-mod spread;
+mod topic_snapshot;
--- a/crates/engine/tests/log/outage.rs
+++ b/crates/engine/tests/log/outage.rs
@@ -1,4 +1,4 @@
-//! A node that cannot reach the log: what it takes on, and where its rules come from.
+//! A node that cannot reach the log: which requests it accepts, and where it gets its rules from.
 
 use crate::driver::instance;
 use crate::driver::Driver;
@@ -29,30 +29,30 @@
     }
 }
 
-/// A node that has read the log up to this version.
-fn reader(n: u16, version: u64) -> Driver {
-    let mut d = Driver::with_config(n, Config::default());
-    d.show(&Record::Join(instance(n)));
+/// A node that has read the log up to this rules version.
+fn node_with_rules(n: u16, version: u64) -> Driver {
+    let mut driver = Driver::with_config(n, Config::default());
+    driver.read_record(&Record::Join(instance(n)));
     for version in 1..=version {
-        d.show(&publish(version));
+        driver.read_record(&publish(version));
     }
-    d
+    driver
 }
 
-fn cut_off(contacts: &[u16]) -> Driver {
+fn node_in_outage(contacts: &[u16]) -> Driver {
     let contacts = contacts.iter().map(|n| instance(*n).addr).collect();
     let cfg = Config {
         contacts,
         ..Config::default()
     };
-    let mut d = Driver::with_config(1, cfg);
-    d.feed(Input::LogUnreachable);
-    d
+    let mut driver = Driver::with_config(1, cfg);
+    driver.feed(Input::LogUnreachable);
+    driver
 }
 
-fn refusal(d: &mut Driver) -> Option<Reason> {
-    d.answers.clear();
-    d.feed(Input::Request {
+fn request_refusal(driver: &mut Driver) -> Option<Reason> {
+    driver.answers.clear();
+    driver.feed(Input::Request {
         credential: None,
         token: RequestToken(9),
         caller: "shop".into(),
@@ -62,13 +62,13 @@
         caller_timeout: None,
         request: Request::new("press", "GET", "/slots", Bytes::new()),
     });
-    match d.answers.pop()? {
+    match driver.answers.pop()? {
         Outcome::NotRun(refusal) => Some(refusal.reason),
         other => panic!("{other:?}"),
     }
 }
 
-fn heard(from: &Driver, n: u16) -> Input {
+fn progress_message(from: &Driver, n: u16) -> Input {
     Input::Datagram {
         from: instance(n).addr,
         datagram: Datagram::Member {
@@ -81,99 +81,103 @@
     }
 }
 
-/// A node is started while the log is down. Working by no rules it could shed orders or run one
-/// twice; asking the contact addresses gives it the rules that are in force.
+/// A node is started during an outage of the log. Without rules it could shed orders or run one
+/// twice, so it fetches the rules in force from a contact address.
 #[test]
-fn a_start_in_an_outage_gets_the_state_from_a_contact() {
-    let peer = reader(2, 3);
-    let mut d = cut_off(&[2]);
-    assert_eq!(refusal(&mut d), Some(Reason::NoRules));
-    assert_eq!(d.fetches, [(instance(2).addr, Progress::default())]);
+fn a_node_started_in_an_outage_gets_the_state_from_a_contact() {
+    let peer = node_with_rules(2, 3);
+    let mut driver = node_in_outage(&[2]);
+    assert_eq!(request_refusal(&mut driver), Some(Reason::NoRules));
+    assert_eq!(driver.fetches, [(instance(2).addr, Progress::default())]);
 
     let state = peer.engine.state_beyond(Progress::default()).unwrap();
-    d.feed(Input::StateFetched(state));
-    assert_eq!(d.engine.rules_version(), 3);
-    assert!(!d.engine.is_listed());
-    assert_eq!(refusal(&mut d), None);
-    assert_eq!(d.appended(), []);
+    driver.feed(Input::StateFetched(state));
+    assert_eq!(driver.engine.rules_version(), 3);
+    assert!(!driver.engine.is_listed());
+    assert_eq!(request_refusal(&mut driver), None);
+    assert_eq!(driver.take_appends(), []);
 }
 
-/// The contact does not answer either. The node goes on asking, at most about once a second.
+/// The contact does not answer either. The node keeps asking, about once a second at most.
 #[test]
-fn an_unanswered_fetch_is_tried_again() {
-    let mut d = cut_off(&[2, 3]);
-    d.pass(Duration::from_secs(20));
-    assert!((20..=41).contains(&d.fetches.len()), "{:?}", d.fetches);
-    assert_eq!(refusal(&mut d), Some(Reason::NoRules));
+fn an_unanswered_fetch_is_retried() {
+    let mut driver = node_in_outage(&[2, 3]);
+    driver.advance(Duration::from_secs(20));
+    assert!(
+        (20..=41).contains(&driver.fetches.len()),
+        "{:?}",
+        driver.fetches
+    );
+    assert_eq!(request_refusal(&mut driver), Some(Reason::NoRules));
 }
 
-/// A node has read the first part of the log when it goes down. The rules of that part were
-/// replaced long ago; working by them would be a reversal that callers notice.
+/// The log fails when a node has read only its first part. The rules in that part were replaced
+/// long ago, and applying them would be a reversal that callers notice.
 #[test]
-fn half_a_stream_is_no_state() {
-    let mut d = Driver::new();
-    d.offset = 1;
-    d.feed(Input::Records(vec![(0, proto::encode(&publish(1)).into())]));
-    assert_eq!(d.engine.rules_version(), 1);
-    assert_eq!(refusal(&mut d), Some(Reason::NoRules));
-    d.feed(Input::LogCaughtUp);
-    assert_eq!(refusal(&mut d), None);
+fn rules_are_not_applied_before_the_log_is_read_to_its_end() {
+    let mut driver = Driver::new();
+    driver.offset = 1;
+    driver.feed(Input::Records(vec![(0, proto::encode(&publish(1)).into())]));
+    assert_eq!(driver.engine.rules_version(), 1);
+    assert_eq!(request_refusal(&mut driver), Some(Reason::NoRules));
+    driver.feed(Input::LogCaughtUp);
+    assert_eq!(request_refusal(&mut driver), None);
 }
 
-/// New rules reach only some nodes, because the log is slow for the others. These hear from
-/// membership messages that there is something newer, and ask the sender.
+/// New rules reach only some of the nodes because the log is slow for the others. Those learn from
+/// membership messages that a peer has newer state, and fetch it.
 #[test]
-fn newer_state_spreads_between_nodes() {
-    let peer = reader(2, 2);
-    let mut d = reader(1, 1);
-    d.feed(heard(&peer, 2));
-    assert_eq!(d.fetches, [], "the log may be about to tell");
-    d.pass(Duration::from_secs(1));
-    let known = d.engine.journal().progress();
-    assert_eq!(d.fetches, [(instance(2).addr, known)]);
-    d.feed(Input::StateFetched(
+fn a_node_fetches_newer_state_from_a_peer() {
+    let peer = node_with_rules(2, 2);
+    let mut driver = node_with_rules(1, 1);
+    driver.feed(progress_message(&peer, 2));
+    assert_eq!(driver.fetches, [], "the log may be about to deliver it");
+    driver.advance(Duration::from_secs(1));
+    let known = driver.engine.journal().progress();
+    assert_eq!(driver.fetches, [(instance(2).addr, known)]);
+    driver.feed(Input::StateFetched(
         peer.engine.state_beyond(known).unwrap(),
     ));
-    assert_eq!(d.engine.rules_version(), 2);
+    assert_eq!(driver.engine.rules_version(), 2);
 
-    // In an outage that it knows of, it does not wait.
-    let peer = reader(2, 3);
-    d.feed(Input::LogUnreachable);
-    d.feed(heard(&peer, 2));
-    assert_eq!(d.fetches.len(), 2);
+    // During a known outage it does not wait for the log.
+    let peer = node_with_rules(2, 3);
+    driver.feed(Input::LogUnreachable);
+    driver.feed(progress_message(&peer, 2));
+    assert_eq!(driver.fetches.len(), 2);
 }
 
-/// A peer's answer is old, or damaged. It must not take anything back.
+/// The state from a peer is old or damaged. It must not revert anything.
 #[test]
-fn a_stale_state_is_refused() {
-    let old = reader(2, 1)
+fn stale_or_damaged_state_is_rejected() {
+    let old = node_with_rules(2, 1)
         .engine
         .state_beyond(Progress::default())
         .unwrap();
-    let mut d = reader(1, 2);
-    d.feed(Input::StateFetched(old.slice(..old.len() / 2)));
-    d.feed(Input::StateFetched(old));
-    assert_eq!(d.engine.rules_version(), 2);
-    assert_eq!(d.count(Counter::BrokenRecord), 1);
-    assert_eq!(d.count(Counter::Restored), 0);
+    let mut driver = node_with_rules(1, 2);
+    driver.feed(Input::StateFetched(old.slice(..old.len() / 2)));
+    driver.feed(Input::StateFetched(old));
+    assert_eq!(driver.engine.rules_version(), 2);
+    assert_eq!(driver.count(Counter::BrokenRecord), 1);
+    assert_eq!(driver.count(Counter::Restored), 0);
 }
 
-/// The store answers some nodes and not others while instances come and go. A node that took only the
-/// newest view from a peer would not know the views in between, and would have to end, with all its
-/// records of orders: a slow store would restart the fleet.
+/// The store answers some nodes and not others while instances come and go. If a node took only the
+/// latest view from a peer, it would miss the views in between and have to exit, losing its
+/// idempotency records. A slow store would then restart the whole fleet.
 #[test]
 fn a_listed_node_catches_up_view_by_view() {
-    let mut peer = reader(2, 1);
-    let mut d = reader(2, 1);
-    let known = d.engine.journal().progress();
+    let mut peer = node_with_rules(2, 1);
+    let mut driver = node_with_rules(2, 1);
+    let known = driver.engine.journal().progress();
     for n in 3..6 {
-        peer.show(&Record::Join(instance(n)));
+        peer.read_record(&Record::Join(instance(n)));
     }
-    d.feed(Input::StateFetched(
+    driver.feed(Input::StateFetched(
         peer.engine.state_beyond(known).unwrap(),
     ));
-    assert_eq!(d.engine.next_offset(), peer.engine.next_offset());
-    d.pass(Duration::from_secs(60));
-    assert_eq!(d.count(Counter::Expelled), 0);
-    assert!(!d.stopped);
+    assert_eq!(driver.engine.next_offset(), peer.engine.next_offset());
+    driver.advance(Duration::from_secs(60));
+    assert_eq!(driver.count(Counter::Expelled), 0);
+    assert!(!driver.stopped);
 }
--- a/crates/engine/tests/log/spread.rs
+++ b/crates/engine/tests/log/propagation.rs
@@ -1,4 +1,4 @@
-//! Newer rules spread from the nodes that reach the log to those that do not.
+//! Newer rules propagate from the nodes that reach the log to those that do not.
 
 use crate::driver::instance;
 use bilberry_engine::Config;
@@ -16,10 +16,10 @@
 const RULES: &str =
     "operation press GET /slots class=lookup idempotent deadline=2s # asked by Anna";
 
-/// One way between two nodes.
+/// One-way delay between two nodes.
 const LATENCY: Duration = Duration::from_millis(20);
 
-/// A node of one of the services, three nodes each.
+/// A node of one of the services, which have three nodes each.
 fn member(n: u16) -> Instance {
     Instance {
         service: format!("service-{}", n / 3).into(),
@@ -27,24 +27,24 @@
     }
 }
 
-/// Engines and what is on its way to them, in the order of its arrival.
+/// Engines, and the messages in transit to them in order of arrival.
 pub(super) struct Fleet {
     pub(super) now: Time,
     pub(super) engines: Vec<Engine>,
     pub(super) members: Vec<Instance>,
-    /// Whether nothing gets from the first node to the second.
-    pub(super) cut: Box<dyn Fn(usize, usize) -> bool>,
-    /// One in so many datagrams is lost; none if it is 0.
-    pub(super) loses: u64,
-    /// Lines about each node's peers.
-    pub(super) peer_lines: Vec<usize>,
-    mail: BTreeMap<(Time, u64), (usize, Input)>,
-    sent: u64,
+    /// Whether messages from the first node to the second are lost.
+    pub(super) is_cut: Box<dyn Fn(usize, usize) -> bool>,
+    /// One in this many datagrams is lost; 0 means none.
+    pub(super) lose_every: u64,
+    /// Number of diagnostic events about peers that each node has written.
+    pub(super) peer_events: Vec<usize>,
+    in_transit: BTreeMap<(Time, u64), (usize, Input)>,
+    sequence: u64,
     pub(super) fetches: usize,
 }
 
 impl Fleet {
-    /// A fleet that has read the log, in which all are listed and version 1 is in force.
+    /// A fleet that has read the log. All nodes are listed, and version 1 of the rules is in force.
     fn new(size: u16) -> (Self, Vec<(u64, Bytes)>) {
         let joins = (1..=size).map(|n| Record::Join(member(n)));
         let records: Vec<Record> = joins.chain([publish(1)]).collect();
@@ -60,7 +60,7 @@
         (fleet, stream)
     }
 
-    /// A fleet of these nodes, the n-th of which has the port 7001 + n. They know nothing yet.
+    /// A fleet of these nodes, the n-th of which has port 7001 + n. They know nothing yet.
     pub(super) fn of(members: Vec<Instance>, cfg: impl Fn() -> Config) -> Self {
         let engines = members.iter().zip(1..).map(|(member, seed)| {
             let mut cfg = Config { seed, ..cfg() };
@@ -70,23 +70,24 @@
         Self {
             now: Time::ZERO,
             engines: engines.collect(),
-            peer_lines: vec![0; members.len()],
+            peer_events: vec![0; members.len()],
             members,
-            cut: Box::new(|_, _| false),
-            loses: 0,
-            mail: BTreeMap::new(),
-            sent: 0,
+            is_cut: Box::new(|_, _| false),
+            lose_every: 0,
+            in_transit: BTreeMap::new(),
+            sequence: 0,
             fetches: 0,
         }
     }
 
-    fn reaches(&self, from: usize, to: usize) -> bool {
-        !(self.cut)(from, to) && !(self.cut)(to, from)
+    fn are_connected(&self, from: usize, to: usize) -> bool {
+        !(self.is_cut)(from, to) && !(self.is_cut)(to, from)
     }
 
-    fn post(&mut self, to: usize, wait: Duration, input: Input) {
-        self.sent += 1;
-        self.mail.insert((self.now + wait, self.sent), (to, input));
+    fn deliver_after(&mut self, to: usize, wait: Duration, input: Input) {
+        self.sequence += 1;
+        self.in_transit
+            .insert((self.now + wait, self.sequence), (to, input));
     }
 
     pub(super) fn feed(&mut self, node: usize, input: Input) {
@@ -95,39 +96,39 @@
                 Output::Datagram { to, datagram } => {
                     let from = self.members[node].addr;
                     let to = usize::from(to.port()) - 7001;
-                    let lost = self.loses > 0 && self.sent % self.loses == 0;
-                    self.sent += 1;
-                    if self.reaches(node, to) && !lost {
-                        self.post(to, LATENCY, Input::Datagram { from, datagram });
+                    let lost = self.lose_every > 0 && self.sequence % self.lose_every == 0;
+                    self.sequence += 1;
+                    if self.are_connected(node, to) && !lost {
+                        self.deliver_after(to, LATENCY, Input::Datagram { from, datagram });
                     }
                 }
                 Output::FetchState { from, known } => {
                     self.fetches += 1;
                     let peer = usize::from(from.port()) - 7001;
                     let state = self.engines[peer].state_beyond(known);
-                    if let Some(state) = state.filter(|_| self.reaches(node, peer)) {
-                        self.post(node, LATENCY * 4, Input::StateFetched(state));
+                    if let Some(state) = state.filter(|_| self.are_connected(node, peer)) {
+                        self.deliver_after(node, LATENCY * 4, Input::StateFetched(state));
                     }
                 }
                 Output::Diagnostic(Diagnostic::Peer { .. } | Diagnostic::Peers { .. }) => {
-                    self.peer_lines[node] += 1;
+                    self.peer_events[node] += 1;
                 }
                 _ => {}
             }
         }
     }
 
-    /// Goes on to the next event or timer, at most to `end`.
+    /// Advances to the next message or timer, but not beyond `end`.
     pub(super) fn step(&mut self, end: Time) {
         let timers = self.engines.iter().map(|engine| engine.next_timer());
         let timer = timers
             .zip(0..)
             .filter_map(|(due, node)| Some((due?, node)))
             .min();
-        let arrival = self.mail.first_key_value().map(|(at, _)| at.0);
+        let arrival = self.in_transit.first_key_value().map(|(at, _)| at.0);
         match (timer, arrival) {
             (timer, Some(at)) if at <= end && timer.is_none_or(|(due, _)| at <= due) => {
-                let (_, (node, input)) = self.mail.pop_first().unwrap();
+                let (_, (node, input)) = self.in_transit.pop_first().unwrap();
                 self.now = self.now.max(at);
                 self.feed(node, input);
             }
@@ -162,9 +163,9 @@
     }
 }
 
-/// How long version 2 takes to reach all, when only so many nodes read it from the log; and how
-/// many fetches that took.
-fn spread(size: u16, readers: usize, knows_outage: bool) -> (Duration, usize) {
+/// Runs a fleet in which only `readers` nodes read version 2 from the log. Returns the time until
+/// all nodes have it, and the number of fetches.
+fn propagate(size: u16, readers: usize, knows_outage: bool) -> (Duration, usize) {
     let (mut fleet, stream) = Fleet::new(size);
     fleet.run(Duration::from_secs(5));
     let record = (stream.len() as u64, proto::encode(&publish(2)).into());
@@ -175,20 +176,20 @@
             fleet.feed(node, Input::LogUnreachable);
         }
     }
-    let began = fleet.now;
-    let end = began + Duration::from_secs(60);
+    let started = fleet.now;
+    let end = started + Duration::from_secs(60);
     while fleet.lagging(2) > 0 && fleet.now < end {
         fleet.step(end);
     }
-    (fleet.now.since(began), fleet.fetches)
+    (fleet.now.since(started), fleet.fetches)
 }
 
-/// The log is slow for most nodes. Had each to wait for the log itself, callers would meet old and
-/// new rules side by side for as long as that lasts.
+/// The log is slow for most nodes. If each had to wait for the log itself, callers would meet old
+/// and new rules side by side for as long as that lasts.
 #[test]
-fn new_rules_are_in_force_everywhere_in_time() {
+fn new_rules_reach_all_nodes_in_time() {
     for knows_outage in [true, false] {
-        let (took, fetches) = spread(48, 1, knows_outage);
+        let (took, fetches) = propagate(48, 1, knows_outage);
         assert!(took < Duration::from_secs(10), "{took:?}");
         assert!(fetches <= 3 * 48, "{fetches}");
     }
--- a/crates/engine/tests/log/shared_reads.rs
+++ b/crates/engine/tests/log/shared_reads.rs
@@ -1,31 +1,31 @@
-//! A few nodes of each failure domain read the store, and the others hear of it from them.
+//! A few nodes of each failure domain read the store, and the others get its changes from them.
 
 use crate::driver::instance;
-use crate::spread::Fleet;
+use crate::propagation::Fleet;
 use bilberry_engine::Config;
 use bilberry_engine::Input;
 use proto::Instance;
 use std::time::Duration;
 
-/// Within this time of a publication all nodes have to work by it.
-const IN_FORCE: Duration = Duration::from_millis(2500);
+/// The time within which all nodes must apply a publication.
+const MAX_PROPAGATION_TIME: Duration = Duration::from_millis(2500);
 
-/// How long nodes that start together take to know each other and to settle.
-const START: Duration = Duration::from_secs(8);
+/// The time in which nodes that start together discover each other and settle.
+const STARTUP_TIME: Duration = Duration::from_secs(8);
 
 const RULES: &str =
     "operation press GET /slots class=lookup idempotent deadline=2s # asked by Anna";
 
-fn domain(node: usize, domains: usize) -> usize {
+fn domain_of(node: usize, domains: usize) -> usize {
     node % domains
 }
 
-/// Nodes in so many failure domains that have just started, know each other's addresses and have the
-/// first version.
+/// Nodes in this many failure domains that have just started, know each other's addresses and have
+/// version 1 of the rules.
 fn fleet(nodes: usize, domains: usize) -> Fleet {
     let member = |node: usize| Instance {
-        failure_domain: format!("domain-{}", domain(node, domains)).into(),
-        region: format!("region-{}", domain(node, domains) % 3).into(),
+        failure_domain: format!("domain-{}", domain_of(node, domains)).into(),
+        region: format!("region-{}", domain_of(node, domains) % 3).into(),
         ..instance(node as u16 + 1)
     };
     let cfg = || Config {
@@ -36,13 +36,13 @@
     let addrs: Vec<_> = fleet.members.iter().map(|member| member.addr).collect();
     for node in 0..nodes {
         fleet.feed(node, Input::Directory(addrs.clone()));
-        fleet.feed(node, published(1));
+        fleet.feed(node, rules_published(1));
     }
-    fleet.run(START);
+    fleet.run(STARTUP_TIME);
     fleet
 }
 
-fn published(version: u64) -> Input {
+fn rules_published(version: u64) -> Input {
     Input::RulesPublished {
         version,
         file: RULES.into(),
@@ -56,24 +56,24 @@
         .collect()
 }
 
-/// Publishes to those who read the store and are not `deaf`; gives how long all others take that hear
-/// anything.
-fn publish(fleet: &mut Fleet, version: u64, deaf: impl Fn(usize) -> bool) -> Duration {
+/// Publishes a version to the nodes that read the store, except those for which `excluded` holds.
+/// Returns the time until all nodes that are not `excluded` have it.
+fn publish(fleet: &mut Fleet, version: u64, excluded: impl Fn(usize) -> bool) -> Duration {
     let published_at = fleet.now;
     let end = published_at + Duration::from_secs(30);
     let all = fleet.engines.len();
-    let deaf: Vec<usize> = (0..all).filter(|node| deaf(*node)).collect();
+    let excluded: Vec<usize> = (0..all).filter(|node| excluded(*node)).collect();
     let lagging = |fleet: &Fleet| {
         let lags = |node: &usize| fleet.engines[*node].rules_version() < version;
         (0..all)
-            .filter(|node| !deaf.contains(node))
+            .filter(|node| !excluded.contains(node))
             .filter(lags)
             .count()
     };
     while lagging(fleet) > 0 && fleet.now < end {
         for node in readers(fleet) {
-            if !deaf.contains(&node) {
-                fleet.feed(node, published(version));
+            if !excluded.contains(&node) {
+                fleet.feed(node, rules_published(version));
             }
         }
         let next = fleet.now + Duration::from_millis(10);
@@ -82,90 +82,94 @@
     fleet.now.since(published_at)
 }
 
-fn check(nodes: usize, domains: usize) {
+fn check_readers_and_propagation(nodes: usize, domains: usize) {
     let mut fleet = fleet(nodes, domains);
     let readers = readers(&fleet);
     for number in 0..domains {
-        let of_domain = readers
+        let in_domain = readers
             .iter()
-            .filter(|node| domain(**node, domains) == number);
-        assert_eq!(of_domain.count(), 2, "{nodes} nodes, domain {number}");
+            .filter(|node| domain_of(**node, domains) == number);
+        assert_eq!(in_domain.count(), 2, "{nodes} nodes, domain {number}");
     }
-    fleet.loses = 20;
+    fleet.lose_every = 20;
     let took = publish(&mut fleet, 2, |_| false);
-    assert!(took < IN_FORCE, "{nodes} nodes: {took:?}");
+    assert!(took < MAX_PROPAGATION_TIME, "{nodes} nodes: {took:?}");
 }
 
-/// Each call of the store is paid for. With every node reading, a publication costs a call a machine, and
-/// a fleet of hundreds pays more for hearing of it than for most of what goes wrong in a day.
+/// Each call to the store costs money. If every node read it, each publication would cost one call
+/// per machine, and a fleet of hundreds would pay more for that than for most incidents of a day.
 #[test]
 fn two_nodes_of_a_failure_domain_read_for_all() {
-    check(24, 6);
-    check(63, 6);
-    check(195, 9);
+    check_readers_and_propagation(24, 6);
+    check_readers_and_propagation(63, 6);
+    check_readers_and_propagation(195, 9);
 }
 
-/// A fleet starts at once, and later loses a failure domain. With a line for each node that each node hears
-/// of, or holds for dead, the logs of a fleet grow with the square of its size, in the seconds in which
-/// its processors have other work.
+/// All nodes of a fleet start at the same time, and later a failure domain is lost. With a line for
+/// each node that another one discovers or considers dead, the logs would grow with the square of
+/// the fleet's size, in the seconds in which its processors have other work.
 #[test]
 fn lines_about_peers_do_not_grow_with_the_fleet() {
-    let most = |fleet: &Fleet| fleet.peer_lines.iter().copied().max().unwrap();
+    let most = |fleet: &Fleet| fleet.peer_events.iter().copied().max().unwrap();
     for nodes in [24, 195] {
         let mut fleet = fleet(nodes, 6);
-        let lines_a_second = 5;
-        let seconds = START.as_secs() as usize;
-        assert!(most(&fleet) <= lines_a_second * seconds, "{}", most(&fleet));
+        let events_per_second = 5;
+        let seconds = STARTUP_TIME.as_secs() as usize;
+        assert!(
+            most(&fleet) <= events_per_second * seconds,
+            "{}",
+            most(&fleet)
+        );
         let at_start = most(&fleet);
-        fleet.cut = Box::new(|a, b| domain(a, 6) == 0 || domain(b, 6) == 0);
-        fleet.run(START);
-        let of_loss = most(&fleet) - at_start;
-        assert!(of_loss <= lines_a_second * seconds, "{of_loss}");
+        fleet.is_cut = Box::new(|a, b| domain_of(a, 6) == 0 || domain_of(b, 6) == 0);
+        fleet.run(STARTUP_TIME);
+        let after_loss = most(&fleet) - at_start;
+        assert!(after_loss <= events_per_second * seconds, "{after_loss}");
     }
 }
 
-/// The machines that read for a failure domain lose their power as a publication comes. Its other nodes
-/// would work by the old rules until somebody has found out.
+/// The machines that read for a failure domain lose power at the time of a publication. Its other
+/// nodes must not keep applying the old rules until the loss has been detected.
 #[test]
-fn a_domain_whose_readers_are_lost_hears_from_the_others() {
+fn a_domain_that_lost_its_readers_is_updated_by_the_others() {
     let mut fleet = fleet(63, 6);
     let lost: Vec<usize> = readers(&fleet)
         .into_iter()
-        .filter(|node| domain(*node, 6) == 0)
+        .filter(|node| domain_of(*node, 6) == 0)
         .collect();
     let gone = lost.clone();
-    fleet.cut = Box::new(move |a, b| gone.contains(&a) || gone.contains(&b));
+    fleet.is_cut = Box::new(move |a, b| gone.contains(&a) || gone.contains(&b));
     let took = publish(&mut fleet, 2, |node| lost.contains(&node));
-    assert!(took < IN_FORCE, "{took:?}");
+    assert!(took < MAX_PROPAGATION_TIME, "{took:?}");
 }
 
-/// A node is cut off from all others while it reaches the store. Left to hear from them, it would work
-/// by rules that the operator has replaced.
+/// A node is cut off from all others but reaches the store. If it relied on the others, it would
+/// keep applying rules that the operator has replaced.
 #[test]
-fn a_node_that_hears_nobody_reads_the_store() {
+fn an_isolated_node_reads_the_store() {
     let mut fleet = fleet(24, 6);
     let readers = readers(&fleet);
     let alone = (0..24).find(|node| !readers.contains(node)).unwrap();
-    fleet.cut = Box::new(move |a, b| a == alone || b == alone);
+    fleet.is_cut = Box::new(move |a, b| a == alone || b == alone);
     let took = publish(&mut fleet, 2, |_| false);
-    assert!(took < IN_FORCE, "{took:?}");
-    fleet.cut = Box::new(|_, _| false);
+    assert!(took < MAX_PROPAGATION_TIME, "{took:?}");
+    fleet.is_cut = Box::new(|_, _| false);
     fleet.run(Duration::from_secs(20));
     assert!(!fleet.engines[alone].reads_store(fleet.now));
 }
 
-/// The store turns away the machines of a whole failure domain, its readers among them, and tells them
-/// nothing. They are not cut off from the other nodes.
+/// The store rejects the machines of a whole failure domain, its readers among them. They are not
+/// cut off from the other nodes.
 #[test]
-fn a_domain_that_the_store_turns_away_hears_from_the_others() {
+fn a_domain_rejected_by_the_store_is_updated_by_the_others() {
     let mut fleet = fleet(63, 6);
-    let turned_away = |node: &usize| domain(*node, 6) == 0;
-    let end = fleet.now + IN_FORCE;
+    let is_rejected = |node: &usize| domain_of(*node, 6) == 0;
+    let end = fleet.now + MAX_PROPAGATION_TIME;
     while fleet.now < end && fleet.lagging(2) > 0 {
         for node in readers(&fleet) {
-            match turned_away(&node) {
+            match is_rejected(&node) {
                 true => fleet.feed(node, Input::LogUnreachable),
-                false => fleet.feed(node, published(2)),
+                false => fleet.feed(node, rules_published(2)),
             }
         }
         fleet.run(Duration::from_millis(50));
--- a/crates/engine/tests/organisations.rs
+++ b/crates/engine/tests/organisations.rs
@@ -1,4 +1,4 @@
-//! Who may send requests: keys, their revocation, and quotas, at one node.
+//! Which requests one node admits: API keys, their revocation, and quotas.
 
 use bilberry_engine::Announcement;
 use bilberry_engine::Config;
@@ -22,13 +22,13 @@
 use std::time::Duration;
 use stdx::Time;
 
-const BOUND: Duration = Duration::from_secs(5);
+const REVOCATION_BOUND: Duration = Duration::from_secs(5);
 
 fn at(ms: u64) -> Time {
     Time::from_micros(ms * 1000)
 }
 
-/// Rules with one operation for callers with a key, a public one, and these organisations.
+/// Rules with one operation that requires a key, one public operation, and these organisations.
 fn rules(organisations: &[(&str, &str, &str)]) -> String {
     let mut text = "operation press POST /slots class=booking deadline=2s # asked by Ugo\n\
                     operation press GET /days class=lookup idempotent deadline=2s public # asked by Ugo\n"
@@ -48,7 +48,7 @@
 }
 
 impl Driver {
-    /// A node beside a server of `press`, whose rules are known to be the newest.
+    /// A node with a backend server of `press`, whose rules are confirmed to be the newest.
     fn new(organisations: &[(&str, &str, &str)]) -> Self {
         let me = Instance {
             incarnation: Incarnation(1),
@@ -60,7 +60,7 @@
         let cfg = Config {
             keyless: Keyless::Own,
             announced: true,
-            revocation: Some(BOUND),
+            revocation: Some(REVOCATION_BOUND),
             ..Config::default()
         };
         let mut driver = Self {
@@ -78,7 +78,7 @@
             slots: 200,
             draining: false,
         })));
-        driver.confirm();
+        driver.confirm_rules();
         driver
     }
 
@@ -92,19 +92,19 @@
         self.feed(Input::RulesPublished { version, file });
     }
 
-    fn confirm(&mut self) {
+    fn confirm_rules(&mut self) {
         let (asked, version) = (at(self.now), self.version);
         self.feed(Input::RulesChecked { asked, version });
     }
 
-    /// Lets time pass, while the store goes on confirming the rules or not.
-    fn pass(&mut self, ms: u64, confirmed: bool) -> Vec<Output> {
+    /// Lets time pass; the store confirms the rules once per second if `confirmed`.
+    fn advance(&mut self, ms: u64, confirmed: bool) -> Vec<Output> {
         let mut outputs = Vec::new();
         for _ in 0..ms / 10 {
             self.now += 10;
             outputs.extend(self.feed(Input::Tick));
             if confirmed && self.now % 1000 == 0 {
-                self.confirm();
+                self.confirm_rules();
             }
         }
         outputs
@@ -131,10 +131,10 @@
         })
     }
 
-    /// The organisation that the server is told, or why the request did not run.
-    fn check(&mut self, path: &str, key: Option<&str>, expected: Result<&str, Reason>) {
+    /// Checks the organisation that the server is told, or why the request did not run.
+    fn check_request(&mut self, path: &str, key: Option<&str>, expected: Result<&str, Reason>) {
         let outputs = self.request(path, key, None);
-        let (run, got) = match end(&outputs).expect("it runs or is answered") {
+        let (run, got) = match run_or_refusal(&outputs).expect("it runs or is answered") {
             Ok((run, organisation)) => (Some(run), Ok(organisation)),
             Err(reason) => (None, Err(reason)),
         };
@@ -158,7 +158,7 @@
     }
 }
 
-fn end(outputs: &[Output]) -> Option<Result<(RunId, Arc<str>), Reason>> {
+fn run_or_refusal(outputs: &[Output]) -> Option<Result<(RunId, Arc<str>), Reason>> {
     outputs.iter().find_map(|output| match output {
         Output::Run { run, request, .. } => Some(Ok((*run, request.organisation.clone()))),
         Output::Answer {
@@ -172,30 +172,33 @@
 #[test]
 fn a_request_runs_for_the_organisation_that_holds_its_key() {
     let mut driver = Driver::new(&[("anna", "k1", ""), ("marco", "k2", "")]);
-    driver.check("/slots", Some("k1"), Ok("anna"));
-    driver.check("/slots", Some("k2"), Ok("marco"));
-    driver.check("/slots", Some("k3"), Err(Reason::UnknownOrganisation));
-    driver.check("/slots", None, Err(Reason::UnknownOrganisation));
+    driver.check_request("/slots", Some("k1"), Ok("anna"));
+    driver.check_request("/slots", Some("k2"), Ok("marco"));
+    driver.check_request("/slots", Some("k3"), Err(Reason::UnknownOrganisation));
+    driver.check_request("/slots", None, Err(Reason::UnknownOrganisation));
 }
 
 #[test]
 fn a_public_operation_needs_no_key_and_takes_no_forged_organisation() {
     let mut driver = Driver::new(&[("anna", "k1", "")]);
-    driver.check("/days", None, Ok(""));
-    driver.check("/days", Some("k3"), Ok(""));
-    driver.check("/days", Some("k1"), Ok("anna"));
+    driver.check_request("/days", None, Ok(""));
+    driver.check_request("/days", Some("k3"), Ok(""));
+    driver.check_request("/days", Some("k1"), Ok("anna"));
 }
 
 #[test]
-fn a_call_of_a_run_needs_no_key_and_one_that_claims_to_be_does() {
+fn a_child_call_needs_no_key_but_a_false_claim_to_be_one_does() {
     let mut driver = Driver::new(&[("anna", "k1", "")]);
     let outputs = driver.request("/slots", Some("k1"), None);
-    assert!(matches!(end(&outputs), Some(Ok(_))));
+    assert!(matches!(run_or_refusal(&outputs), Some(Ok(_))));
     let child = driver.request("/slots", None, Some("id-1"));
-    assert_eq!(end(&child).unwrap().map(|(_, name)| name), Ok("".into()));
+    assert_eq!(
+        run_or_refusal(&child).unwrap().map(|(_, name)| name),
+        Ok("".into())
+    );
     let forged = driver.request("/slots", None, Some("id-9"));
     assert_eq!(
-        end(&forged).unwrap().map(|_| ()),
+        run_or_refusal(&forged).unwrap().map(|_| ()),
         Err(Reason::UnknownOrganisation)
     );
 }
@@ -203,48 +206,48 @@
 #[test]
 fn a_key_is_not_trusted_once_it_may_have_been_revoked() {
     let mut driver = Driver::new(&[("anna", "k1", "")]);
-    driver.pass(4700, false);
-    driver.check("/slots", Some("k1"), Ok("anna"));
-    driver.pass(300, false);
-    driver.check("/slots", Some("k1"), Err(Reason::RulesUnconfirmed));
-    driver.check("/days", None, Ok(""));
-    driver.confirm();
-    driver.check("/slots", Some("k1"), Ok("anna"));
+    driver.advance(4700, false);
+    driver.check_request("/slots", Some("k1"), Ok("anna"));
+    driver.advance(300, false);
+    driver.check_request("/slots", Some("k1"), Err(Reason::RulesUnconfirmed));
+    driver.check_request("/days", None, Ok(""));
+    driver.confirm_rules();
+    driver.check_request("/slots", Some("k1"), Ok("anna"));
 }
 
 #[test]
-fn an_unknown_key_may_be_new_while_the_rules_are_not_fresh() {
+fn an_unknown_key_may_be_new_while_the_rules_are_unconfirmed() {
     let mut driver = Driver::new(&[("anna", "k1", "")]);
-    driver.pass(3000, false);
-    driver.check("/slots", Some("k2"), Err(Reason::RulesUnconfirmed));
+    driver.advance(3000, false);
+    driver.check_request("/slots", Some("k2"), Err(Reason::RulesUnconfirmed));
 }
 
 #[test]
-fn a_confirmation_of_newer_rules_than_are_held_counts_for_nothing() {
+fn a_confirmation_of_newer_rules_does_not_confirm_older_ones() {
     let mut driver = Driver::new(&[("anna", "k1", "")]);
-    driver.pass(4900, false);
+    driver.advance(4900, false);
     let asked = at(driver.now);
     driver.feed(Input::RulesChecked { asked, version: 9 });
-    driver.check("/slots", Some("k1"), Err(Reason::RulesUnconfirmed));
+    driver.check_request("/slots", Some("k1"), Err(Reason::RulesUnconfirmed));
 }
 
 #[test]
-fn a_revoked_key_is_refused_as_soon_as_the_rules_are_there() {
+fn a_revoked_key_is_refused_as_soon_as_the_new_rules_arrive() {
     let mut driver = Driver::new(&[("anna", "k1", "")]);
     driver.publish(&[("anna", "k2", "")]);
-    driver.check("/slots", Some("k1"), Err(Reason::UnknownOrganisation));
-    driver.check("/slots", Some("k2"), Ok("anna"));
+    driver.check_request("/slots", Some("k1"), Err(Reason::UnknownOrganisation));
+    driver.check_request("/slots", Some("k2"), Ok("anna"));
 }
 
 #[test]
-fn a_node_alone_admits_what_the_quota_allows() {
+fn a_single_node_admits_what_the_quota_allows() {
     let mut driver = Driver::new(&[("anna", "k1", "rate=10 burst=5"), ("marco", "k2", "")]);
-    driver.pass(10_000, true);
+    driver.advance(10_000, true);
     let mut admitted = 0;
     let mut refused = 0;
     for _ in 0..1000 {
         let mut outputs = driver.request("/slots", Some("k1"), None);
-        outputs.extend(driver.pass(10, true));
+        outputs.extend(driver.advance(10, true));
         for output in outputs {
             match output {
                 Output::Run { run, .. } => {
@@ -262,21 +265,21 @@
             }
         }
     }
-    // Ten seconds at the rate, the burst, and what the bounds leave.
+    // Ten seconds at the rate, the burst, and the tolerance of the quota bounds.
     assert!((100..=132).contains(&admitted), "{admitted} admitted");
     assert!(refused > 800, "{refused} refused");
-    driver.check("/slots", Some("k2"), Ok("marco"));
+    driver.check_request("/slots", Some("k2"), Ok("marco"));
 }
 
 #[test]
-fn a_token_of_a_request_that_did_not_run_admits_another() {
+fn the_token_of_a_request_that_did_not_run_admits_another() {
     let mut driver = Driver::new(&[("anna", "k1", "rate=1 burst=0")]);
-    driver.pass(6000, true);
+    driver.advance(6000, true);
     let outputs = driver.request("/slots", Some("k1"), None);
-    let Some(Ok((run, _))) = end(&outputs) else {
+    let Some(Ok((run, _))) = run_or_refusal(&outputs) else {
         panic!("{outputs:?}");
     };
-    // More come than there are tokens, and the rest waits.
+    // More requests than there are tokens; the rest wait.
     for _ in 0..30 {
         driver.request("/slots", Some("k1"), None);
     }
@@ -292,13 +295,16 @@
 }
 
 #[test]
-fn a_stopping_node_waits_for_requests_that_wait_for_a_token() {
+fn a_stopping_node_answers_requests_that_wait_for_a_token() {
     let mut driver = Driver::new(&[("anna", "k1", "rate=1 burst=0")]);
     let outputs = driver.request("/slots", Some("k1"), None);
-    assert!(end(&outputs).is_none(), "no token is there yet");
+    assert!(
+        run_or_refusal(&outputs).is_none(),
+        "no token is available yet"
+    );
     let stopped = |outputs: &[Output]| outputs.iter().position(|output| *output == Output::Stopped);
     assert_eq!(stopped(&driver.feed(Input::Stop)), None);
-    let outputs = driver.pass(500, true);
+    let outputs = driver.advance(500, true);
     let answered = outputs
         .iter()
         .position(|output| matches!(output, Output::Answer { .. }));
@@ -309,45 +315,48 @@
 }
 
 #[test]
-fn without_organisations_nothing_is_asked_of_anybody() {
+fn without_organisations_no_rules_are_checked_and_no_tokens_borrowed() {
     let mut driver = Driver::new(&[]);
-    let outputs = driver.pass(5000, false);
+    let outputs = driver.advance(5000, false);
     let asked = |output: &Output| match output {
         Output::CheckRules => true,
         Output::Datagram { datagram, .. } => !matches!(datagram, proto::Datagram::Member { .. }),
         _ => false,
     };
     assert!(!outputs.iter().any(asked));
-    driver.check("/slots", None, Ok(""));
+    driver.check_request("/slots", None, Ok(""));
 }
 
 #[test]
 fn the_time_spent_waiting_for_a_token_is_part_of_the_deadline() {
     let mut driver = Driver::new(&[("anna", "k1", "rate=10 burst=0")]);
-    driver.pass(1100, true);
-    let given = |outputs: &[Output]| {
+    driver.advance(1100, true);
+    let remaining_time = |outputs: &[Output]| {
         outputs.iter().find_map(|output| match output {
             Output::Run { remaining, .. } => Some(*remaining),
             _ => None,
         })
     };
-    let without_wait = given(&driver.request("/days", None, None)).unwrap();
-    // The node has no vote yet; the first token comes while this waits.
+    let without_wait = remaining_time(&driver.request("/days", None, None)).unwrap();
+    // The node has no vote yet. The first token arrives while this request waits.
     let outputs = driver.request("/slots", Some("k1"), None);
-    assert!(end(&outputs).is_none());
-    let began = driver.now;
-    let remaining = (0..30).find_map(|_| given(&driver.pass(10, true)));
-    let waited = Duration::from_millis(driver.now - began);
+    assert!(run_or_refusal(&outputs).is_none());
+    let started = driver.now;
+    let remaining = (0..30).find_map(|_| remaining_time(&driver.advance(10, true)));
+    let waited = Duration::from_millis(driver.now - started);
     assert_eq!(remaining, Some(without_wait - waited));
     assert!(waited >= Duration::from_millis(50), "{waited:?}");
 }
 
 #[test]
-fn a_request_that_waits_is_answered_though_new_rules_name_no_organisation() {
+fn a_waiting_request_is_answered_after_the_last_organisation_is_removed() {
     let mut driver = Driver::new(&[("anna", "k1", "rate=1 burst=0")]);
     let outputs = driver.request("/slots", Some("k1"), None);
-    assert!(end(&outputs).is_none(), "no token is there yet");
+    assert!(
+        run_or_refusal(&outputs).is_none(),
+        "no token is available yet"
+    );
     driver.publish(&[]);
-    let outputs = driver.pass(400, false);
-    assert!(end(&outputs).is_some(), "{outputs:?}");
+    let outputs = driver.advance(400, false);
+    assert!(run_or_refusal(&outputs).is_some(), "{outputs:?}");
 }
--- a/crates/engine/tests/refusals.rs
+++ b/crates/engine/tests/refusals.rs
@@ -1,4 +1,4 @@
-//! What a refusal by another node becomes at the entry.
+//! How an ingress node handles a refusal from another node.
 
 use bilberry_engine::Config;
 use bilberry_engine::Engine;
@@ -32,8 +32,8 @@
     }
 }
 
-/// An entry that knows one instance of `press`.
-fn entry() -> Engine {
+/// An ingress node that knows one instance of `press`.
+fn ingress_node() -> Engine {
     let publish = Record::Publish {
         version: 1,
         publication: 1,
@@ -62,10 +62,10 @@
     }
 }
 
-/// Books with this key, has each call refused for this reason, and checks how many calls there were
-/// and what the caller is told.
-fn check(key: Option<&str>, reason: Reason, calls: usize, outcome: &'static str) {
-    let mut engine = entry();
+/// Books with this key and has each call refused for this reason. Checks the number of calls and
+/// the outcome that the caller is told.
+fn check_refusal(key: Option<&str>, reason: Reason, calls: usize, outcome: &'static str) {
+    let mut engine = ingress_node();
     let mut outputs = engine.handle(Time::ZERO, booking(key));
     let mut sent = 0;
     let answer = loop {
@@ -80,10 +80,7 @@
                 _ => {}
             }
         }
-        match next
-            .pop()
-            .expect("each call and each answer leads to something")
-        {
+        match next.pop().expect("each step leads to a call or an answer") {
             Err(outcome) => break outcome,
             Ok(id) => {
                 sent += 1;
@@ -106,27 +103,28 @@
     );
 }
 
-/// A caller sends its key again, and the home is on the move. Told "not run", it would take the
-/// booking for undone, though the first attempt may have made it; only the key's record tells.
+/// A caller sends a key again while the home of the key is changing. If it were told "not run", it
+/// would assume that no booking exists, although the first attempt may have made it. Only the
+/// record of the key can tell.
 #[test]
-fn a_key_that_may_have_been_sent_before_is_not_said_to_be_undone() {
-    check(Some("k"), Reason::NoLease, 1, "unknown");
-    check(Some("k"), Reason::QueueFull, 1, "not-run");
-    check(None, Reason::NoLease, 1, "not-run");
+fn a_key_that_may_have_been_sent_before_is_not_reported_as_not_run() {
+    check_refusal(Some("k"), Reason::NoLease, 1, "unknown");
+    check_refusal(Some("k"), Reason::QueueFull, 1, "not-run");
+    check_refusal(None, Reason::NoLease, 1, "not-run");
 }
 
-/// The only home that the entry knows refuses a call, because its slot moves. Sent there again at
-/// once, the call gets the same refusal over and over, and the home is busy with refusing.
+/// The only home that the ingress node knows refuses a call because its slot is moving. If the call
+/// went there again at once, it would get the same refusal over and over and keep the home busy.
 #[test]
-fn a_call_does_not_go_round_between_an_entry_and_the_same_home() {
-    check(Some("k"), Reason::Moving, 1, "unknown");
+fn a_call_is_not_sent_again_to_a_home_that_refused_it() {
+    check_refusal(Some("k"), Reason::Moving, 1, "unknown");
 }
 
-/// A connection goes silent while large orders wait to be written to it. They were never sent, so
-/// they go out over the next one; given up at once, they would fail though their home is well.
+/// A connection stalls while large orders wait to be written to it. They were never sent, so they
+/// go out over the next one. Otherwise they would fail although their home is healthy.
 #[test]
-fn a_call_that_was_never_sent_goes_out_again() {
-    let mut engine = entry();
+fn an_unsent_call_is_sent_again() {
+    let mut engine = ingress_node();
     let mut outputs = engine.handle(Time::ZERO, booking(Some("k")));
     let mut sent = 0;
     let answer = loop {
@@ -149,11 +147,12 @@
     assert_eq!((sent, answer.name()), (4, "unknown"));
 }
 
-/// The connection to a home breaks again and again while it has an order whose key this node made.
-/// Tried under another call, the order would count as certainly new there, and could run twice.
+/// The connection to a home breaks again and again while the home has an order with a key that this
+/// node generated. If the order were sent under another call id, the home would treat it as a first
+/// attempt and could run it twice.
 #[test]
-fn an_order_that_may_have_run_is_never_tried_again() {
-    let mut engine = entry();
+fn an_order_that_may_have_run_is_not_sent_under_another_id() {
+    let mut engine = ingress_node();
     let mut outputs = engine.handle(Time::ZERO, booking(None));
     let mut ids = Vec::new();
     let answer = loop {
