--- a/crates/engine/src/calls.rs
+++ b/crates/engine/src/calls.rs
@@ -148,7 +148,7 @@
 
     /// What is left for the callee: its answer has to travel back.
     fn remaining_ms(&self, now: Time, call: &OutgoingCall) -> u32 {
-        let travel = match self.place(&call.target) {
+        let travel = match self.proximity(&call.target) {
             Place::SameDomain => Duration::from_millis(1),
             Place::SameRegion => Duration::from_millis(2),
             Place::OtherRegion => Duration::from_millis(25),
--- a/crates/engine/src/routing.rs
+++ b/crates/engine/src/routing.rs
@@ -57,17 +57,17 @@
             _ => Standing::Closed,
         };
         let instance = &peer.instance;
-        let place = self.place(instance);
+        let proximity = self.proximity(instance);
         self.selector.set(
             now,
             instance.incarnation,
             &instance.service,
-            place,
+            proximity,
             standing,
         );
     }
 
-    pub(crate) fn place(&self, peer: &Instance) -> Place {
+    pub(crate) fn proximity(&self, peer: &Instance) -> Place {
         if peer.failure_domain == self.me.failure_domain {
             Place::SameDomain
         } else if peer.region == self.me.region {
