--- a/crates/engine/src/log.rs
+++ b/crates/engine/src/log.rs
@@ -146,7 +146,7 @@
         let longest_deadline = longest_deadline.unwrap_or(limit.key_retention);
         self.home.set_times(limit.key_retention, longest_deadline);
         self.update_concurrency_bounds();
-        self.check_server(now);
+        self.request_health_check(now);
         self.mark_roster_changed(now);
     }
 
@@ -189,10 +189,10 @@
         // the next start is another incarnation.
         let has_departed = self.journal.departed.contains_key(&self.me.incarnation);
         if !self.stopping && !has_departed && !self.is_listed() && self.journal.admits(&self.me) {
-            self.append(AppendKey::Join);
+            self.queue_append(AppendKey::Join);
         }
         if self.is_oldest_member() && self.journal.to_forget().is_some() {
-            self.append(AppendKey::Forget);
+            self.queue_append(AppendKey::Forget);
         }
     }
 
@@ -205,7 +205,7 @@
     /// Queues an append unless it is queued already. It is tried until the applied records show its
     /// effect. If the queue is full, the append is dropped and counted, and the caller has to queue
     /// it again later.
-    pub(crate) fn append(&mut self, key: AppendKey) {
+    pub(crate) fn queue_append(&mut self, key: AppendKey) {
         if self.log.appends.contains(key) {
             return;
         }
@@ -324,7 +324,7 @@
         self.log.appends.remove(AppendKey::Join);
         let has_departed = self.journal.departed.contains_key(&self.me.incarnation);
         if !has_departed && (self.log.join_sent || self.is_listed()) {
-            self.append(AppendKey::Leave);
+            self.queue_append(AppendKey::Leave);
             // Without a time limit, a stop during an outage of the log would never end. The views
             // then still list this node until another one evicts it.
             self.log.leave_deadline = Some(now + self.cfg.leave_patience);
--- a/crates/engine/src/members.rs
+++ b/crates/engine/src/members.rs
@@ -131,7 +131,7 @@
                 Effect::Changed { incarnation, state } => {
                     self.count(Counter::PeerChanged);
                     self.report_peer_change(now, incarnation, state);
-                    self.update_standing(now, incarnation, state);
+                    self.update_eligibility(now, incarnation, state);
                     self.quota.invalidate_election();
                     // An eviction may have been queued throughout an outage of the log. If the peer
                     // is no longer dead, it would remove a live instance together with its share of
@@ -142,7 +142,7 @@
                 }
                 Effect::Evict(incarnation) => {
                     self.count(Counter::EvictionAsked);
-                    self.append(AppendKey::Evict(incarnation));
+                    self.queue_append(AppendKey::Evict(incarnation));
                 }
                 Effect::TableFull => self.count(Counter::PeerTableFull),
             }
--- a/crates/engine/src/own_server.rs
+++ b/crates/engine/src/own_server.rs
@@ -74,7 +74,7 @@
             }
             Some(server) if server.is_same_incarnation(&heartbeat) => {
                 server.heartbeat = heartbeat;
-                self.check_server(now);
+                self.request_health_check(now);
                 self.on_server_changed(now, false);
             }
             server => {
@@ -90,7 +90,7 @@
                 let slots = server.heartbeat.slots;
                 self.server.restarted(now, slots);
                 self.count(Counter::ServerStarted);
-                self.check_server(now);
+                self.request_health_check(now);
                 self.on_server_changed(now, true);
             }
         }
@@ -98,7 +98,7 @@
 
     /// Sends the health check if it is still due. Without rules the path of the check is unknown;
     /// if the rules define none, the heartbeat alone decides.
-    pub(crate) fn check_server(&mut self, now: Time) {
+    pub(crate) fn request_health_check(&mut self, now: Time) {
         if !self.has_rules() {
             return;
         }
--- a/crates/engine/src/reattach.rs
+++ b/crates/engine/src/reattach.rs
@@ -67,12 +67,12 @@
     /// call that may as well run elsewhere does not wait for that.
     fn schedule_reattach(&mut self, now: Time, id: CallId, mut call: OutgoingCall) {
         let target = call.target.incarnation;
-        let gone = self
+        let target_gone = self
             .members
             .get(target)
             .is_none_or(|peer| peer.state == PeerState::Dead);
-        let elsewhere = call.idempotent && call.retry_allowance.left() > 0;
-        if gone || elsewhere || call.reattaches >= MAX_REATTACHES {
+        let may_run_elsewhere = call.idempotent && call.retry_allowance.left() > 0;
+        if target_gone || may_run_elsewhere || call.reattaches >= MAX_REATTACHES {
             return self.after_lost(now, call, Reason::PeerLost);
         }
         let delay = REATTACH_DELAY * (1 << call.reattaches);
--- a/crates/engine/src/routing.rs
+++ b/crates/engine/src/routing.rs
@@ -20,7 +20,7 @@
         let service = &call.request.service;
         let own_incarnation = self.me.incarnation;
         if self.me.service == *service {
-            self.update_own_standing(now);
+            self.update_own_eligibility(now);
         }
         let chosen = self
             .selector
@@ -32,25 +32,30 @@
     }
 
     /// Adds the own backend server to the candidates. Its load is known exactly.
-    fn update_own_standing(&mut self, now: Time) {
-        let standing = if self.stopping {
+    fn update_own_eligibility(&mut self, now: Time) {
+        let eligibility = if self.stopping {
             Standing::Closed
         } else {
             Standing::Ready
         };
         let (own_incarnation, service) = (self.me.incarnation, &self.me.service);
-        self.selector
-            .set(now, own_incarnation, service, Place::SameDomain, standing);
+        self.selector.set(
+            now,
+            own_incarnation,
+            service,
+            Place::SameDomain,
+            eligibility,
+        );
         self.selector
             .on_report(now, own_incarnation, self.server.report());
     }
 
     /// Updates a peer among the candidates after its state has changed.
-    pub(crate) fn update_standing(&mut self, now: Time, peer: Incarnation, state: PeerState) {
+    pub(crate) fn update_eligibility(&mut self, now: Time, peer: Incarnation, state: PeerState) {
         let Some(peer) = self.members.get(peer) else {
             return;
         };
-        let standing = match state {
+        let eligibility = match state {
             _ if !peer.open => Standing::Closed,
             PeerState::Alive if !peer.load.draining => Standing::Ready,
             PeerState::Suspect if !peer.load.draining => Standing::Doubtful,
@@ -63,7 +68,7 @@
             instance.incarnation,
             &instance.service,
             proximity,
-            standing,
+            eligibility,
         );
     }
 
