--- a/crates/engine/src/diagnostic.rs
+++ b/crates/engine/src/diagnostic.rs
@@ -163,7 +163,7 @@
 impl OutcomeSummary {
     pub(crate) fn of(outcome: &Outcome) -> Self {
         match outcome {
-            Outcome::Whole(response) => OutcomeSummary::Whole(response.status),
+            Outcome::Completed(response) => OutcomeSummary::Whole(response.status),
             Outcome::NotRun(refusal) => OutcomeSummary::NotRun(refusal.reason),
             Outcome::Unknown(reason) => OutcomeSummary::Unknown(*reason),
         }
--- a/crates/engine/src/entry.rs
+++ b/crates/engine/src/ingress.rs
@@ -10,12 +10,12 @@
 use crate::Counter;
 use crate::Diagnostic;
 use crate::Engine;
-use crate::Keyless;
+use crate::KeylessCalls;
 use crate::Output;
 use crate::RequestToken;
 use crate::TreeRetries;
-use organisation::Credit;
-use policy::Account;
+use organisation::QuotaToken;
+use policy::RetryAllowance;
 use proto::ActionId;
 use proto::CallId;
 use proto::Fingerprint;
@@ -26,8 +26,8 @@
 use proto::Request;
 use proto::RunId;
 use rand::RngExt;
+use rules::MatchedRule;
 use rules::Operation;
-use rules::Rule;
 use std::sync::Arc;
 use std::time::Duration;
 use stdx::Time;
@@ -36,13 +36,15 @@
     pub(crate) fn on_request(&mut self, now: Time, mut arrival: Arrival) {
         let dice = self.rng.random();
         let admitted = self
-            .filter_state(&mut arrival.request, dice)
+            .filter_rules(&mut arrival.request, dice)
             .and_then(|operation| self.filter_identity(now, &mut arrival, operation));
         match admitted {
-            Ok((operation, None)) => self.enter(now, arrival, operation, dice, None),
+            Ok((operation, None)) => self.process_arrival(now, arrival, operation, dice, None),
             Ok((operation, Some((organisation, quota)))) => {
-                match self.quota.borrower.take(now, organisation, quota) {
-                    Some(credit) => self.enter(now, arrival, operation, dice, Some(credit)),
+                match self.quota.borrower.try_spend(now, organisation, quota) {
+                    Some(credit) => {
+                        self.process_arrival(now, arrival, operation, dice, Some(credit))
+                    }
                     None => self.wait_for_quota(now, arrival, organisation),
                 }
             }
@@ -51,13 +53,13 @@
     }
 
     /// Admits a request that has waited for its organisation's quota. The rules may have changed meanwhile.
-    pub(crate) fn on_credit(&mut self, now: Time, mut arrival: Arrival, credit: Credit) {
+    pub(crate) fn on_quota_granted(&mut self, now: Time, mut arrival: Arrival, credit: QuotaToken) {
         let dice = self.rng.random();
         let admitted = self
-            .filter_state(&mut arrival.request, dice)
+            .filter_rules(&mut arrival.request, dice)
             .and_then(|operation| self.filter_identity(now, &mut arrival, operation));
         match admitted {
-            Ok((operation, _)) => self.enter(now, arrival, operation, dice, Some(credit)),
+            Ok((operation, _)) => self.process_arrival(now, arrival, operation, dice, Some(credit)),
             Err(reason) => {
                 self.return_quota_token(now, Some(credit));
                 self.refuse_arrival(&arrival, reason);
@@ -65,13 +67,13 @@
         }
     }
 
-    fn enter(
+    fn process_arrival(
         &mut self,
         now: Time,
         arrival: Arrival,
         operation: Operation,
         dice: u16,
-        credit: Option<Credit>,
+        credit: Option<QuotaToken>,
     ) {
         let Arrival {
             token,
@@ -79,17 +81,17 @@
             caller,
             parents,
             key,
-            caller_timeout,
+            caller_timeout: patience,
             request,
             ..
         } = arrival;
         self.count(Counter::Request(operation.class));
         let refused = RefusedRequest::new(token, key.is_some(), &request);
         let latest = at + operation.deadline;
-        let patience = caller_timeout.map(|patience| patience.saturating_sub(now.since(at)));
+        let patience = patience.map(|patience| patience.saturating_sub(now.since(at)));
         let draft = self
             .filter_context(now, token, parents, dice, operation, request)
-            .map(|draft| shorten(draft, now, patience, latest))
+            .map(|draft| limit_deadline(draft, now, patience, latest))
             .and_then(|draft| self.filter_key(draft, &caller, key));
         match draft {
             Ok(draft) => {
@@ -124,13 +126,13 @@
         } = refused;
         let reason = refusal.reason;
         // Nobody has looked whether an earlier attempt with this key ran.
-        let unjudged = keyed && !reason.is_callers_mistake();
+        let unjudged = keyed && !reason.is_client_error();
         let refusal = if unjudged {
-            refusal.of_this_attempt()
+            refusal.for_attempt_only()
         } else {
             refusal
         };
-        self.out.push(Output::Diagnostic(Diagnostic::Refused {
+        self.outputs.push(Output::Diagnostic(Diagnostic::Refused {
             request,
             organisation,
             reason,
@@ -140,16 +142,16 @@
     }
 
     /// Refuses what this node cannot judge or no rule allows.
-    fn filter_state(&mut self, request: &mut Request, dice: u16) -> Result<Operation, Reason> {
+    fn filter_rules(&mut self, request: &mut Request, dice: u16) -> Result<Operation, Reason> {
         if !self.has_rules() {
             return Err(Reason::NoRules);
         }
-        if self.open.len() >= self.cfg.max_calls {
+        if self.open_requests.len() >= self.cfg.max_open_requests {
             return Err(Reason::TableFull);
         }
         let rules = &self.journal.rules;
-        let rule = rules.decide(request).ok_or(Reason::NoSuchOperation)?;
-        if let Rule::Route(route) = rule {
+        let rule = rules.match_rule(request).ok_or(Reason::NoSuchOperation)?;
+        if let MatchedRule::Route(route) = rule {
             request.service = route.target(dice).clone();
         }
         let mut operation = rule.operation().clone();
@@ -174,19 +176,21 @@
                 context: Some(context),
                 ..
             } => Some(RunId::parse(&context).ok_or(Reason::BadRequest)?),
-            ParentInfo { parent, .. } => parent.and_then(|id| self.jobs_by_id.get(&id).copied()),
+            ParentInfo { parent, .. } => {
+                parent.and_then(|id| self.jobs_by_request_id.get(&id).copied())
+            }
         };
         let Some(run) = run else {
-            return self.root(now, token, dice, operation, request);
+            return self.root_draft(now, token, dice, operation, request);
         };
         let job = self.jobs.get_mut(&run).ok_or(Reason::ParentGone)?;
         if job.depth >= self.cfg.max_depth {
             return Err(Reason::BadRequest);
         }
-        if job.possible_repeat && !job.retry_allowance.spend() {
+        if job.possible_repeat && !job.retry_allowance.try_withdraw() {
             return Err(Reason::AllowanceSpent);
         }
-        let lent = job.retry_allowance.lend();
+        let lent = job.retry_allowance.delegate_half();
         let (class, priority) = job.child_class_and_priority(&operation);
         Ok(RequestDraft {
             token,
@@ -197,7 +201,7 @@
             passed_level: job.passed_level,
             depth: job.depth + 1,
             deadline: job.deadline.min(now + operation.deadline),
-            retry_allowance: Account::new(lent),
+            retry_allowance: RetryAllowance::new(lent),
             parent: Some(run),
             delegated_retries: lent,
             key: None,
@@ -211,7 +215,7 @@
         })
     }
 
-    fn root(
+    fn root_draft(
         &mut self,
         now: Time,
         token: RequestToken,
@@ -220,7 +224,7 @@
         request: Request,
     ) -> Result<RequestDraft, Reason> {
         // A planned stop still finishes its runs, whose child calls come with a context.
-        if self.stopping && now >= self.lingers_until {
+        if self.stopping && now >= self.accepts_until {
             return Err(Reason::Draining);
         }
         Ok(RequestDraft {
@@ -232,7 +236,7 @@
             passed_level: 0,
             depth: 0,
             deadline: now + operation.deadline,
-            retry_allowance: Account::new(self.tree_retries(&operation)),
+            retry_allowance: RetryAllowance::new(self.tree_retries(&operation)),
             parent: None,
             delegated_retries: 0,
             key: None,
@@ -249,7 +253,7 @@
     /// The retries of an action that begins with this operation.
     fn tree_retries(&self, operation: &Operation) -> u16 {
         match self.cfg.tree_retries {
-            TreeRetries::ByCalls(calls_each) if operation.retries > 0 => {
+            TreeRetries::ScaledByCalls(calls_each) if operation.retries > 0 => {
                 let calls = self.admission.calls_below(&operation_key(operation));
                 operation.retries + calls.div_ceil(calls_each.max(1))
             }
@@ -269,7 +273,7 @@
         }
         if key
             .as_ref()
-            .is_some_and(|key| key.is_empty() || key.len() > self.cfg.max_key)
+            .is_some_and(|key| key.is_empty() || key.len() > self.cfg.max_key_len)
         {
             return Err(Reason::BadKey);
         }
@@ -277,7 +281,8 @@
         let service = draft.request.service.clone();
         // A keyed run may be asked for again, and its second attempt must not make new children.
         let parent_keyed = draft.parent.is_some_and(|run| self.is_first_run(run));
-        if key.is_none() && !parent_keyed && self.cfg.keyless == Keyless::Own {
+        if key.is_none() && !parent_keyed && self.cfg.keyless_calls == KeylessCalls::OwnedByIngress
+        {
             return Ok(draft);
         }
         let key = match (draft.parent, key) {
@@ -302,7 +307,7 @@
             }
         };
         if draft.parent.is_none() {
-            draft.action_id = key.action();
+            draft.action_id = key.action_id();
         }
         draft.key = Some((key.hash(), fingerprint));
         Ok(draft)
@@ -353,7 +358,7 @@
         let token = draft.token;
         let open = OpenRequest {
             call: CallId {
-                from: self.me.incarnation,
+                from: self.own_instance.incarnation,
                 number: 0,
             },
             parent: draft.parent,
@@ -364,11 +369,11 @@
             request_hash: draft.request_hash,
             followers: Vec::new(),
         };
-        self.open.insert(token, open);
+        self.open_requests.insert(token, open);
         if let Some(job) = draft.parent.and_then(|run| self.jobs.get_mut(&run)) {
             job.on_child_started(now, token);
         }
-        self.route_first(now, draft);
+        self.start_call(now, draft);
     }
 
     /// Ends a request: one answer, at once, and the unspent retries go back to the parent.
@@ -379,12 +384,11 @@
         unspent: u16,
         outcome: Outcome,
     ) {
-        let Some(open) = self.open.swap_remove(&token) else {
+        let Some(open) = self.open_requests.swap_remove(&token) else {
             return;
         };
         if let Some(job) = open.parent.and_then(|run| self.jobs.get_mut(&run)) {
-            job.retry_allowance
-                .give_back(open.delegated_retries, unspent);
+            job.retry_allowance.reclaim(open.delegated_retries, unspent);
             job.on_child_ended(now, token);
         }
         if matches!(outcome, Outcome::NotRun(_)) {
@@ -395,18 +399,18 @@
         }
         for follower in open.followers {
             self.followers.swap_remove(&follower);
-            self.out.push(Output::Answer {
+            self.outputs.push(Output::Answer {
                 token: follower,
                 outcome: outcome.clone(),
                 generated_key: None,
             });
         }
         self.count(match &outcome {
-            Outcome::Whole(_) => Counter::Whole(open.operation.class),
+            Outcome::Completed(_) => Counter::Completed(open.operation.class),
             Outcome::NotRun(refusal) => Counter::NotRun(refusal.reason),
             Outcome::Unknown(reason) => Counter::Unknown(*reason),
         });
-        self.out.push(Output::Answer {
+        self.outputs.push(Output::Answer {
             token,
             outcome,
             generated_key: open.generated_key,
@@ -417,7 +421,7 @@
     pub(crate) fn refuse(&mut self, token: RequestToken, refusal: Refusal) {
         self.count(Counter::NotRun(refusal.reason));
         let outcome = Outcome::NotRun(refusal);
-        self.out.push(Output::Answer {
+        self.outputs.push(Output::Answer {
             token,
             outcome,
             generated_key: None,
@@ -428,14 +432,14 @@
         if self.unfollow(token) || self.cancel_quota_wait(token) {
             return;
         }
-        if let Some(open) = self.open.get(&token) {
+        if let Some(open) = self.open_requests.get(&token) {
             self.abandon_call(now, open.call);
         }
     }
 }
 
 /// The time that a request has waited for a token is part of what it has.
-fn shorten(
+fn limit_deadline(
     mut draft: RequestDraft,
     now: Time,
     patience: Option<Duration>,
--- a/crates/engine/src/io.rs
+++ b/crates/engine/src/io.rs
@@ -3,15 +3,15 @@
 use crate::Counter;
 use crate::Diagnostic;
 use bytes::Bytes;
-use journal::Entry;
+use journal::TopicEntry;
 use proto::Datagram;
 use proto::Frame;
 use proto::Incarnation;
 use proto::Instance;
 use proto::Outcome;
-use proto::Progress;
 use proto::Request;
 use proto::RunId;
+use proto::SyncProgress;
 use rules::KeyDigest;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -250,15 +250,15 @@
         /// The expected end of the topic.
         at: u64,
         /// Keys and values.
-        entries: Vec<Entry>,
+        entries: Vec<TopicEntry>,
     },
-    /// Fetch the result of [`crate::Engine::state_beyond`] from a node. Ends with an
+    /// Fetch the result of [`crate::Engine::state_newer_than`] from a node. Ends with an
     /// [`Input::StateFetched`] if the node has newer state. A missing answer is not an error.
     FetchState {
         /// The address of the node.
         from: SocketAddr,
         /// What this node already has.
-        known: Progress,
+        known: SyncProgress,
     },
     /// Check at once whether the store has newer rules. Ends with an [`Input::RulesChecked`] or an
     /// [`Input::RulesCheckFailed`].
--- a/crates/engine/src/job.rs
+++ b/crates/engine/src/job.rs
@@ -4,12 +4,12 @@
 use crate::RequestToken;
 use crate::RunEnd;
 use indexmap::IndexMap;
-use policy::Account;
-use policy::Ended;
+use policy::RetryAllowance;
+use policy::WorkOutcome;
 use proto::ActionId;
-use proto::Below;
 use proto::CallId;
 use proto::Class;
+use proto::DownstreamSummary;
 use proto::Fingerprint;
 use proto::KeyHash;
 use proto::Request;
@@ -26,7 +26,7 @@
     pub(crate) admission_sample: u16,
     pub(crate) depth: u8,
     pub(crate) deadline: Time,
-    pub(crate) retry_allowance: Account,
+    pub(crate) retry_allowance: RetryAllowance,
     /// Whether each child call counts as a retry.
     pub(crate) possible_repeat: bool,
     pub(crate) operation: Option<OperationKey>,
@@ -95,8 +95,8 @@
     }
 
     /// Admission level and call count that the run has met so far in its child calls.
-    pub(crate) fn downstream(&self) -> Below {
-        Below {
+    pub(crate) fn downstream(&self) -> DownstreamSummary {
+        DownstreamSummary {
             level: self.child_levels.values().copied().max().unwrap_or(0),
             calls: self.calls_below,
         }
@@ -111,22 +111,22 @@
 
     /// What the end of the run tells the concurrency controller. The duration of a response with a
     /// server error is left out: such responses are often quick and would raise the limit.
-    pub(crate) fn server_feedback(&self, now: Time, end: &RunEnd) -> Ended {
+    pub(crate) fn server_feedback(&self, now: Time, end: &RunEnd) -> WorkOutcome {
         let elapsed = self.started.map_or(Duration::ZERO, |at| now.since(at));
         match end {
-            RunEnd::Response(response) if response.status >= 500 => Ended::Failed,
-            RunEnd::Response(_) => Ended::Whole {
-                took: elapsed,
-                own: elapsed.saturating_sub(self.child_wait),
+            RunEnd::Response(response) if response.status >= 500 => WorkOutcome::Failed,
+            RunEnd::Response(_) => WorkOutcome::Completed {
+                elapsed,
+                own_time: elapsed.saturating_sub(self.child_wait),
             },
-            RunEnd::Refused { .. } => Ended::Refused,
-            RunEnd::NeverSent => Ended::NeverSent,
-            RunEnd::TimedOut if self.pending_children.is_empty() => Ended::GivenUp {
-                took: elapsed,
-                own: elapsed.saturating_sub(self.child_wait),
+            RunEnd::Refused { .. } => WorkOutcome::Refused,
+            RunEnd::NeverSent => WorkOutcome::Unreachable,
+            RunEnd::TimedOut if self.pending_children.is_empty() => WorkOutcome::Abandoned {
+                elapsed,
+                own_time: elapsed.saturating_sub(self.child_wait),
             },
-            RunEnd::Misdirected | RunEnd::TimedOut => Ended::Failed,
-            RunEnd::Lost => Ended::Lost,
+            RunEnd::Misdirected | RunEnd::TimedOut => WorkOutcome::Failed,
+            RunEnd::Lost => WorkOutcome::Lost,
         }
     }
 }
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -7,22 +7,22 @@
 //! and network.
 
 mod admission;
-mod answered;
-mod appends;
+mod answer_cache;
+mod append_queue;
 mod calls;
 mod config;
 mod counter;
 mod diagnostic;
 mod engine;
-mod entry;
 mod fetch;
 mod freshness;
 mod gauges;
 mod hedge;
-mod homes;
 mod identity;
+mod ingress;
 mod io;
 mod job;
+mod keyed_calls;
 mod log;
 mod members;
 mod operation_key;
@@ -40,7 +40,7 @@
 mod timers;
 
 pub use config::Config;
-pub use config::Keyless;
+pub use config::KeylessCalls;
 pub use config::TreeRetries;
 pub use counter::Counter;
 pub use counter::LinkEvent;
@@ -49,7 +49,7 @@
 pub use diagnostic::PeerCounts;
 pub use diagnostic::ServerState;
 pub use engine::Engine;
-pub use engine::Tables;
+pub use engine::TableSizes;
 pub use gauges::Gauge;
 pub use io::Announcement;
 pub use io::Heartbeat;
--- a/crates/engine/src/log.rs
+++ b/crates/engine/src/log.rs
@@ -1,8 +1,8 @@
 //! The log controller: applies the records of the log topic, and appends this node's own records,
 //! above all when it joins and leaves.
 
-use crate::appends::AppendKey;
-use crate::appends::AppendQueue;
+use crate::append_queue::AppendKey;
+use crate::append_queue::AppendQueue;
 use crate::Counter;
 use crate::Engine;
 use crate::Output;
@@ -10,7 +10,7 @@
 use journal::Change;
 use journal::Record;
 use journal::State;
-use policy::Ranks;
+use policy::PriorityBands;
 use rand::RngExt;
 use std::time::Duration;
 use stdx::Time;
@@ -77,32 +77,32 @@
         let old_version = self.journal.version;
         for (offset, value) in records {
             match self.journal.apply(offset, &value) {
-                Change::Nothing | Change::Old | Change::Restored => {}
-                Change::Broken => self.count(Counter::BrokenRecord),
+                Change::Unchanged | Change::Stale | Change::Restored => {}
+                Change::Invalid => self.count(Counter::MalformedRecord),
                 Change::Rules => {
                     self.count(Counter::RulesInForce);
                     self.on_rules(now);
                 }
                 Change::View(_) => self.on_view_change(now),
-                Change::Gap => return self.out.push(Output::ReadLog),
+                Change::Gap => return self.outputs.push(Output::ReadLog),
             }
         }
         // Records that are read at the start are known to the other nodes.
         if self.log.synced && self.journal.version > old_version {
-            self.spread_progress(true);
+            self.announce_progress(true);
         }
     }
 
     /// Applies the latest record of each key, at the start or after records that this node has not
     /// read have expired.
     pub(crate) fn on_topic_snapshot(&mut self, now: Time, values: Vec<(u64, Bytes)>, end: u64) {
-        let values = journal::in_order(values, end);
+        let values = journal::sorted_before(values, end);
         let snapshot = State::from_newest(&values, end);
-        if !snapshot.is_whole_since(self.journal.next) {
+        if !snapshot.is_complete_since(self.journal.next_offset) {
             return self.reset_to(now, snapshot);
         }
         for (offset, value) in values {
-            if offset >= self.journal.next {
+            if offset >= self.journal.next_offset {
                 self.journal.skip_to(offset);
                 self.on_records(now, vec![(offset, value)]);
             }
@@ -113,14 +113,14 @@
     /// Replaces the state after views were missed that the topic no longer holds.
     fn reset_to(&mut self, now: Time, snapshot: State) {
         let rules_regressed = snapshot.version < self.journal.version;
-        let views_regressed = snapshot.next < self.journal.next;
+        let views_regressed = snapshot.next_offset < self.journal.next_offset;
         if rules_regressed || views_regressed {
-            return self.count(Counter::BrokenRecord);
+            return self.count(Counter::MalformedRecord);
         }
         self.journal = snapshot;
-        self.count(Counter::Restored);
+        self.count(Counter::StateRestored);
         self.on_rules(now);
-        if let Some(view) = self.journal.view(&self.me.service).cloned() {
+        if let Some(view) = self.journal.view(&self.own_instance.service).cloned() {
             let effects = self.home.on_baseline(now, &view);
             self.apply_home(now, effects);
         }
@@ -133,18 +133,22 @@
     }
 
     fn on_rules(&mut self, now: Time) {
-        let limit = self.journal.rules.limit(&self.me.service);
+        let limit = self
+            .journal
+            .rules
+            .service_limits(&self.own_instance.service);
         let operations = || self.journal.rules.all_operations();
         let longest_deadline = operations().map(|operation| operation.deadline).max();
         let ranks = match self.cfg.policy.ranks {
-            true => Ranks::new(self.journal.rules.standings()),
-            false => Ranks::default(),
+            true => PriorityBands::new(self.journal.rules.class_priorities()),
+            false => PriorityBands::default(),
         };
-        self.server.set_ranks(ranks.clone());
+        self.server.set_priority_bands(ranks.clone());
         self.admission.set_ranks(ranks);
         self.update_quotas();
         let longest_deadline = longest_deadline.unwrap_or(limit.key_retention);
-        self.home.set_times(limit.key_retention, longest_deadline);
+        self.home
+            .set_time_limits(limit.key_retention, longest_deadline);
         self.update_concurrency_bounds();
         self.request_health_check(now);
         self.mark_roster_changed(now);
@@ -155,29 +159,29 @@
         self.log.unreachable = false;
         match self
             .journal
-            .take_version(version, file, self.cfg.parse_rules)
+            .apply_external_rules(version, file, self.cfg.parse_rules)
         {
             Change::Rules => {
                 self.count(Counter::RulesInForce);
                 self.log.synced = true;
                 self.on_rules(now);
-                self.spread_progress(true);
+                self.announce_progress(true);
             }
-            Change::Broken => self.count(Counter::RejectedPublication),
+            Change::Invalid => self.count(Counter::PublicationRejected),
             _ => {}
         }
     }
 
     pub(crate) fn on_state_restored(&mut self, now: Time) {
-        self.count(Counter::Restored);
+        self.count(Counter::StateRestored);
         self.on_rules(now);
         // The views before the one in the restored state may have been missed.
-        self.update_home(now);
+        self.apply_new_views(now);
     }
 
     fn on_view_change(&mut self, now: Time) {
         self.mark_roster_changed(now);
-        self.update_home(now);
+        self.apply_new_views(now);
     }
 
     pub(crate) fn on_log_caught_up(&mut self, now: Time) {
@@ -187,19 +191,26 @@
         self.check_departed(now);
         // An incarnation that was dropped from the views never joins again: its process ends, and
         // the next start is another incarnation.
-        let has_departed = self.journal.departed.contains_key(&self.me.incarnation);
-        if !self.stopping && !has_departed && !self.is_listed() && self.journal.admits(&self.me) {
+        let has_departed = self
+            .journal
+            .departed
+            .contains_key(&self.own_instance.incarnation);
+        if !self.stopping
+            && !has_departed
+            && !self.is_listed()
+            && self.journal.can_join(&self.own_instance)
+        {
             self.queue_append(AppendKey::Join);
         }
-        if self.is_oldest_member() && self.journal.to_forget().is_some() {
-            self.queue_append(AppendKey::Forget);
+        if self.is_oldest_member() && self.journal.next_forget_record().is_some() {
+            self.queue_append(AppendKey::DropDeparture);
         }
     }
 
     /// Whether this is the first instance in the views, the one that removes old departures.
     fn is_oldest_member(&self) -> bool {
         let oldest = self.journal.instances().next();
-        oldest.is_some_and(|oldest| oldest.incarnation == self.me.incarnation)
+        oldest.is_some_and(|oldest| oldest.incarnation == self.own_instance.incarnation)
     }
 
     /// Queues an append unless it is queued already. It is tried until the applied records show its
@@ -210,27 +221,27 @@
             return;
         }
         if !self.log.appends.has_room(key) {
-            return self.count(Counter::AppendLeftOut);
+            return self.count(Counter::AppendDropped);
         }
         self.log.appends.push(key);
     }
 
     fn record_of(&self, key: AppendKey) -> Option<Record> {
-        let own_incarnation = self.me.incarnation;
+        let own_incarnation = self.own_instance.incarnation;
         Some(match key {
-            AppendKey::Join => Record::Join(self.me.clone()),
+            AppendKey::Join => Record::Join(self.own_instance.clone()),
             AppendKey::Leave => Record::Leave(own_incarnation),
             AppendKey::Evict(incarnation) => Record::Evict {
                 incarnation,
                 by: own_incarnation,
             },
-            AppendKey::Forget => self.journal.to_forget()?,
+            AppendKey::DropDeparture => self.journal.next_forget_record()?,
         })
     }
 
     /// Removes appends whose effect the topic already shows, and starts the next one that is due.
     pub(crate) fn start_due_append(&mut self, now: Time) {
-        let own_incarnation = self.me.incarnation;
+        let own_incarnation = self.own_instance.incarnation;
         let journal = &self.journal;
         // A record without effect must not be appended: in the compacted topic it would replace the
         // effective record of the same key.
@@ -240,7 +251,7 @@
             AppendKey::Evict(other) => {
                 journal.is_listed(other) && journal.is_listed(own_incarnation)
             }
-            AppendKey::Forget => journal.to_forget().is_some(),
+            AppendKey::DropDeparture => journal.next_forget_record().is_some(),
         });
         if self
             .log
@@ -250,14 +261,14 @@
             self.log.leave_deadline = None;
             if !self.log.leave_settled() {
                 self.log.appends.remove(AppendKey::Leave);
-                self.count(Counter::LeaveUnsaid);
+                self.count(Counter::LeaveNotAppended);
             }
         }
         let due = self.log.appends.next_due();
-        if due.is_none_or(|due| due > now) || !self.log.may_append_at(self.journal.next) {
+        if due.is_none_or(|due| due > now) || !self.log.may_append_at(self.journal.next_offset) {
             return;
         }
-        let number = self.number();
+        let number = self.allocate_id();
         let Some(key) = self.log.appends.start(now, number) else {
             return;
         };
@@ -265,17 +276,17 @@
             return;
         };
         self.log.join_sent |= key == AppendKey::Join;
-        self.log.append_offset = self.journal.next;
+        self.log.append_offset = self.journal.next_offset;
         self.log.append_conflicted = false;
-        self.out.push(Output::Append {
+        self.outputs.push(Output::Append {
             number,
-            at: self.journal.next,
+            at: self.journal.next_offset,
             entries: record.entries(),
         });
     }
 
     pub(crate) fn on_appended(&mut self, now: Time, number: u64) {
-        let Some((key, _)) = self.log.appends.ended(number) else {
+        let Some((key, _)) = self.log.appends.finish(number) else {
             return;
         };
         match key {
@@ -284,13 +295,13 @@
             // is no reason to repeat it.
             _ => self.log.appends.postpone(key, now + MAX_APPEND_BACKOFF),
         }
-        self.out.push(Output::ReadLog);
+        self.outputs.push(Output::ReadLog);
     }
 
     /// Another record took the offset, so this append had no effect and never will. The record is
     /// built again once the other one has been read.
     pub(crate) fn on_append_conflict(&mut self, now: Time, number: u64) {
-        let Some((key, attempts)) = self.log.appends.ended(number) else {
+        let Some((key, attempts)) = self.log.appends.finish(number) else {
             return;
         };
         self.count(Counter::AppendConflict);
@@ -305,29 +316,32 @@
     /// log fails, all nodes lose their answers together, so the delay doubles with each attempt and
     /// has a random part. Otherwise all nodes would return at the same time.
     pub(crate) fn on_append_lost(&mut self, now: Time, number: u64) {
-        let Some((key, attempts)) = self.log.appends.ended(number) else {
+        let Some((key, attempts)) = self.log.appends.finish(number) else {
             return;
         };
         self.count(Counter::AppendLost);
         let doublings = attempts.saturating_sub(1).min(MAX_LOST_DOUBLINGS);
-        let delay = self.cfg.append_retry * (1 << doublings);
+        let delay = self.cfg.append_retry_delay * (1 << doublings);
         let delay = delay
             .min(MAX_APPEND_BACKOFF)
             .mul_f64(self.rng.random_range(0.5..1.0));
         self.log.appends.postpone(key, now + delay);
-        self.out.push(Output::ReadLog);
+        self.outputs.push(Output::ReadLog);
     }
 
     /// Queues the `Leave` of this node. A `Join` that is still in flight does no harm: if the
     /// `Leave` is appended first, it keeps the `Join` out; otherwise it follows it.
     pub(crate) fn queue_leave(&mut self, now: Time) {
         self.log.appends.remove(AppendKey::Join);
-        let has_departed = self.journal.departed.contains_key(&self.me.incarnation);
+        let has_departed = self
+            .journal
+            .departed
+            .contains_key(&self.own_instance.incarnation);
         if !has_departed && (self.log.join_sent || self.is_listed()) {
             self.queue_append(AppendKey::Leave);
             // Without a time limit, a stop during an outage of the log would never end. The views
             // then still list this node until another one evicts it.
-            self.log.leave_deadline = Some(now + self.cfg.leave_patience);
+            self.log.leave_deadline = Some(now + self.cfg.leave_timeout);
         }
     }
 
@@ -338,6 +352,6 @@
 
     /// Whether the views in the log list this incarnation.
     pub fn is_listed(&self) -> bool {
-        self.journal.is_listed(self.me.incarnation)
+        self.journal.is_listed(self.own_instance.incarnation)
     }
 }
--- a/crates/engine/src/members.rs
+++ b/crates/engine/src/members.rs
@@ -1,6 +1,6 @@
 //! The membership controller: the roster of nodes, their probes and their load reports.
 
-use crate::appends::AppendKey;
+use crate::append_queue::AppendKey;
 use crate::Counter;
 use crate::Engine;
 use crate::LinkEvent;
@@ -65,13 +65,13 @@
 
     /// Records a load report that came with an answer.
     pub(crate) fn record_load(&mut self, now: Time, from: Incarnation, load: LoadReport) {
-        self.members.heard_load(now, from, load);
+        self.members.on_load_report(now, from, load);
         self.selector.on_report(now, from, load);
         self.selector.on_answered(from);
     }
 
     pub(crate) fn tick_members(&mut self, now: Time) {
-        if std::mem::take(&mut self.roster_changed) {
+        if std::mem::take(&mut self.views_changed) {
             let effects = self.members.set_roster(now, self.journal.instances());
             self.apply_membership_effects(now, effects);
         }
@@ -92,7 +92,7 @@
     /// does not know yet. Membership is updated once per batch of records, since a start reads the
     /// whole history of the views.
     pub(crate) fn mark_roster_changed(&mut self, _now: Time) {
-        self.roster_changed = true;
+        self.views_changed = true;
     }
 
     pub(crate) fn load_report(&self) -> LoadReport {
@@ -104,8 +104,8 @@
 
     /// Sends a frame to a node that is in the membership table, or to this node itself.
     pub(crate) fn send_to(&mut self, to: Incarnation, frame: Frame) {
-        if to == self.me.incarnation {
-            let me = self.me.clone();
+        if to == self.own_instance.incarnation {
+            let me = self.own_instance.clone();
             return self.send(&me, frame);
         }
         match self.members.get(to) {
@@ -113,7 +113,7 @@
                 let instance = peer.instance.clone();
                 self.send(&instance, frame);
             }
-            None => self.count(Counter::Unexpected),
+            None => self.count(Counter::UnexpectedMessage),
         }
     }
 
@@ -126,9 +126,9 @@
                         progress: self.journal.progress(),
                         message,
                     };
-                    self.out.push(Output::Datagram { to, datagram });
+                    self.outputs.push(Output::Datagram { to, datagram });
                 }
-                Effect::Changed { incarnation, state } => {
+                Effect::PeerChanged { incarnation, state } => {
                     self.count(Counter::PeerChanged);
                     self.report_peer_change(now, incarnation, state);
                     self.update_eligibility(now, incarnation, state);
@@ -141,7 +141,7 @@
                     }
                 }
                 Effect::Evict(incarnation) => {
-                    self.count(Counter::EvictionAsked);
+                    self.count(Counter::EvictionRequested);
                     self.queue_append(AppendKey::Evict(incarnation));
                 }
                 Effect::TableFull => self.count(Counter::PeerTableFull),
--- a/crates/engine/src/outgoing.rs
+++ b/crates/engine/src/outgoing.rs
@@ -2,7 +2,7 @@
 
 use crate::operation_key::OperationKey;
 use crate::RequestToken;
-use policy::Account;
+use policy::RetryAllowance;
 use proto::ActionId;
 use proto::CallId;
 use proto::Class;
@@ -30,7 +30,7 @@
     pub(crate) key: Option<(KeyHash, Fingerprint)>,
     pub(crate) first_attempt: bool,
     pub(crate) operation: OperationKey,
-    pub(crate) retry_allowance: Account,
+    pub(crate) retry_allowance: RetryAllowance,
     /// The retries delegated to the current attempt.
     pub(crate) delegated_retries: u16,
     /// Whether each attempt below counts as a retry.
@@ -69,7 +69,7 @@
     /// another key and get two orders.
     pub(crate) fn scope_refusal(&self, refusal: Refusal) -> Refusal {
         if self.key.is_some() && !self.first_attempt {
-            refusal.of_this_attempt()
+            refusal.for_attempt_only()
         } else {
             refusal
         }
--- a/crates/engine/src/own_server.rs
+++ b/crates/engine/src/own_server.rs
@@ -65,8 +65,8 @@
     }
 
     fn on_heartbeat(&mut self, now: Time, heartbeat: Heartbeat) {
-        if heartbeat.service != self.me.service {
-            return self.count(Counter::StrangeServer);
+        if heartbeat.service != self.own_instance.service {
+            return self.count(Counter::WrongServiceHeartbeat);
         }
         match &mut self.own_server {
             Some(server) if !server.is_older_than(&heartbeat) => {
@@ -88,7 +88,7 @@
                     health_check,
                 });
                 let slots = server.heartbeat.slots;
-                self.server.restarted(now, slots);
+                self.server.on_server_restart(now, slots);
                 self.count(Counter::ServerStarted);
                 self.request_health_check(now);
                 self.on_server_changed(now, true);
@@ -102,7 +102,11 @@
         if !self.has_rules() {
             return;
         }
-        let path = self.journal.rules.health_paths.get(&self.me.service);
+        let path = self
+            .journal
+            .rules
+            .health_paths
+            .get(&self.own_instance.service);
         let Some(server) = self.own_server.as_mut() else {
             return;
         };
@@ -113,7 +117,7 @@
             Some(path) => {
                 server.health_check = HealthCheck::Pending;
                 let (id, path) = (server.heartbeat.id.clone(), path.clone());
-                self.out.push(Output::CheckServer { id, path });
+                self.outputs.push(Output::CheckServer { id, path });
             }
             None => {
                 server.health_check = HealthCheck::Passed;
@@ -151,7 +155,7 @@
     fn on_server_changed(&mut self, now: Time, is_new_incarnation: bool) {
         self.update_concurrency_bounds();
         let accepts_work = self.server_accepts_work();
-        if self.members.set_open(accepts_work) || is_new_incarnation {
+        if self.members.set_accepting_work(accepts_work) || is_new_incarnation {
             self.report_own_server(accepts_work);
         }
         if !accepts_work {
@@ -161,7 +165,7 @@
 
     fn report_own_server(&mut self, accepts_work: bool) {
         if let Some(server) = &self.own_server {
-            self.out.push(Output::Diagnostic(Diagnostic::OwnServer {
+            self.outputs.push(Output::Diagnostic(Diagnostic::OwnServer {
                 id: server.heartbeat.id.clone(),
                 accepts_work,
                 sequence: server.heartbeat.sequence,
@@ -183,7 +187,7 @@
 
     /// Whether the own backend server accepts new work.
     pub(crate) fn server_accepts_work(&self) -> bool {
-        !self.cfg.announced
+        !self.cfg.server_announces
             || self
                 .own_server
                 .as_ref()
@@ -210,7 +214,10 @@
     /// never gets more requests than that, because it might never answer those that it queues or
     /// drops.
     pub(crate) fn update_concurrency_bounds(&mut self) {
-        let limit = self.journal.rules.limit(&self.me.service);
+        let limit = self
+            .journal
+            .rules
+            .service_limits(&self.own_instance.service);
         let slots = self
             .own_server
             .as_ref()
--- a/crates/engine/src/peer_diagnostics.rs
+++ b/crates/engine/src/peer_diagnostics.rs
@@ -55,11 +55,11 @@
             return self.peer_notes.suppressed.add(state);
         }
         self.peer_notes.reported += 1;
-        self.out.push(Output::Diagnostic(Diagnostic::Peer {
+        self.outputs.push(Output::Diagnostic(Diagnostic::Peer {
             incarnation,
             addr: peer.instance.addr,
             state,
-            accepts_work: peer.open,
+            accepts_work: peer.accepts_work,
         }));
     }
 
@@ -73,7 +73,7 @@
         for peer in self.members.peers() {
             known.add(peer.state);
         }
-        self.out
+        self.outputs
             .push(Output::Diagnostic(Diagnostic::Peers { changed, known }));
     }
 }
--- a/crates/engine/src/quarantine.rs
+++ b/crates/engine/src/quarantine.rs
@@ -114,19 +114,19 @@
 
     /// Clears a request after a run of it got a complete response.
     pub(crate) fn clear_suspect(&mut self, now: Time, request: Fingerprint) {
-        self.suspects.requests.answered(now, request);
+        self.suspects.requests.record_completed(now, request);
     }
 
     /// Records that the connection broke while the request ran. The nodes of the service are told
     /// before the ingress node gets its answer, so that they know of the crash when the retry
     /// arrives.
     pub(crate) fn report_crash(&mut self, now: Time, request: Fingerprint) {
-        let me = self.me.incarnation;
-        let crashes = self.suspects.requests.crashed(now, request, me);
+        let me = self.own_instance.incarnation;
+        let crashes = self.suspects.requests.record_crash(now, request, me);
         let Some(crashes) = crashes.filter(|_| self.suspects.take_report_permit(now)) else {
             return;
         };
-        self.count(Counter::Suspected);
+        self.count(Counter::CrashSuspect);
         self.broadcast_crash_report(request, crashes);
         for delay in RESEND_DELAYS {
             let at = now + delay;
@@ -152,11 +152,11 @@
     }
 
     fn broadcast_crash_report(&mut self, request: Fingerprint, crashes: u32) {
-        let service = self.me.service.clone();
-        let peers = self.members.usable(&service);
+        let service = self.own_instance.service.clone();
+        let peers = self.members.usable_peers(&service);
         let peers: Vec<Instance> = peers.map(|peer| peer.instance.clone()).collect();
         for peer in peers {
-            let frame = Frame::Suspect {
+            let frame = Frame::CrashReport {
                 service: service.clone(),
                 request,
                 crashes,
@@ -173,8 +173,10 @@
         request: Fingerprint,
         crashes: u32,
     ) {
-        if *service == self.me.service && from != self.me.incarnation {
-            self.suspects.requests.heard(now, request, from, crashes);
+        if *service == self.own_instance.service && from != self.own_instance.incarnation {
+            self.suspects
+                .requests
+                .record_remote_crashes(now, request, from, crashes);
         }
     }
 
@@ -183,7 +185,7 @@
     pub(crate) fn record_call_crash(&mut self, now: Time, request: &Request, target: Incarnation) {
         if self.cfg.policy.quarantine {
             let outgoing_calls = &mut self.suspects.outgoing_calls;
-            outgoing_calls.crashed(now, hash_of_call(request), target);
+            outgoing_calls.record_crash(now, hash_of_call(request), target);
         }
     }
 
@@ -192,7 +194,7 @@
         if !self.suspects.outgoing_calls.is_empty() {
             self.suspects
                 .outgoing_calls
-                .answered(now, hash_of_call(request));
+                .record_completed(now, hash_of_call(request));
         }
     }
 
--- a/crates/engine/src/quota.rs
+++ b/crates/engine/src/quota.rs
@@ -8,11 +8,11 @@
 use indexmap::IndexMap;
 use organisation::group_of;
 use organisation::Borrower;
-use organisation::Credit;
 use organisation::Lender;
 use organisation::LoanRequest;
-use organisation::QuotaBounds;
-use organisation::GROUPS;
+use organisation::QuotaToken;
+use organisation::QuotaTolerance;
+use organisation::GROUP_COUNT;
 use proto::hash64;
 use proto::Datagram;
 use proto::Incarnation;
@@ -56,19 +56,19 @@
     /// Organisations whose tokens were returned, so that waiting requests may be admitted.
     returned: Vec<OrganisationId>,
     /// The lender of each group, and the number of nodes that vote.
-    elected: [Option<Incarnation>; GROUPS as usize],
+    elected: [Option<Incarnation>; GROUP_COUNT as usize],
     voters: usize,
     elected_at: Option<Time>,
 }
 
 impl QuotaController {
-    pub(crate) fn new(bounds: QuotaBounds) -> Self {
+    pub(crate) fn new(bounds: QuotaTolerance) -> Self {
         Self {
             borrower: Borrower::new(bounds),
             lender: Lender::new(bounds),
             waiting: IndexMap::new(),
             returned: Vec::new(),
-            elected: [None; GROUPS as usize],
+            elected: [None; GROUP_COUNT as usize],
             voters: 1,
             elected_at: None,
         }
@@ -127,7 +127,7 @@
             return;
         }
         self.refresh_election(now);
-        for group in 0..GROUPS {
+        for group in 0..GROUP_COUNT {
             let mut lender = self.quota.elected[usize::from(group)];
             if lender.is_some_and(|lender| self.quota.borrower.avoids(now, group, lender)) {
                 lender = self.elect_lender(now, group);
@@ -144,8 +144,8 @@
             return;
         }
         self.quota.elected_at = Some(now);
-        self.quota.voters = self.members.voters(now);
-        for group in 0..GROUPS {
+        self.quota.voters = self.members.voter_count(now);
+        for group in 0..GROUP_COUNT {
             self.quota.elected[usize::from(group)] = self.elect_lender(now, group);
         }
     }
@@ -155,7 +155,7 @@
         let peers = self.members.peers();
         let alive = peers.filter(|peer| peer.state == PeerState::Alive);
         let peers = alive.map(|peer| peer.instance.incarnation);
-        let me = (!self.stopping).then_some(self.me.incarnation);
+        let me = (!self.stopping).then_some(self.own_instance.incarnation);
         let borrower = &self.quota.borrower;
         let nodes = peers
             .chain(me)
@@ -166,11 +166,11 @@
     fn request_loans(&mut self, now: Time, group: u8, loans: LoanRequest) {
         let LoanRequest {
             lender,
-            number,
-            vote,
+            request_id: number,
+            vote_stamp: vote,
             wanted,
         } = loans;
-        let me = self.me.incarnation;
+        let me = self.own_instance.incarnation;
         if lender == me {
             let (stamp, lent) = self.lend(now, group, me, vote, &wanted);
             return self.on_loans_granted(now, me, group, number, stamp, &lent);
@@ -183,33 +183,33 @@
             from: me,
             to: lender,
             group,
-            number,
-            vote,
+            request_id: number,
+            vote_stamp: vote,
             wanted,
         };
         self.send_quota(to, message);
     }
 
     pub(crate) fn on_quota_message(&mut self, now: Time, addr: SocketAddr, message: QuotaMessage) {
-        let me = self.me.incarnation;
+        let me = self.own_instance.incarnation;
         match message {
             QuotaMessage::Borrow {
                 from,
                 to,
                 group,
-                number,
-                vote,
+                request_id: number,
+                vote_stamp: vote,
                 wanted,
-            } if to == me && group < GROUPS => {
+            } if to == me && group < GROUP_COUNT => {
                 self.refresh_election(now);
                 let (stamp, lent) = self.lend(now, group, from, vote, &wanted);
                 let message = QuotaMessage::Lend {
                     from: me,
                     to: from,
                     group,
-                    number,
+                    request_id: number,
                     stamp,
-                    lent,
+                    loans: lent,
                 };
                 self.send_quota(addr, message);
             }
@@ -217,10 +217,10 @@
                 from,
                 to,
                 group,
-                number,
+                request_id: number,
                 stamp,
-                lent,
-            } if to == me && group < GROUPS => {
+                loans: lent,
+            } if to == me && group < GROUP_COUNT => {
                 self.on_loans_granted(now, from, group, number, stamp, &lent);
             }
             // Meant for an earlier incarnation at this address, which no longer lends and holds no
@@ -229,16 +229,16 @@
                 from,
                 to,
                 group,
-                number,
+                request_id: number,
                 ..
             } => {
                 let message = QuotaMessage::Lend {
                     from: to,
                     to: from,
                     group,
-                    number,
+                    request_id: number,
                     stamp: 0,
-                    lent: Vec::new(),
+                    loans: Vec::new(),
                 };
                 self.send_quota(addr, message);
             }
@@ -295,10 +295,10 @@
         let waiting = waiting.filter(|(_, (organisation, _))| *organisation == id);
         let tokens: Vec<RequestToken> = waiting.map(|(token, _)| *token).collect();
         for token in tokens {
-            match self.quota.borrower.take_waiting(now, id) {
+            match self.quota.borrower.try_spend_waiting(now, id) {
                 Some(quota_token) => {
                     if let Some((_, arrival)) = self.quota.waiting.shift_remove(&token) {
-                        self.on_credit(now, arrival, quota_token);
+                        self.on_quota_granted(now, arrival, quota_token);
                     }
                 }
                 None => return,
@@ -307,11 +307,11 @@
     }
 
     /// Returns the token of a request that did not run, so that it may admit another one.
-    pub(crate) fn return_quota_token(&mut self, now: Time, quota_token: Option<Credit>) {
+    pub(crate) fn return_quota_token(&mut self, now: Time, quota_token: Option<QuotaToken>) {
         let Some(quota_token) = quota_token else {
             return;
         };
-        self.quota.borrower.put_back(now, quota_token);
+        self.quota.borrower.refund(now, quota_token);
         if self.quota.has_waiting() {
             self.quota.returned.push(quota_token.organisation);
         }
@@ -327,7 +327,7 @@
         if self.quota.waiting.len() >= MAX_WAITING_REQUESTS {
             return self.refuse_without_quota_token(arrival, Reason::QuotaUnknown);
         }
-        self.quota.borrower.wait(now, organisation);
+        self.quota.borrower.start_waiting(now, organisation);
         let token = arrival.token;
         self.quota.waiting.insert(token, (organisation, arrival));
     }
@@ -353,7 +353,7 @@
 
     fn refuse_waiting_request(&mut self, token: RequestToken) {
         if let Some((organisation, arrival)) = self.quota.waiting.shift_remove(&token) {
-            let reason = match self.quota.borrower.was_short(organisation) {
+            let reason = match self.quota.borrower.lender_was_short(organisation) {
                 true => Reason::QuotaExceeded,
                 false => Reason::QuotaUnknown,
             };
@@ -376,7 +376,7 @@
     /// Stops lending because this node is stopping. Nodes that ask later are told so.
     pub(crate) fn resign_lender(&mut self, now: Time) {
         let voters = self.quota.voters;
-        self.quota.lender.resign(now, voters);
+        self.quota.lender.release_votes(now, voters);
         self.quota.invalidate_election();
     }
 
@@ -385,6 +385,6 @@
             version: PROTOCOL_VERSION,
             message,
         };
-        self.out.push(Output::Datagram { to, datagram });
+        self.outputs.push(Output::Datagram { to, datagram });
     }
 }
--- a/crates/engine/src/reattach.rs
+++ b/crates/engine/src/reattach.rs
@@ -35,7 +35,7 @@
             } else {
                 self.selector.on_ended(peer);
                 self.timers.clear(call.deadline, Timer::CallDeadline(id));
-                self.after_lost(now, call, Reason::PeerLost);
+                self.on_attempt_lost(now, call, Reason::PeerLost);
             }
         }
     }
@@ -43,7 +43,7 @@
     /// Handles frames that could not be sent. A call that was never sent before has certainly not
     /// run.
     pub(crate) fn on_peer_unreachable(&mut self, now: Time, peer: Incarnation, unsent: Vec<Frame>) {
-        self.selector.on_failed(now, peer, &mut self.rng);
+        self.selector.on_connection_failed(now, peer, &mut self.rng);
         for frame in unsent {
             let Frame::Call(frame) = frame else {
                 continue;
@@ -55,9 +55,9 @@
                 self.schedule_reattach(now, frame.id, call);
             } else {
                 call.retry_allowance
-                    .give_back(call.delegated_retries, call.delegated_retries);
+                    .reclaim(call.delegated_retries, call.delegated_retries);
                 let refusal = self.refusal(Reason::PeerLost);
-                self.after_not_run(now, call, refusal);
+                self.on_not_run(now, call, refusal);
             }
         }
     }
@@ -71,9 +71,9 @@
             .members
             .get(target)
             .is_none_or(|peer| peer.state == PeerState::Dead);
-        let may_run_elsewhere = call.idempotent && call.retry_allowance.left() > 0;
+        let may_run_elsewhere = call.idempotent && call.retry_allowance.remaining() > 0;
         if target_gone || may_run_elsewhere || call.reattaches >= MAX_REATTACHES {
-            return self.after_lost(now, call, Reason::PeerLost);
+            return self.on_attempt_lost(now, call, Reason::PeerLost);
         }
         let delay = REATTACH_DELAY * (1 << call.reattaches);
         call.reattaches += 1;
--- a/crates/engine/src/request.rs
+++ b/crates/engine/src/request.rs
@@ -1,8 +1,8 @@
 //! A request from a caller or from the own backend server, as its ingress node holds it.
 
 use crate::RequestToken;
-use organisation::Credit;
-use policy::Account;
+use organisation::QuotaToken;
+use policy::RetryAllowance;
 use proto::ActionId;
 use proto::CallId;
 use proto::Class;
@@ -32,7 +32,7 @@
     pub(crate) generated_key: Option<Arc<str>>,
     pub(crate) operation: Operation,
     /// The quota token with which the request was admitted.
-    pub(crate) quota_token: Option<Credit>,
+    pub(crate) quota_token: Option<QuotaToken>,
     /// Identifies the request if re-sends of it may wait for its answer.
     pub(crate) request_hash: Option<RequestHash>,
     /// Requests that wait for the answer to this one.
@@ -101,7 +101,7 @@
     pub(crate) passed_level: u16,
     pub(crate) depth: u8,
     pub(crate) deadline: Time,
-    pub(crate) retry_allowance: Account,
+    pub(crate) retry_allowance: RetryAllowance,
     pub(crate) parent: Option<RunId>,
     pub(crate) delegated_retries: u16,
     pub(crate) key: Option<(KeyHash, Fingerprint)>,
@@ -110,6 +110,6 @@
     pub(crate) generated_key: Option<Arc<str>>,
     /// Whether each attempt below counts as a retry.
     pub(crate) possible_repeat: bool,
-    pub(crate) quota_token: Option<Credit>,
+    pub(crate) quota_token: Option<QuotaToken>,
     pub(crate) request_hash: Option<RequestHash>,
 }
--- a/crates/engine/src/resends.rs
+++ b/crates/engine/src/resends.rs
@@ -15,15 +15,15 @@
 use crate::Output;
 use crate::RequestToken;
 use indexmap::IndexMap;
-use policy::Bounds;
-use policy::Budgets;
+use policy::BudgetConfig;
+use policy::ResendBudgets;
 use proto::hash64;
 use proto::Outcome;
 use proto::Reason;
 use proto::Refusal;
 use proto::Request;
 use std::sync::Arc;
-use stdx::Bounded;
+use stdx::BoundedMap;
 use stdx::Time;
 
 /// The most refused requests that are remembered.
@@ -37,16 +37,16 @@
 pub(crate) struct Resends {
     in_flight: IndexMap<RequestHash, RequestToken>,
     /// When a refused request may be sent again.
-    retry_times: Bounded<RequestHash, Time>,
-    budgets: Budgets,
+    retry_times: BoundedMap<RequestHash, Time>,
+    budgets: ResendBudgets,
 }
 
 impl Resends {
     pub(crate) fn new() -> Self {
         Self {
             in_flight: IndexMap::new(),
-            retry_times: Bounded::new(MAX_REFUSALS),
-            budgets: Budgets::new(Bounds::default()),
+            retry_times: BoundedMap::new(MAX_REFUSALS),
+            budgets: ResendBudgets::new(BudgetConfig::default()),
         }
     }
 
@@ -74,9 +74,9 @@
     ) -> Option<Time> {
         let not_before = self.retry_times.get(&request_hash).copied();
         match not_before.filter(|at| now < *at) {
-            Some(at) => Some(at).filter(|_| !self.budgets.spend(now, service)),
+            Some(at) => Some(at).filter(|_| !self.budgets.try_withdraw(now, service)),
             None => {
-                self.budgets.earn_at(service, ratio);
+                self.budgets.deposit_with_ratio(service, ratio);
                 None
             }
         }
@@ -121,13 +121,13 @@
     /// same hash. Its deadline must not be later than the one of the re-send.
     fn find_leader(&self, request_hash: RequestHash, draft: &RequestDraft) -> Option<RequestToken> {
         let token = self.resends.in_flight.get(&request_hash)?;
-        let call = self.calls.get(&self.open.get(token)?.call)?;
+        let call = self.calls.get(&self.open_requests.get(token)?.call)?;
         let is_same = call.request == draft.request && call.deadline <= draft.deadline;
         is_same.then_some(*token)
     }
 
     fn follow(&mut self, leader: RequestToken, draft: RequestDraft) {
-        let Some(open) = self.open.get_mut(&leader) else {
+        let Some(open) = self.open_requests.get_mut(&leader) else {
             return;
         };
         if open.followers.len() >= MAX_FOLLOWERS {
@@ -136,25 +136,25 @@
         }
         open.followers.push(draft.token);
         self.followers.insert(draft.token, leader);
-        self.count(Counter::Attached);
+        self.count(Counter::ResendAttached);
     }
 
     /// Handles a caller that has gone, whose request waited for another one's answer or has others
     /// waiting for it. Returns whether the work is still wanted.
     pub(crate) fn unfollow(&mut self, token: RequestToken) -> bool {
         if let Some(leader) = self.followers.swap_remove(&token) {
-            if let Some(open) = self.open.get_mut(&leader) {
+            if let Some(open) = self.open_requests.get_mut(&leader) {
                 open.followers.retain(|follower| *follower != token);
             }
             // Every request must be answered, otherwise its connection would stay open for ever.
-            self.out.push(Output::Answer {
+            self.outputs.push(Output::Answer {
                 token,
                 outcome: Outcome::Unknown(Reason::CallerGone),
                 generated_key: None,
             });
             return true;
         }
-        let open = self.open.get(&token);
+        let open = self.open_requests.get(&token);
         open.is_some_and(|open| !open.followers.is_empty())
     }
 }
--- a/crates/engine/src/routing.rs
+++ b/crates/engine/src/routing.rs
@@ -2,8 +2,8 @@
 
 use crate::outgoing::OutgoingCall;
 use crate::Engine;
-use policy::Place;
-use policy::Standing;
+use policy::Eligibility;
+use policy::Proximity;
 use proto::Incarnation;
 use proto::Instance;
 use proto::KeyHash;
@@ -13,20 +13,20 @@
 impl Engine {
     pub(crate) fn home_of(&self, service: &str, key: KeyHash) -> Option<Instance> {
         let view = self.journal.view(service)?;
-        once::owner(&view.members, key.slot()).cloned()
+        once::slot_owner(&view.members, key.slot()).cloned()
     }
 
     pub(crate) fn choose_instance(&mut self, now: Time, call: &OutgoingCall) -> Option<Instance> {
         let service = &call.request.service;
-        let own_incarnation = self.me.incarnation;
-        if self.me.service == *service {
+        let own_incarnation = self.own_instance.incarnation;
+        if self.own_instance.service == *service {
             self.update_own_eligibility(now);
         }
         let chosen = self
             .selector
             .choose(now, service, &call.avoid, &mut self.rng)?;
         if chosen == own_incarnation {
-            return Some(self.me.clone());
+            return Some(self.own_instance.clone());
         }
         self.members.get(chosen).map(|peer| peer.instance.clone())
     }
@@ -34,16 +34,17 @@
     /// Adds the own backend server to the candidates. Its load is known exactly.
     fn update_own_eligibility(&mut self, now: Time) {
         let eligibility = if self.stopping {
-            Standing::Closed
+            Eligibility::Excluded
         } else {
-            Standing::Ready
+            Eligibility::Ready
         };
-        let (own_incarnation, service) = (self.me.incarnation, &self.me.service);
-        self.selector.set(
+        let (own_incarnation, service) =
+            (self.own_instance.incarnation, &self.own_instance.service);
+        self.selector.set_instance(
             now,
             own_incarnation,
             service,
-            Place::SameDomain,
+            Proximity::SameDomain,
             eligibility,
         );
         self.selector
@@ -56,14 +57,14 @@
             return;
         };
         let eligibility = match state {
-            _ if !peer.open => Standing::Closed,
-            PeerState::Alive if !peer.load.draining => Standing::Ready,
-            PeerState::Suspect if !peer.load.draining => Standing::Doubtful,
-            _ => Standing::Closed,
+            _ if !peer.accepts_work => Eligibility::Excluded,
+            PeerState::Alive if !peer.load.draining => Eligibility::Ready,
+            PeerState::Suspect if !peer.load.draining => Eligibility::LastResort,
+            _ => Eligibility::Excluded,
         };
         let instance = &peer.instance;
         let proximity = self.proximity(instance);
-        self.selector.set(
+        self.selector.set_instance(
             now,
             instance.incarnation,
             &instance.service,
@@ -72,13 +73,13 @@
         );
     }
 
-    pub(crate) fn proximity(&self, peer: &Instance) -> Place {
-        if peer.failure_domain == self.me.failure_domain {
-            Place::SameDomain
-        } else if peer.region == self.me.region {
-            Place::SameRegion
+    pub(crate) fn proximity(&self, peer: &Instance) -> Proximity {
+        if peer.failure_domain == self.own_instance.failure_domain {
+            Proximity::SameDomain
+        } else if peer.region == self.own_instance.region {
+            Proximity::SameRegion
         } else {
-            Place::OtherRegion
+            Proximity::OtherRegion
         }
     }
 }
--- a/crates/engine/src/serve.rs
+++ b/crates/engine/src/serve.rs
@@ -1,7 +1,7 @@
 //! Calls from other nodes, and jobs for the own backend server.
 
-use crate::admission::shed;
-use crate::answered::Seen;
+use crate::admission::shed_refusal;
+use crate::answer_cache::CachedAnswer;
 use crate::job::Job;
 use crate::job::JobOwner;
 use crate::operation_key::operation_key;
@@ -15,24 +15,24 @@
 use crate::ServerState;
 use indexmap::IndexMap;
 use policy::admission_value;
-use policy::Account;
-use policy::Offer;
-use policy::Ticket;
+use policy::AdmissionDecision;
+use policy::RetryAllowance;
+use policy::WorkItem;
 use proto::ActionId;
 use proto::Answer;
-use proto::Below;
 use proto::Call;
 use proto::CallId;
+use proto::CallRole;
+use proto::DownstreamSummary;
 use proto::Fingerprint;
 use proto::Frame;
 use proto::Incarnation;
 use proto::KeyHash;
-use proto::Leg;
 use proto::Outcome;
 use proto::Reason;
 use proto::Refusal;
 use proto::RunId;
-use rules::Rule;
+use rules::MatchedRule;
 use std::sync::Arc;
 use std::time::Duration;
 use stdx::Time;
@@ -61,31 +61,31 @@
         if self.inbound.contains_key(&call.id) {
             return;
         }
-        match self.answered.get(call.id) {
-            Seen::Answered(answer) => {
+        match self.answer_cache.get(call.id) {
+            CachedAnswer::Found(answer) => {
                 let frame = Frame::Answer(call.id, Box::new(answer.clone()));
                 return self.send_to(from, frame);
             }
-            Seen::Forgotten => return self.answer_forgotten_call(from, call.id),
-            Seen::Never => {}
+            CachedAnswer::Evicted => return self.answer_evicted_call(from, call.id),
+            CachedAnswer::Absent => {}
         }
-        match call.leg {
-            Leg::Serve => self.on_serve_call(now, call),
-            Leg::Home => self.on_home_call(now, call),
+        match call.role {
+            CallRole::Serve => self.on_serve_call(now, call),
+            CallRole::Home => self.on_keyed_call(now, call),
         }
     }
 
     fn on_serve_call(&mut self, now: Time, call: Call) {
         if self.stopping {
             let outcome = self.not_run(Reason::Draining);
-            return self.answer_call(call.id, call.allowance, outcome);
+            return self.answer_call(call.id, call.retry_allowance, outcome);
         }
         if !self.server_accepts_work() {
             let outcome = self.not_run(Reason::Draining);
-            return self.answer_call(call.id, call.allowance, outcome);
+            return self.answer_call(call.id, call.retry_allowance, outcome);
         }
         if !self.has_rules() {
-            return self.answer_call(call.id, call.allowance, self.not_run(Reason::NoRules));
+            return self.answer_call(call.id, call.retry_allowance, self.not_run(Reason::NoRules));
         }
         let id = call.id;
         let run = self.new_job(now, JobOwner::Call(id), call);
@@ -101,20 +101,20 @@
     /// Creates a job for the own backend server.
     pub(crate) fn new_job(&mut self, now: Time, owner: JobOwner, call: Call) -> RunId {
         let run = RunId {
-            at: self.me.incarnation,
-            number: self.number(),
+            at: self.own_instance.incarnation,
+            number: self.allocate_id(),
         };
         let request = call.request;
         let rules = &self.journal.rules;
-        let operation = rules.decide(&request).map(Rule::operation);
+        let operation = rules.match_rule(&request).map(MatchedRule::operation);
         let job = Job {
             owner,
             action_id: call.action,
-            admission_sample: call.dice,
+            admission_sample: call.admission_sample,
             depth: call.depth,
             deadline: now + Duration::from_millis(u64::from(call.remaining_ms)),
-            retry_allowance: Account::new(call.allowance),
-            possible_repeat: call.again,
+            retry_allowance: RetryAllowance::new(call.retry_allowance),
+            possible_repeat: call.possible_repeat,
             operation: operation.map(operation_key),
             fingerprint: Fingerprint::of(&request),
             keyed: call.key.is_some(),
@@ -139,7 +139,7 @@
             self.timers.set(job.deadline, Timer::RunDeadline(run));
         }
         if !job.request.id.is_empty() {
-            self.jobs_by_id.insert(job.request.id.clone(), run);
+            self.jobs_by_request_id.insert(job.request.id.clone(), run);
         }
         self.jobs.insert(run, job);
         run
@@ -156,12 +156,12 @@
             return self.end_job(now, run, self.not_run(Reason::Draining));
         }
         let fingerprint = job.fingerprint;
-        let mut ticket = Ticket {
+        let mut ticket = WorkItem {
             id: run.number,
             class: job.class,
             priority: job.priority,
             passed_level: job.passed_level,
-            dice: job.admission_sample,
+            random_value: job.admission_sample,
             deadline: job.deadline,
             arrived: now,
             admitted: job.depth > 0,
@@ -171,14 +171,14 @@
         }
         if !ticket.admitted {
             let level = self.downstream_level(now, run);
-            if admission_value(ticket.class, ticket.dice) < level {
-                self.server.refused_before(now, ticket.class);
-                let refusal = shed(level, ticket.class, ticket.dice);
+            if admission_value(ticket.class, ticket.random_value) < level {
+                self.server.on_refused_before_offer(now, ticket.class);
+                let refusal = shed_refusal(level, ticket.class, ticket.random_value);
                 if let Some(job) = self.jobs.get_mut(&run) {
                     job.child_levels
                         .extend(job.operation.clone().map(|operation| (operation, level)));
                 }
-                return self.apply_offer(now, run, Offer::Refused(refusal));
+                return self.apply_offer(now, run, AdmissionDecision::Refused(refusal));
             }
             ticket.passed_level = ticket.passed_level.max(level);
         }
@@ -196,25 +196,25 @@
     fn downstream_level(&self, now: Time, run: RunId) -> u16 {
         let job = self.jobs.get(&run).filter(|_| self.cfg.policy.levels);
         let operation = job.and_then(|job| job.operation.as_ref());
-        operation.map_or(0, |operation| self.admission.path(now, operation))
+        operation.map_or(0, |operation| self.admission.level_below(now, operation))
     }
 
     /// Starts or refuses queued jobs whose turn has come.
     pub(crate) fn start_queued_jobs(&mut self, now: Time) {
-        while let Some((ticket, offer)) = self.server.next(now) {
+        while let Some((ticket, offer)) = self.server.next_decision(now) {
             let run = RunId {
-                at: self.me.incarnation,
+                at: self.own_instance.incarnation,
                 number: ticket.id,
             };
             self.apply_offer(now, run, offer);
         }
     }
 
-    fn apply_offer(&mut self, now: Time, run: RunId, offer: Offer) {
+    fn apply_offer(&mut self, now: Time, run: RunId, offer: AdmissionDecision) {
         match offer {
-            Offer::Start => self.start(now, run),
-            Offer::Queued => {}
-            Offer::Refused(refusal) => self.end_job(now, run, Outcome::NotRun(refusal)),
+            AdmissionDecision::Start => self.start(now, run),
+            AdmissionDecision::Queued => {}
+            AdmissionDecision::Refused(refusal) => self.end_job(now, run, Outcome::NotRun(refusal)),
         }
     }
 
@@ -222,10 +222,11 @@
         let Some((owner, class)) = self.jobs.get(&run).map(|job| (job.owner, job.class)) else {
             return;
         };
-        let start_within = match self.right_to_start(now, owner) {
+        let start_within = match self.start_permit(now, owner) {
             Ok(start_within) => start_within,
             Err(reason) => {
-                self.server.finished(now, class, policy::Ended::Failed);
+                self.server
+                    .on_finished(now, class, policy::WorkOutcome::Failed);
                 return self.end_job(now, run, self.not_run(reason));
             }
         };
@@ -237,7 +238,7 @@
         job.expected_server = expected_server.clone();
         let request = job.request.clone();
         let remaining = now.until(job.deadline);
-        self.out.push(Output::Run {
+        self.outputs.push(Output::Run {
             run,
             request,
             expected_server,
@@ -245,12 +246,12 @@
             start_within,
         });
         self.count(Counter::Run(class));
-        self.watch_run(now, run);
+        self.set_hedge_timer(now, run);
     }
 
     pub(crate) fn on_run_ended(&mut self, now: Time, run: RunId, end: RunEnd) {
         let Some(job) = self.jobs.get(&run) else {
-            return self.count(Counter::Unexpected);
+            return self.count(Counter::UnexpectedMessage);
         };
         let (class, fingerprint) = (job.class, job.fingerprint);
         let cancelled = job.cancelled;
@@ -258,12 +259,12 @@
         let made_child_calls =
             matches!(job.owner, JobOwner::Key(_)) && !job.child_counts.is_empty();
         let feedback = job.server_feedback(now, &end);
-        self.learn_run(now, run, feedback);
-        self.server.finished(now, class, feedback);
+        self.record_run_time(now, run, feedback);
+        self.server.on_finished(now, class, feedback);
         let outcome = match end {
             RunEnd::Response(response) => {
                 self.clear_suspect(now, fingerprint);
-                Outcome::Whole(response)
+                Outcome::Completed(response)
             }
             // The next run would generate the same child keys, which would then no longer be new.
             // So a run that made child calls never counts as one that did not run.
@@ -297,7 +298,7 @@
         if let Some(at) = job.late_at {
             self.timers.clear(at, Timer::LateRun(run));
         }
-        self.out.push(Output::Diagnostic(Diagnostic::Ran {
+        self.outputs.push(Output::Diagnostic(Diagnostic::Ran {
             request: job.request.id.clone(),
             class: job.class,
             depth: job.depth,
@@ -306,20 +307,20 @@
             left_ms: now.until(job.deadline).as_millis() as u64,
             server: self.server_state(),
         }));
-        if self.jobs_by_id.get(&job.request.id) == Some(&run) {
-            self.jobs_by_id.swap_remove(&job.request.id);
+        if self.jobs_by_request_id.get(&job.request.id) == Some(&run) {
+            self.jobs_by_request_id.swap_remove(&job.request.id);
         }
-        let unspent = job.retry_allowance.left();
+        let unspent = job.retry_allowance.remaining();
         let below = job.downstream();
         if let Some(operation) = job.operation.as_ref().filter(|_| job.started.is_some()) {
-            self.admission.hear_path(now, operation, below);
+            self.admission.record_below(now, operation, below);
         }
-        self.run_below = below;
+        self.ended_run_below = below;
         match job.owner {
             JobOwner::Call(call) => self.answer_call(call, unspent, outcome),
-            JobOwner::Key(key) => self.end_key(now, key, unspent, outcome),
+            JobOwner::Key(key) => self.finish_keyed_run(now, key, unspent, outcome),
         }
-        self.run_below = Below::default();
+        self.ended_run_below = DownstreamSummary::default();
         self.on_suspect_ended(now, run);
     }
 
@@ -329,7 +330,7 @@
         };
         match inbound.work {
             InboundWork::Run(run) => self.cancel_run(now, run),
-            InboundWork::Key(key) => self.cancel_key(now, key, id),
+            InboundWork::Key(key) => self.cancel_keyed_call(now, key, id),
             InboundWork::Held => self.cancel_held(id),
         }
     }
@@ -340,7 +341,7 @@
         if self.withdraw(run) {
             return self.end_withdrawn_job(now, run);
         }
-        self.out.push(Output::CancelRun(run));
+        self.outputs.push(Output::CancelRun(run));
         let Some(job) = self.jobs.get_mut(&run) else {
             return;
         };
@@ -360,7 +361,7 @@
 
     /// Removes a job that has not started. Returns `false` if it has started.
     pub(crate) fn withdraw(&mut self, run: RunId) -> bool {
-        self.server.withdraw(run.number) || self.suspects.withdraw(run)
+        self.server.cancel(run.number) || self.suspects.withdraw(run)
     }
 
     /// Ends a job that was removed from the queue.
@@ -369,12 +370,12 @@
     }
 
     /// Answers a call when it is no longer known whether it was answered before.
-    fn answer_forgotten_call(&mut self, from: Incarnation, id: CallId) {
+    fn answer_evicted_call(&mut self, from: Incarnation, id: CallId) {
         let answer = Answer {
             outcome: Outcome::Unknown(Reason::PeerLost),
-            unspent: 0,
+            unspent_retries: 0,
             load: self.load_report(),
-            below: Below::default(),
+            downstream: DownstreamSummary::default(),
         };
         self.send_to(from, Frame::Answer(id, Box::new(answer)));
     }
@@ -384,11 +385,11 @@
         self.inbound.swap_remove(&id);
         let answer = Answer {
             outcome,
-            unspent,
+            unspent_retries: unspent,
             load: self.load_report(),
-            below: self.run_below,
+            downstream: self.ended_run_below,
         };
-        self.answered.insert(id, answer.clone());
+        self.answer_cache.insert(id, answer.clone());
         self.send_to(id.from, Frame::Answer(id, Box::new(answer)));
     }
 
--- a/crates/engine/tests/announced.rs
+++ b/crates/engine/tests/announced.rs
@@ -5,7 +5,7 @@
 use bilberry_engine::Engine;
 use bilberry_engine::Heartbeat;
 use bilberry_engine::Input;
-use bilberry_engine::Keyless;
+use bilberry_engine::KeylessCalls;
 use bilberry_engine::Output;
 use bilberry_engine::RequestToken;
 use bilberry_engine::RunEnd;
@@ -16,10 +16,10 @@
 use proto::Reason;
 use proto::Request;
 use proto::RunId;
-use rules::Asked;
 use rules::Operation;
 use rules::Route;
 use rules::Routes;
+use rules::RuleOrigin;
 use rules::Rules;
 use std::sync::Arc;
 use std::time::Duration;
@@ -45,13 +45,13 @@
             priority: 0,
             retries: 1,
             public: false,
-            asked: Asked {
+            origin: RuleOrigin {
                 line: 1,
-                by: "Anna".into(),
+                requested_by: "Anna".into(),
             },
         },
         targets: vec![(service, 1)],
-        objective: Duration::from_secs(1),
+        latency_objective: Duration::from_secs(1),
     };
     let mut routes = Routes::default();
     routes.insert(&HOST.into(), file.into(), route);
@@ -86,8 +86,8 @@
     };
     let cfg = Config {
         parse_rules,
-        keyless: Keyless::Own,
-        announced: true,
+        keyless_calls: KeylessCalls::OwnedByIngress,
+        server_announces: true,
         ..Config::default()
     };
     Engine::new(cfg, me)
@@ -154,9 +154,9 @@
     let ends = outputs.into_iter().find_map(|output| match output {
         Output::Run {
             run,
-            expected_server,
+            expected_server: expect,
             ..
-        } => Some(Ok((run, expected_server.unwrap()))),
+        } => Some(Ok((run, expect.unwrap()))),
         Output::Answer {
             outcome: Outcome::NotRun(refusal),
             ..
--- a/crates/engine/tests/load.rs
+++ b/crates/engine/tests/load.rs
@@ -9,8 +9,8 @@
 use bytes::Bytes;
 use journal::Record;
 use proto::Answer;
-use proto::Below;
 use proto::Call;
+use proto::DownstreamSummary;
 use proto::Frame;
 use proto::Incarnation;
 use proto::Instance;
@@ -116,13 +116,13 @@
     }
 
     /// Answers the oldest call.
-    fn reply(&mut self, outcome: Outcome, below: Below) {
+    fn reply(&mut self, outcome: Outcome, below: DownstreamSummary) {
         let (from, call) = self.calls.remove(0);
         let answer = Answer {
             outcome,
-            unspent: call.allowance,
+            unspent_retries: call.retry_allowance,
             load: LoadReport::default(),
-            below,
+            downstream: below,
         };
         let frame = Frame::Answer(call.id, Box::new(answer));
         self.input(Input::Frame { from, frame });
@@ -131,7 +131,7 @@
     /// The node of the oldest call reports that its run takes longer than usual.
     fn report_slow_run(&mut self) {
         let (from, call) = &self.calls[0];
-        let (from, frame) = (*from, Frame::Late(call.id));
+        let (from, frame) = (*from, Frame::SlowCall(call.id));
         self.input(Input::Frame { from, frame });
     }
 
@@ -141,7 +141,7 @@
 }
 
 fn completed() -> Outcome {
-    Outcome::Whole(Response {
+    Outcome::Completed(Response {
         status: 200,
         headers: Vec::new(),
         body: Bytes::new(),
@@ -159,7 +159,7 @@
     ingress.send(second.0, second.1);
     assert_eq!(ingress.calls.len(), calls);
     for _ in 0..calls {
-        ingress.reply(completed(), Below::default());
+        ingress.reply(completed(), DownstreamSummary::default());
     }
     assert_eq!(ingress.outcomes(), [completed(), completed()]);
 }
@@ -181,7 +181,7 @@
     let first = ingress.send("a", "/p/1");
     let second = ingress.send("a", "/p/1");
     ingress.input(Input::CallerGone(first));
-    ingress.reply(completed(), Below::default());
+    ingress.reply(completed(), DownstreamSummary::default());
     assert!(ingress.answers.contains(&(second, completed())));
 }
 
@@ -195,7 +195,7 @@
     ingress.input(Input::CallerGone(second));
     let gone = Outcome::Unknown(Reason::CallerGone);
     assert_eq!(ingress.answers, [(second, gone)]);
-    ingress.reply(completed(), Below::default());
+    ingress.reply(completed(), DownstreamSummary::default());
     assert_eq!(ingress.answers.len(), 2);
 }
 
@@ -208,7 +208,7 @@
     for _ in 0..30 {
         ingress.send("a", "/p/1");
         if !ingress.calls.is_empty() {
-            ingress.reply(not_run(Reason::Shed), Below::default());
+            ingress.reply(not_run(Reason::Shed), DownstreamSummary::default());
         }
         let last = ingress.outcomes().pop();
         limited += usize::from(
@@ -239,7 +239,7 @@
     for n in 0..20 {
         ingress.wait(50);
         ingress.send(&n.to_string(), "/p/1");
-        let below = Below {
+        let below = DownstreamSummary {
             level: 0x4000,
             calls: 3,
         };
@@ -264,9 +264,12 @@
 fn a_refused_retry_of_a_lost_attempt_is_unknown() {
     let mut ingress = IngressNode::new();
     ingress.send("a", "/p/1");
-    ingress.reply(Outcome::Unknown(Reason::ServerLost), Below::default());
-    assert!(ingress.calls[0].1.again);
-    ingress.reply(not_run(Reason::Shed), Below::default());
+    ingress.reply(
+        Outcome::Unknown(Reason::ServerLost),
+        DownstreamSummary::default(),
+    );
+    assert!(ingress.calls[0].1.possible_repeat);
+    ingress.reply(not_run(Reason::Shed), DownstreamSummary::default());
     assert_eq!(ingress.outcomes(), [Outcome::Unknown(Reason::Shed)]);
 }
 
@@ -281,7 +284,7 @@
             ingress.send(&n.to_string(), path);
             while !ingress.calls.is_empty() {
                 attempts += 1;
-                ingress.reply(not_run(Reason::ServerRefused), Below::default());
+                ingress.reply(not_run(Reason::ServerRefused), DownstreamSummary::default());
             }
         }
         attempts
@@ -321,7 +324,7 @@
 /// An ingress node whose last lookup made twelve calls downstream.
 fn ingress_with_call_trees() -> IngressNode {
     let mut ingress = IngressNode::with_config(Config {
-        tree_retries: TreeRetries::ByCalls(6),
+        tree_retries: TreeRetries::ScaledByCalls(6),
         ..Config::default()
     });
     for (offset, n) in [(4, 4), (5, 5)] {
@@ -330,9 +333,9 @@
         ingress.input(Input::Records(records));
     }
     ingress.send("a", "/p/1");
-    let below = Below {
+    let below = DownstreamSummary {
         calls: 12,
-        ..Below::default()
+        ..DownstreamSummary::default()
     };
     ingress.reply(completed(), below);
     ingress
@@ -348,7 +351,7 @@
     let (_, call) = &ingress.calls[0];
     let declared = 2;
     assert_eq!(
-        call.allowance,
+        call.retry_allowance,
         declared + 2,
         "no retry is kept: a second run would need twelve"
     );
@@ -361,7 +364,7 @@
     let mut ingress = IngressNode::new();
     ingress.send("a", "/p/1");
     let (_, call) = &ingress.calls[0];
-    assert_eq!(call.allowance, 1);
+    assert_eq!(call.retry_allowance, 1);
 }
 
 /// The operator allows two retries of a call. It must not get more because its action has some left
@@ -372,7 +375,7 @@
     ingress.send("b", "/p/2");
     for _ in 0..3 {
         assert_eq!(ingress.calls.len(), 1);
-        ingress.reply(not_run(Reason::ServerRefused), Below::default());
+        ingress.reply(not_run(Reason::ServerRefused), DownstreamSummary::default());
     }
     assert_eq!(ingress.calls.len(), 0, "four instances, three attempts");
 }
@@ -388,7 +391,7 @@
     assert_ne!(ingress.calls[0].0, ingress.calls[1].0);
     assert_ne!(ingress.calls[0].1.id, ingress.calls[1].1.id);
     ingress.calls.remove(0);
-    ingress.reply(completed(), Below::default());
+    ingress.reply(completed(), DownstreamSummary::default());
     assert_eq!(ingress.outcomes(), [completed()]);
 }
 
@@ -400,9 +403,9 @@
     ingress.send("b", "/p/x");
     ingress.report_slow_run();
     assert_eq!(ingress.calls.len(), 2);
-    ingress.reply(completed(), Below::default());
+    ingress.reply(completed(), DownstreamSummary::default());
     assert_eq!(ingress.outcomes(), [completed()]);
-    ingress.reply(completed(), Below::default());
+    ingress.reply(completed(), DownstreamSummary::default());
     assert_eq!(ingress.outcomes(), []);
 }
 
@@ -414,10 +417,10 @@
     ingress.report_slow_run();
     assert_eq!(ingress.calls.len(), 2);
     let first = ingress.calls.remove(0);
-    ingress.reply(not_run(Reason::Shed), Below::default());
+    ingress.reply(not_run(Reason::Shed), DownstreamSummary::default());
     assert_eq!(ingress.outcomes(), []);
     ingress.calls.push(first);
-    ingress.reply(completed(), Below::default());
+    ingress.reply(completed(), DownstreamSummary::default());
     assert_eq!(ingress.outcomes(), [completed()]);
 }
 
--- a/crates/engine/tests/log/appends.rs
+++ b/crates/engine/tests/log/appends.rs
@@ -37,7 +37,7 @@
     let mut driver = Driver::new();
     driver.read_record(&Record::Join(instance(1)));
     driver.feed(Input::Stop);
-    let end = driver.now + Config::default().leave_patience;
+    let end = driver.now + Config::default().leave_timeout;
     while driver.now < end {
         assert!(!driver.stopped);
         for (number, record) in driver.take_appends() {
@@ -47,7 +47,7 @@
         driver.advance(Duration::from_millis(500));
     }
     assert!(driver.stopped);
-    assert_eq!(driver.count(Counter::LeaveUnsaid), 1);
+    assert_eq!(driver.count(Counter::LeaveNotAppended), 1);
     assert_eq!(
         driver.engine.next_timer().filter(|due| *due <= driver.now),
         None
--- a/crates/engine/tests/log/outage.rs
+++ b/crates/engine/tests/log/outage.rs
@@ -11,9 +11,9 @@
 use proto::Datagram;
 use proto::MemberMessage;
 use proto::Outcome;
-use proto::Progress;
 use proto::Reason;
 use proto::Request;
+use proto::SyncProgress;
 use proto::PROTOCOL_VERSION;
 use std::time::Duration;
 
@@ -75,7 +75,7 @@
             version: PROTOCOL_VERSION,
             progress: from.engine.journal().progress(),
             message: MemberMessage::Gossip {
-                rumours: Vec::new(),
+                updates: Vec::new(),
             },
         },
     }
@@ -88,9 +88,15 @@
     let peer = node_with_rules(2, 3);
     let mut driver = node_in_outage(&[2]);
     assert_eq!(request_refusal(&mut driver), Some(Reason::NoRules));
-    assert_eq!(driver.fetches, [(instance(2).addr, Progress::default())]);
+    assert_eq!(
+        driver.fetches,
+        [(instance(2).addr, SyncProgress::default())]
+    );
 
-    let state = peer.engine.state_beyond(Progress::default()).unwrap();
+    let state = peer
+        .engine
+        .state_newer_than(SyncProgress::default())
+        .unwrap();
     driver.feed(Input::StateFetched(state));
     assert_eq!(driver.engine.rules_version(), 3);
     assert!(!driver.engine.is_listed());
@@ -136,7 +142,7 @@
     let known = driver.engine.journal().progress();
     assert_eq!(driver.fetches, [(instance(2).addr, known)]);
     driver.feed(Input::StateFetched(
-        peer.engine.state_beyond(known).unwrap(),
+        peer.engine.state_newer_than(known).unwrap(),
     ));
     assert_eq!(driver.engine.rules_version(), 2);
 
@@ -152,14 +158,14 @@
 fn stale_or_damaged_state_is_rejected() {
     let old = node_with_rules(2, 1)
         .engine
-        .state_beyond(Progress::default())
+        .state_newer_than(SyncProgress::default())
         .unwrap();
     let mut driver = node_with_rules(1, 2);
     driver.feed(Input::StateFetched(old.slice(..old.len() / 2)));
     driver.feed(Input::StateFetched(old));
     assert_eq!(driver.engine.rules_version(), 2);
-    assert_eq!(driver.count(Counter::BrokenRecord), 1);
-    assert_eq!(driver.count(Counter::Restored), 0);
+    assert_eq!(driver.count(Counter::MalformedRecord), 1);
+    assert_eq!(driver.count(Counter::StateRestored), 0);
 }
 
 /// The store answers some nodes and not others while instances come and go. If a node took only the
@@ -174,7 +180,7 @@
         peer.read_record(&Record::Join(instance(n)));
     }
     driver.feed(Input::StateFetched(
-        peer.engine.state_beyond(known).unwrap(),
+        peer.engine.state_newer_than(known).unwrap(),
     ));
     assert_eq!(driver.engine.next_offset(), peer.engine.next_offset());
     driver.advance(Duration::from_secs(60));
--- a/crates/engine/tests/log/propagation.rs
+++ b/crates/engine/tests/log/propagation.rs
@@ -105,7 +105,7 @@
                 Output::FetchState { from, known } => {
                     self.fetches += 1;
                     let peer = usize::from(from.port()) - 7001;
-                    let state = self.engines[peer].state_beyond(known);
+                    let state = self.engines[peer].state_newer_than(known);
                     if let Some(state) = state.filter(|_| self.are_connected(node, peer)) {
                         self.deliver_after(node, LATENCY * 4, Input::StateFetched(state));
                     }
--- a/crates/engine/tests/log/topic_snapshot.rs
+++ b/crates/engine/tests/log/topic_snapshot.rs
@@ -38,7 +38,7 @@
     apply_snapshot(&mut driver, values(&old, 100), 120);
     assert_eq!(driver.engine.next_offset(), 120);
     assert_eq!(driver.engine.journal().instances().count(), 3);
-    assert_eq!(driver.count(Counter::ViewTaken), 3);
+    assert_eq!(driver.count(Counter::ViewApplied), 3);
     assert_eq!(driver.take_one_append().1, Record::Join(instance(1)));
 }
 
--- a/crates/engine/tests/organisations.rs
+++ b/crates/engine/tests/organisations.rs
@@ -5,7 +5,7 @@
 use bilberry_engine::Engine;
 use bilberry_engine::Heartbeat;
 use bilberry_engine::Input;
-use bilberry_engine::Keyless;
+use bilberry_engine::KeylessCalls;
 use bilberry_engine::Output;
 use bilberry_engine::RequestToken;
 use bilberry_engine::RunEnd;
@@ -58,9 +58,9 @@
             addr: ([127, 0, 0, 1], 7001).into(),
         };
         let cfg = Config {
-            keyless: Keyless::Own,
-            announced: true,
-            revocation: Some(REVOCATION_BOUND),
+            keyless_calls: KeylessCalls::OwnedByIngress,
+            server_announces: true,
+            revocation_bound: Some(REVOCATION_BOUND),
             ..Config::default()
         };
         let mut driver = Self {
--- a/crates/engine/tests/refusals.rs
+++ b/crates/engine/tests/refusals.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use journal::Record;
 use proto::Answer;
-use proto::Below;
+use proto::DownstreamSummary;
 use proto::Frame;
 use proto::Incarnation;
 use proto::Instance;
@@ -86,8 +86,8 @@
                 sent += 1;
                 let answer = Answer {
                     outcome: Outcome::NotRun(Refusal::new(reason, Duration::from_secs(1))),
-                    unspent: 0,
-                    below: Below::default(),
+                    unspent_retries: 0,
+                    downstream: DownstreamSummary::default(),
                     load: LoadReport::default(),
                 };
                 let frame = Frame::Answer(id, Box::new(answer));
--- a/crates/membership/src/members.rs
+++ b/crates/membership/src/members.rs
@@ -13,14 +13,14 @@
 use proto::LoadReport;
 use proto::MemberMessage;
 use proto::PeerState;
-use proto::Rumour;
+use proto::PeerUpdate;
 use rand::rngs::StdRng;
 use rand::seq::SliceRandom;
 use rand::SeedableRng;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::time::Duration;
-use stdx::Bounded;
+use stdx::BoundedMap;
 use stdx::Time;
 
 /// Incarnations that never come back, remembered beyond their entries, because old rumours about
@@ -54,7 +54,7 @@
         message: MemberMessage,
     },
     /// A peer's state is not what it was.
-    Changed {
+    PeerChanged {
         /// Whose.
         incarnation: Incarnation,
         /// The new one.
@@ -96,7 +96,7 @@
     /// When suspects count as dead.
     pub(crate) suspects: BTreeSet<(Time, Incarnation)>,
     /// `true` while it holds; the log may list one again.
-    pub(crate) buried: Bounded<Incarnation, bool>,
+    pub(crate) buried: BoundedMap<Incarnation, bool>,
 }
 
 impl Membership {
@@ -123,7 +123,7 @@
             rumours: RumourQueue::default(),
             gossip_at: Time::ZERO,
             suspects: BTreeSet::new(),
-            buried: Bounded::new(MAX_BURIED),
+            buried: BoundedMap::new(MAX_BURIED),
         }
     }
 
@@ -143,10 +143,10 @@
                 seq,
                 digest,
                 load,
-                rumours,
+                updates,
             } => {
                 self.hear_sender(now, &sender, load);
-                self.hear_all(now, &rumours);
+                self.hear_all(now, &updates);
                 self.on_ping(from, &sender, seq);
                 self.compare(now, from, digest);
             }
@@ -155,17 +155,17 @@
                 seq,
                 digest,
                 load,
-                rumours,
+                updates,
             } => {
                 self.on_ack(now, &sender, seq, digest, load);
                 self.hear_sender(now, &sender, load);
-                self.hear_all(now, &rumours);
+                self.hear_all(now, &updates);
                 self.compare(now, sender.instance.addr, digest);
             }
             MemberMessage::PingReq { seq, target } => self.on_ping_req(from, seq, target),
-            MemberMessage::Gossip { rumours } => self.hear_all(now, &rumours),
+            MemberMessage::Gossip { updates } => self.hear_all(now, &updates),
             MemberMessage::Pull { digests } => self.on_pull(from, &digests),
-            MemberMessage::News { rumours } => self.on_news(now, &rumours),
+            MemberMessage::PullReply { updates } => self.on_news(now, &updates),
         }
         std::mem::take(&mut self.effects)
     }
@@ -214,7 +214,7 @@
             let told: Vec<SocketAddr> = told.map(|entry| entry.peer.instance.addr).collect();
             for to in told {
                 let rumours = vec![self.my_rumour()];
-                self.send(to, MemberMessage::Gossip { rumours });
+                self.send(to, MemberMessage::Gossip { updates: rumours });
             }
         }
         std::mem::take(&mut self.effects)
@@ -224,7 +224,7 @@
     /// reaches a large fleet in a few rounds; a load report would reach most nodes only with the
     /// next probe between the two.
     /// Gives whether that is news.
-    pub fn set_open(&mut self, open: bool) -> bool {
+    pub fn set_accepting_work(&mut self, open: bool) -> bool {
         let news = self.open != open;
         if news {
             self.open = open;
@@ -235,7 +235,7 @@
 
     /// Asks the nodes at these addresses who they are, and keeps the addresses as hints. Some may
     /// be gone; who answers tells of the rest.
-    pub fn meet(&mut self, addrs: &[SocketAddr]) -> Vec<Effect> {
+    pub fn add_contacts(&mut self, addrs: &[SocketAddr]) -> Vec<Effect> {
         let strangers = addrs.iter().filter(|addr| **addr != self.me.addr);
         let mut strangers: Vec<SocketAddr> = strangers.copied().collect();
         strangers.shuffle(&mut self.rng);
@@ -249,9 +249,9 @@
         std::mem::take(&mut self.effects)
     }
 
-    pub(crate) fn set_open_of(&mut self, incarnation: Incarnation, open: bool) {
+    pub(crate) fn set_peer_accepts_work(&mut self, incarnation: Incarnation, open: bool) {
         if let Some(entry) = self.peers.get_mut(&incarnation) {
-            entry.peer.open = open;
+            entry.peer.accepts_work = open;
         }
     }
 
@@ -261,7 +261,7 @@
     }
 
     /// Takes a report that came with an answer.
-    pub fn heard_load(&mut self, now: Time, from: Incarnation, load: LoadReport) {
+    pub fn on_load_report(&mut self, now: Time, from: Incarnation, load: LoadReport) {
         if let Some(entry) = self.peers.get_mut(&from) {
             entry.peer.load = load;
             entry.heard = Some(now);
@@ -282,7 +282,7 @@
     /// How many nodes may be at work, this one included. Unlike [`Membership::fleet_size`] it leaves out
     /// nodes that have said that they leave, and counts addresses that nobody has been heard of at yet: a
     /// node that starts in a small part of a fleet that is cut apart must not take it for the whole.
-    pub fn voters(&self, now: Time) -> usize {
+    pub fn voter_count(&self, now: Time) -> usize {
         let peers = self.occupants.iter().filter(|(addr, occupant)| {
             let entry = self.peers.get(*occupant);
             **addr != self.me.addr && entry.is_none_or(|entry| !entry.has_left())
@@ -301,11 +301,11 @@
     }
 
     /// The peers that may be given new work for `service`.
-    pub fn usable<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a Peer> {
+    pub fn usable_peers<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a Peer> {
         self.peers().filter(move |peer| {
             &*peer.instance.service == service
                 && peer.state == PeerState::Alive
-                && peer.open
+                && peer.accepts_work
                 && !peer.load.draining
         })
     }
@@ -315,7 +315,7 @@
     }
 
     /// Who was last known to be at an address.
-    pub fn at(&self, addr: SocketAddr) -> Option<&Peer> {
+    pub fn peer_at(&self, addr: SocketAddr) -> Option<&Peer> {
         self.get(*self.occupants.get(&addr)?)
     }
 
@@ -327,17 +327,17 @@
         }
     }
 
-    pub(crate) fn my_rumour(&self) -> Rumour {
-        Rumour {
+    pub(crate) fn my_rumour(&self) -> PeerUpdate {
+        PeerUpdate {
             instance: self.me.clone(),
             state: self.my_state(),
-            beat: self.beat,
-            open: self.open,
+            revision: self.beat,
+            accepts_work: self.open,
         }
     }
 
     /// The rumours for one datagram.
-    pub(crate) fn take_rumours(&mut self, first: Option<Rumour>) -> Vec<Rumour> {
+    pub(crate) fn take_rumours(&mut self, first: Option<PeerUpdate>) -> Vec<PeerUpdate> {
         let mine = self.my_rumour();
         self.rumours.take(first, |about| {
             if about == mine.instance.incarnation {
@@ -349,7 +349,7 @@
 
     pub(crate) fn spread(&mut self, about: Incarnation) {
         let size = self.peers.len() as u32 + 2;
-        let times = self.cfg.retransmit * (size.ilog2() + 1);
+        let times = self.cfg.retransmit_mult * (size.ilog2() + 1);
         self.rumours.push(about, times);
     }
 
@@ -361,7 +361,7 @@
         for to in self.pick_helpers(self.cfg.gossip_fanout, None) {
             let rumours = self.take_rumours(None);
             if !rumours.is_empty() {
-                self.send(to, MemberMessage::Gossip { rumours });
+                self.send(to, MemberMessage::Gossip { updates: rumours });
             }
         }
     }
