--- a/crates/engine/src/diagnostic.rs
+++ b/crates/engine/src/diagnostic.rs
@@ -15,7 +15,7 @@
     /// The outcome of a request or of its run, without the response.
     pub enum OutcomeSummary {
         /// A complete response with this status.
-        Whole(u16),
+        Completed(u16),
         /// It did not run.
         NotRun(Reason),
         /// It may have run.
@@ -163,7 +163,7 @@
 impl OutcomeSummary {
     pub(crate) fn of(outcome: &Outcome) -> Self {
         match outcome {
-            Outcome::Completed(response) => OutcomeSummary::Whole(response.status),
+            Outcome::Completed(response) => OutcomeSummary::Completed(response.status),
             Outcome::NotRun(refusal) => OutcomeSummary::NotRun(refusal.reason),
             Outcome::Unknown(reason) => OutcomeSummary::Unknown(*reason),
         }
@@ -173,7 +173,7 @@
 impl fmt::Display for OutcomeSummary {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            OutcomeSummary::Whole(status) => write!(f, "outcome=whole status={status}"),
+            OutcomeSummary::Completed(status) => write!(f, "outcome=whole status={status}"),
             OutcomeSummary::NotRun(reason) => write!(f, "outcome=not-run reason={}", reason.name()),
             OutcomeSummary::Unknown(reason) => {
                 write!(f, "outcome=unknown reason={}", reason.name())
--- a/crates/node/src/events.rs
+++ b/crates/node/src/events.rs
@@ -63,7 +63,7 @@
 fn write_note(shell: &Shell, note: &Diagnostic) {
     let whole = match note {
         Diagnostic::Answered { outcome, .. } | Diagnostic::Ran { outcome, .. } => {
-            matches!(outcome, OutcomeSummary::Whole(status) if *status < 500)
+            matches!(outcome, OutcomeSummary::Completed(status) if *status < 500)
         }
         Diagnostic::Refused { .. } => false,
         // Changes of belief are rare.
