--- a/crates/engine/src/log.rs
+++ b/crates/engine/src/log.rs
@@ -139,12 +139,12 @@
             .service_limits(&self.own_instance.service);
         let operations = || self.journal.rules.all_operations();
         let longest_deadline = operations().map(|operation| operation.deadline).max();
-        let ranks = match self.cfg.policy.ranks {
+        let bands = match self.cfg.policy.ranks {
             true => PriorityBands::new(self.journal.rules.class_priorities()),
             false => PriorityBands::default(),
         };
-        self.server.set_priority_bands(ranks.clone());
-        self.admission.set_ranks(ranks);
+        self.server.set_priority_bands(bands.clone());
+        self.admission.set_ranks(bands);
         self.update_quotas();
         let longest_deadline = longest_deadline.unwrap_or(limit.key_retention);
         self.home
--- a/crates/engine/src/quarantine.rs
+++ b/crates/engine/src/quarantine.rs
@@ -214,7 +214,7 @@
     }
 
     /// Handles the end of a job. If it was the running suspect, the next one is offered.
-    pub(crate) fn on_suspect_ended(&mut self, now: Time, ended: RunId) {
+    pub(crate) fn admit_next_suspect(&mut self, now: Time, ended: RunId) {
         self.suspects.withdraw(ended);
         if self.suspects.admitted != Some(ended) {
             return;
--- a/crates/engine/src/quota.rs
+++ b/crates/engine/src/quota.rs
@@ -172,8 +172,8 @@
         } = loans;
         let me = self.own_instance.incarnation;
         if lender == me {
-            let (stamp, lent) = self.lend(now, group, me, vote, &wanted);
-            return self.on_loans_granted(now, me, group, number, stamp, &lent);
+            let (stamp, granted) = self.lend(now, group, me, vote, &wanted);
+            return self.on_loans_granted(now, me, group, number, stamp, &granted);
         }
         let Some(peer) = self.members.get(lender) else {
             return;
@@ -202,14 +202,14 @@
                 wanted,
             } if to == me && group < GROUP_COUNT => {
                 self.refresh_election(now);
-                let (stamp, lent) = self.lend(now, group, from, vote, &wanted);
+                let (stamp, granted) = self.lend(now, group, from, vote, &wanted);
                 let message = QuotaMessage::Lend {
                     from: me,
                     to: from,
                     group,
                     request_id: number,
                     stamp,
-                    loans: lent,
+                    loans: granted,
                 };
                 self.send_quota(addr, message);
             }
@@ -219,9 +219,9 @@
                 group,
                 request_id: number,
                 stamp,
-                loans: lent,
+                loans: granted,
             } if to == me && group < GROUP_COUNT => {
-                self.on_loans_granted(now, from, group, number, stamp, &lent);
+                self.on_loans_granted(now, from, group, number, stamp, &granted);
             }
             // Meant for an earlier incarnation at this address, which no longer lends and holds no
             // votes.
@@ -263,14 +263,14 @@
         let Some(organisations) = &self.journal.rules.organisations else {
             return (Lender::stamp(now), Vec::new());
         };
-        let mut lent = Vec::new();
+        let mut granted = Vec::new();
         for (id, tokens) in wanted {
             let quota = organisations.get(*id).and_then(|found| found.quota);
             if let Some(quota) = quota.filter(|_| group_of(*id) == group) {
-                lent.push(lender.lend(now, *id, quota, *tokens, voters));
+                granted.push(lender.lend(now, *id, quota, *tokens, voters));
             }
         }
-        (Lender::stamp(now), lent)
+        (Lender::stamp(now), granted)
     }
 
     fn on_loans_granted(
@@ -280,10 +280,10 @@
         group: u8,
         number: u64,
         stamp: u64,
-        lent: &[Loan],
+        granted: &[Loan],
     ) {
         let borrower = &mut self.quota.borrower;
-        let loans = borrower.on_lend(now, from, group, number, stamp, lent);
+        let loans = borrower.on_lend(now, from, group, number, stamp, granted);
         for loan in loans {
             self.admit_waiting(now, loan.organisation);
         }
--- a/crates/engine/src/resends.rs
+++ b/crates/engine/src/resends.rs
@@ -127,14 +127,14 @@
     }
 
     fn follow(&mut self, leader: RequestToken, draft: RequestDraft) {
-        let Some(open) = self.open_requests.get_mut(&leader) else {
+        let Some(leader_request) = self.open_requests.get_mut(&leader) else {
             return;
         };
-        if open.followers.len() >= MAX_FOLLOWERS {
+        if leader_request.followers.len() >= MAX_FOLLOWERS {
             let refusal = self.refusal(Reason::ResendLimit);
             return self.refuse(draft.token, refusal);
         }
-        open.followers.push(draft.token);
+        leader_request.followers.push(draft.token);
         self.followers.insert(draft.token, leader);
         self.count(Counter::ResendAttached);
     }
@@ -143,8 +143,10 @@
     /// waiting for it. Returns whether the work is still wanted.
     pub(crate) fn unfollow(&mut self, token: RequestToken) -> bool {
         if let Some(leader) = self.followers.swap_remove(&token) {
-            if let Some(open) = self.open_requests.get_mut(&leader) {
-                open.followers.retain(|follower| *follower != token);
+            if let Some(leader_request) = self.open_requests.get_mut(&leader) {
+                leader_request
+                    .followers
+                    .retain(|follower| *follower != token);
             }
             // Every request must be answered, otherwise its connection would stay open for ever.
             self.outputs.push(Output::Answer {
@@ -154,7 +156,7 @@
             });
             return true;
         }
-        let open = self.open_requests.get(&token);
-        open.is_some_and(|open| !open.followers.is_empty())
+        let request = self.open_requests.get(&token);
+        request.is_some_and(|request| !request.followers.is_empty())
     }
 }
--- a/crates/engine/src/serve.rs
+++ b/crates/engine/src/serve.rs
@@ -156,7 +156,7 @@
             return self.end_job(now, run, self.not_run(Reason::Draining));
         }
         let fingerprint = job.fingerprint;
-        let mut ticket = WorkItem {
+        let mut item = WorkItem {
             id: run.number,
             class: job.class,
             priority: job.priority,
@@ -169,27 +169,27 @@
         if !self.check_quarantine(now, run, fingerprint) {
             return;
         }
-        if !ticket.admitted {
+        if !item.admitted {
             let level = self.downstream_level(now, run);
-            if admission_value(ticket.class, ticket.random_value) < level {
-                self.server.on_refused_before_offer(now, ticket.class);
-                let refusal = shed_refusal(level, ticket.class, ticket.random_value);
+            if admission_value(item.class, item.random_value) < level {
+                self.server.on_refused_before_offer(now, item.class);
+                let refusal = shed_refusal(level, item.class, item.random_value);
                 if let Some(job) = self.jobs.get_mut(&run) {
                     job.child_levels
                         .extend(job.operation.clone().map(|operation| (operation, level)));
                 }
-                return self.apply_offer(now, run, AdmissionDecision::Refused(refusal));
+                return self.apply_decision(now, run, AdmissionDecision::Refused(refusal));
             }
-            ticket.passed_level = ticket.passed_level.max(level);
+            item.passed_level = item.passed_level.max(level);
         }
-        let offer = self.server.offer(now, ticket);
-        if !ticket.admitted {
-            let passed_level = ticket.passed_level.max(self.server.level());
+        let decision = self.server.offer(now, item);
+        if !item.admitted {
+            let passed_level = item.passed_level.max(self.server.level());
             if let Some(job) = self.jobs.get_mut(&run) {
                 job.passed_level = passed_level;
             }
         }
-        self.apply_offer(now, run, offer);
+        self.apply_decision(now, run, decision);
     }
 
     /// The admission level of the services below a job's operation.
@@ -201,24 +201,24 @@
 
     /// Starts or refuses queued jobs whose turn has come.
     pub(crate) fn start_queued_jobs(&mut self, now: Time) {
-        while let Some((ticket, offer)) = self.server.next_decision(now) {
+        while let Some((item, decision)) = self.server.next_decision(now) {
             let run = RunId {
                 at: self.own_instance.incarnation,
-                number: ticket.id,
+                number: item.id,
             };
-            self.apply_offer(now, run, offer);
+            self.apply_decision(now, run, decision);
         }
     }
 
-    fn apply_offer(&mut self, now: Time, run: RunId, offer: AdmissionDecision) {
-        match offer {
-            AdmissionDecision::Start => self.start(now, run),
+    fn apply_decision(&mut self, now: Time, run: RunId, decision: AdmissionDecision) {
+        match decision {
+            AdmissionDecision::Start => self.start_run(now, run),
             AdmissionDecision::Queued => {}
             AdmissionDecision::Refused(refusal) => self.end_job(now, run, Outcome::NotRun(refusal)),
         }
     }
 
-    fn start(&mut self, now: Time, run: RunId) {
+    fn start_run(&mut self, now: Time, run: RunId) {
         let Some((owner, class)) = self.jobs.get(&run).map(|job| (job.owner, job.class)) else {
             return;
         };
@@ -310,18 +310,18 @@
         if self.jobs_by_request_id.get(&job.request.id) == Some(&run) {
             self.jobs_by_request_id.swap_remove(&job.request.id);
         }
-        let unspent = job.retry_allowance.remaining();
-        let below = job.downstream();
+        let unspent_retries = job.retry_allowance.remaining();
+        let downstream = job.downstream();
         if let Some(operation) = job.operation.as_ref().filter(|_| job.started.is_some()) {
-            self.admission.record_below(now, operation, below);
+            self.admission.record_below(now, operation, downstream);
         }
-        self.ended_run_below = below;
+        self.ended_run_below = downstream;
         match job.owner {
-            JobOwner::Call(call) => self.answer_call(call, unspent, outcome),
-            JobOwner::Key(key) => self.finish_keyed_run(now, key, unspent, outcome),
+            JobOwner::Call(call) => self.answer_call(call, unspent_retries, outcome),
+            JobOwner::Key(key) => self.finish_keyed_run(now, key, unspent_retries, outcome),
         }
         self.ended_run_below = DownstreamSummary::default();
-        self.on_suspect_ended(now, run);
+        self.admit_next_suspect(now, run);
     }
 
     pub(crate) fn on_cancel(&mut self, now: Time, _from: Incarnation, id: CallId) {
@@ -381,11 +381,11 @@
     }
 
     /// Answers an inbound call and removes it.
-    pub(crate) fn answer_call(&mut self, id: CallId, unspent: u16, outcome: Outcome) {
+    pub(crate) fn answer_call(&mut self, id: CallId, unspent_retries: u16, outcome: Outcome) {
         self.inbound.swap_remove(&id);
         let answer = Answer {
             outcome,
-            unspent_retries: unspent,
+            unspent_retries,
             load: self.load_report(),
             downstream: self.ended_run_below,
         };
--- a/crates/engine/tests/load.rs
+++ b/crates/engine/tests/load.rs
@@ -116,13 +116,13 @@
     }
 
     /// Answers the oldest call.
-    fn reply(&mut self, outcome: Outcome, below: DownstreamSummary) {
+    fn reply(&mut self, outcome: Outcome, downstream: DownstreamSummary) {
         let (from, call) = self.calls.remove(0);
         let answer = Answer {
             outcome,
             unspent_retries: call.retry_allowance,
             load: LoadReport::default(),
-            downstream: below,
+            downstream,
         };
         let frame = Frame::Answer(call.id, Box::new(answer));
         self.input(Input::Frame { from, frame });
@@ -239,12 +239,12 @@
     for n in 0..20 {
         ingress.wait(50);
         ingress.send(&n.to_string(), "/p/1");
-        let below = DownstreamSummary {
+        let downstream = DownstreamSummary {
             level: 0x4000,
             calls: 3,
         };
         if !ingress.calls.is_empty() {
-            ingress.reply(completed(), below);
+            ingress.reply(completed(), downstream);
         }
     }
     let lookups = count_sent_calls(&mut ingress, "/p/2");
@@ -333,11 +333,11 @@
         ingress.input(Input::Records(records));
     }
     ingress.send("a", "/p/1");
-    let below = DownstreamSummary {
+    let downstream = DownstreamSummary {
         calls: 12,
         ..DownstreamSummary::default()
     };
-    ingress.reply(completed(), below);
+    ingress.reply(completed(), downstream);
     ingress
 }
 
