--- a/crates/engine/src/admission.rs
+++ b/crates/engine/src/admission.rs
@@ -157,21 +157,21 @@
         call: &mut OutgoingCall,
     ) -> Result<Instance, Refusal> {
         // Only the home node of a key that may have been sent before knows whether it ran.
-        let never_sent = call.key.is_none() || call.fresh;
+        let never_sent = call.key.is_none() || call.first_attempt;
         if let Some(refusal) = self
             .quarantine_refusal(now, &call.request)
             .filter(|_| never_sent)
         {
             return Err(refusal);
         }
-        let value = admission_value(call.class, call.dice);
+        let value = admission_value(call.class, call.admission_sample);
         // Calls of an admitted action are not shed on later hops: the work done so far would be
         // lost.
         let is_root = call.depth == 0;
         let may_shed = self.cfg.policy.levels && never_sent && is_root;
         let level_below = self.admission.level_below(now, &call.operation);
         if may_shed && value < level_below {
-            return Err(shed_refusal(level_below, call.class, call.dice));
+            return Err(shed_refusal(level_below, call.class, call.admission_sample));
         }
         if may_shed {
             call.passed_level = level_below;
@@ -187,7 +187,7 @@
             None => (self.choose_round_robin(call), None),
         };
         match (target, level) {
-            (_, Some(level)) => Err(shed_refusal(level, call.class, call.dice)),
+            (_, Some(level)) => Err(shed_refusal(level, call.class, call.admission_sample)),
             (Some(target), None) => Ok(target),
             (None, None) => Err(self.refusal(Reason::NoInstance)),
         }
--- a/crates/engine/src/calls.rs
+++ b/crates/engine/src/calls.rs
@@ -37,8 +37,8 @@
         let call = OutgoingCall {
             token: draft.token,
             target: self.own_instance.clone(),
-            action: draft.action,
-            dice: draft.dice,
+            action_id: draft.action_id,
+            admission_sample: draft.admission_sample,
             class: draft.class,
             priority: draft.priority,
             passed_level: draft.passed_level,
@@ -46,11 +46,11 @@
             deadline: draft.deadline,
             idempotent: draft.operation.idempotent,
             key: draft.key,
-            fresh: draft.fresh,
+            first_attempt: draft.first_attempt,
             operation: operation_key(&draft.operation),
-            account: draft.account,
-            lent: 0,
-            again: draft.again,
+            retry_allowance: draft.retry_allowance,
+            delegated_retries: 0,
+            possible_repeat: draft.possible_repeat,
             may_have_run: false,
             calls_below: 0,
             attempts: 0,
@@ -67,7 +67,7 @@
         };
         // Calls of a retried run are retries themselves, and the budget is a ratio to first
         // attempts.
-        if !call.again {
+        if !call.possible_repeat {
             self.retry_budget
                 .record_first_send(now, &call.request.service);
         }
@@ -92,10 +92,10 @@
     /// Sends an attempt to this target and delegates to it the retries that the call has left.
     pub(crate) fn send_to_target(&mut self, now: Time, mut call: OutgoingCall, target: Instance) {
         call.target = target;
-        call.lent = if self.reserves_retry(&call) {
-            call.account.delegate_all_but_one()
+        call.delegated_retries = if self.reserves_retry(&call) {
+            call.retry_allowance.delegate_all_but_one()
         } else {
-            call.account.delegate_all()
+            call.retry_allowance.delegate_all()
         };
         let id = CallId {
             from: self.own_instance.incarnation,
@@ -122,7 +122,7 @@
     /// kept back at each hop, no read of a deep tree would ever be retried.
     fn reserves_retry(&self, call: &OutgoingCall) -> bool {
         let below = self.admission.calls_below(&call.operation);
-        call.idempotent && !call.again && call.account.remaining() > below
+        call.idempotent && !call.possible_repeat && call.retry_allowance.remaining() > below
     }
 
     /// Sends the frame of an attempt.
@@ -134,18 +134,18 @@
         };
         let frame = Frame::Call(Box::new(Call {
             id,
-            action: call.action,
-            admission_sample: call.dice,
+            action: call.action_id,
+            admission_sample: call.admission_sample,
             class: call.class,
             priority: call.priority,
             passed_level: call.passed_level,
             role,
             remaining_ms: self.callee_remaining_ms(now, call),
-            retry_allowance: call.lent,
-            possible_repeat: call.again,
+            retry_allowance: call.delegated_retries,
+            possible_repeat: call.possible_repeat,
             idempotent: call.idempotent,
             key: call.key,
-            first_attempt: call.fresh,
+            first_attempt: call.first_attempt,
             depth: call.depth,
             request: call.request.clone(),
         }));
@@ -154,7 +154,7 @@
 
     /// The time that the callee has: the time left, less what the answer needs to travel back.
     fn callee_remaining_ms(&self, now: Time, call: &OutgoingCall) -> u32 {
-        let travel_time = match self.place(&call.target) {
+        let travel_time = match self.proximity(&call.target) {
             Proximity::SameDomain => Duration::from_millis(1),
             Proximity::SameRegion => Duration::from_millis(2),
             Proximity::OtherRegion => Duration::from_millis(25),
@@ -174,7 +174,8 @@
         let Some(mut call) = self.take_call(id) else {
             return;
         };
-        call.account.reclaim(call.lent, answer.unspent_retries);
+        call.retry_allowance
+            .reclaim(call.delegated_retries, answer.unspent_retries);
         call.calls_below = call.calls_below.saturating_add(answer.downstream.calls);
         // A refusal reports calls below only if the run had already made some.
         match answer.outcome {
@@ -190,7 +191,8 @@
         }
         match answer.outcome {
             Outcome::NotRun(refusal) => {
-                call.again |= answer.downstream.calls > 0 && self.cfg.policy.hop_retries == 0;
+                call.possible_repeat |=
+                    answer.downstream.calls > 0 && self.cfg.policy.hop_retries == 0;
                 self.on_not_run(now, call, refusal);
             }
             Outcome::Unknown(reason @ (Reason::ServerLost | Reason::PeerLost)) => {
@@ -262,10 +264,10 @@
         call.may_have_run = true;
         let below = self.admission.calls_below(&call.operation);
         let needed = 1 + below.max(call.calls_below);
-        let allowed = call.account.remaining() >= needed || call.hop_retries > 0;
+        let allowed = call.retry_allowance.remaining() >= needed || call.hop_retries > 0;
         if call.idempotent && allowed && self.try_spend_retry(now, &mut call) {
             self.count(Counter::Retry(reason));
-            call.again = self.cfg.policy.hop_retries == 0;
+            call.possible_repeat = self.cfg.policy.hop_retries == 0;
             call.avoid.push(call.target.incarnation);
             return self.route(now, call);
         }
@@ -283,7 +285,7 @@
             call.hop_retries -= 1;
             return true;
         }
-        if call.account.remaining() == 0 || call.retries_left == 0 {
+        if call.retry_allowance.remaining() == 0 || call.retries_left == 0 {
             return false;
         }
         let has_budget = self.cfg.policy.retry_budget;
@@ -298,7 +300,7 @@
             return false;
         }
         call.retries_left -= 1;
-        call.account.try_withdraw()
+        call.retry_allowance.try_withdraw()
     }
 
     pub(crate) fn on_deadline(&mut self, now: Time, id: CallId) {
@@ -340,7 +342,7 @@
             outcome => outcome,
         };
         self.log_answered(now, &call, downstream.level, &outcome);
-        self.close_request(now, call.token, call.account.remaining(), outcome);
+        self.close_request(now, call.token, call.retry_allowance.remaining(), outcome);
     }
 
     /// Records what a call has met in the job of the run that made it, and in the admission levels.
@@ -354,7 +356,7 @@
         };
         job.child_levels.insert(operation, downstream.level);
         job.calls_below = job.calls_below.saturating_add(downstream.calls);
-        let level = job.below().level;
+        let level = job.downstream().level;
         if let Some(parent) = job.operation.clone() {
             self.admission.record_level_below(now, &parent, level);
         }
@@ -370,7 +372,7 @@
             outcome: OutcomeSummary::of(outcome),
             attempts: call.attempts,
             target: call.target.addr,
-            value: admission_value(call.class, call.dice),
+            value: admission_value(call.class, call.admission_sample),
             level,
             left_ms: now.until(call.deadline).as_millis() as u64,
         }));
--- a/crates/engine/src/hedge.rs
+++ b/crates/engine/src/hedge.rs
@@ -89,9 +89,9 @@
         call.earlier = Some(EarlierAttempt {
             id,
             target: call.target.clone(),
-            lent: call.lent,
+            delegated_retries: call.delegated_retries,
         });
-        call.again = true;
+        call.possible_repeat = true;
         self.send_to_target(now, call, target);
     }
 
@@ -145,7 +145,7 @@
     /// Makes the original attempt the present one.
     fn track_original(&mut self, mut call: OutgoingCall, original: EarlierAttempt) {
         call.target = original.target;
-        call.lent = original.lent;
+        call.delegated_retries = original.delegated_retries;
         if let Some(open) = self.open_requests.get_mut(&call.token) {
             open.call = original.id;
         }
--- a/crates/engine/src/ingress.rs
+++ b/crates/engine/src/ingress.rs
@@ -65,7 +65,7 @@
                 self.process_arrival(now, arrival, operation, random, Some(credit))
             }
             Err(reason) => {
-                self.return_credit(now, Some(credit));
+                self.return_quota_token(now, Some(credit));
                 self.refuse_arrival(&arrival, reason);
             }
         }
@@ -101,15 +101,18 @@
             .and_then(|draft| self.filter_key(draft, &caller, key));
         match draft {
             Ok(draft) => {
-                let draft = RequestDraft { credit, ..draft };
+                let draft = RequestDraft {
+                    quota_token: credit,
+                    ..draft
+                };
                 match self.filter_resend(now, &caller, draft) {
                     Some(draft) => self.open_request(now, draft),
                     // The request was answered, or waits for the answer to an identical one.
-                    None => self.return_credit(now, credit),
+                    None => self.return_quota_token(now, credit),
                 }
             }
             Err(reason) => {
-                self.return_credit(now, credit);
+                self.return_quota_token(now, credit);
                 self.refuse_unopened(refused, self.refusal(reason));
             }
         }
@@ -191,28 +194,28 @@
         if job.depth >= self.cfg.max_depth {
             return Err(Reason::BadRequest);
         }
-        if job.again && !job.account.try_withdraw() {
+        if job.possible_repeat && !job.retry_allowance.try_withdraw() {
             return Err(Reason::AllowanceSpent);
         }
-        let lent = job.account.delegate_half();
+        let lent = job.retry_allowance.delegate_half();
         let (class, priority) = job.child_class_and_priority(&operation);
         Ok(RequestDraft {
             token,
-            action: job.action,
-            dice: job.dice,
+            action_id: job.action_id,
+            admission_sample: job.admission_sample,
             class,
             priority,
             passed_level: job.passed_level,
             depth: job.depth + 1,
             deadline: job.deadline.min(now + operation.deadline),
-            account: RetryAllowance::new(lent),
+            retry_allowance: RetryAllowance::new(lent),
             parent: Some(run),
-            lent,
+            delegated_retries: lent,
             key: None,
-            fresh: false,
+            first_attempt: false,
             generated_key: None,
-            again: job.again,
-            credit: None,
+            possible_repeat: job.possible_repeat,
+            quota_token: None,
             request_hash: None,
             operation,
             request,
@@ -234,21 +237,21 @@
         }
         Ok(RequestDraft {
             token,
-            action: ActionId(self.rng.random()),
-            dice: self.admission.admission_sample(&operation, random),
+            action_id: ActionId(self.rng.random()),
+            admission_sample: self.admission.admission_sample(&operation, random),
             class: operation.class,
             priority: operation.priority,
             passed_level: 0,
             depth: 0,
             deadline: now + operation.deadline,
-            account: RetryAllowance::new(self.tree_retries(&operation)),
+            retry_allowance: RetryAllowance::new(self.tree_retries(&operation)),
             parent: None,
-            lent: 0,
+            delegated_retries: 0,
             key: None,
-            fresh: false,
+            first_attempt: false,
             generated_key: None,
-            again: false,
-            credit: None,
+            possible_repeat: false,
+            quota_token: None,
             request_hash: None,
             operation,
             request,
@@ -292,7 +295,7 @@
         }
         let key = match (draft.parent, key) {
             (Some(run), key) => {
-                draft.fresh = key.is_none() && self.is_first_run(run);
+                draft.first_attempt = key.is_none() && self.is_first_run(run);
                 self.child_key(run, service, fingerprint, key)
             }
             (None, Some(text)) => IdempotencyKey {
@@ -303,7 +306,7 @@
             (None, None) => {
                 let text: Arc<str> = format!("{:032x}", self.rng.random::<u128>()).into();
                 draft.generated_key = Some(text.clone());
-                draft.fresh = true;
+                draft.first_attempt = true;
                 IdempotencyKey {
                     caller: caller.into(),
                     service,
@@ -312,7 +315,7 @@
             }
         };
         if draft.parent.is_none() {
-            draft.action = key.action_id();
+            draft.action_id = key.action_id();
         }
         draft.key = Some((key.hash(), fingerprint));
         Ok(draft)
@@ -370,10 +373,10 @@
                 number: 0,
             },
             parent: draft.parent,
-            lent: draft.lent,
+            delegated_retries: draft.delegated_retries,
             generated_key: draft.generated_key.clone(),
             operation: draft.operation.clone(),
-            credit: draft.credit,
+            quota_token: draft.quota_token,
             request_hash: draft.request_hash,
             followers: Vec::new(),
         };
@@ -396,11 +399,11 @@
             return;
         };
         if let Some(job) = open.parent.and_then(|run| self.jobs.get_mut(&run)) {
-            job.account.reclaim(open.lent, unspent);
+            job.retry_allowance.reclaim(open.delegated_retries, unspent);
             job.on_child_ended(now, token);
         }
         if matches!(outcome, Outcome::NotRun(_)) {
-            self.return_credit(now, open.credit);
+            self.return_quota_token(now, open.quota_token);
         }
         if let Some(hash) = open.request_hash {
             self.resends.record_end(now, hash, &outcome);
--- a/crates/engine/src/serve.rs
+++ b/crates/engine/src/serve.rs
@@ -1,4 +1,4 @@
-//! Calls from other nodes, and work on the own backend server.
+//! Calls from other nodes, and jobs for the own backend server.
 
 use crate::admission::shed_refusal;
 use crate::answer_cache::CachedAnswer;
@@ -37,27 +37,27 @@
 use std::time::Duration;
 use stdx::Time;
 
-/// A call from another node that has no answer yet.
+/// A call from another node that has not been answered yet.
 #[derive(Debug)]
 pub(crate) struct InboundCall {
-    /// What it waits for.
     pub(crate) work: InboundWork,
 }
 
 /// What an inbound call waits for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum InboundWork {
-    /// A run of its own.
+    /// A run for this call alone.
     Run(RunId),
-    /// The run of a key, perhaps together with others.
+    /// The run of an idempotency key, which other calls may wait for too.
     Key(KeyHash),
-    /// The key's slot, which is on its way here.
+    /// The transfer of the key's slot to this node.
     Held,
 }
 
 impl Engine {
     pub(crate) fn on_call(&mut self, now: Time, from: Incarnation, call: Call) {
-        // The id is known: the call came over a connection that was lost, or the frame came twice.
+        // The id is known if the call was sent again after its connection was lost, or if the frame
+        // arrived twice.
         if self.inbound.contains_key(&call.id) {
             return;
         }
@@ -66,7 +66,7 @@
                 let frame = Frame::Answer(call.id, Box::new(answer.clone()));
                 return self.send_to(from, frame);
             }
-            CachedAnswer::Evicted => return self.answer_forgotten(from, call.id),
+            CachedAnswer::Evicted => return self.answer_evicted_call(from, call.id),
             CachedAnswer::Absent => {}
         }
         match call.role {
@@ -98,7 +98,7 @@
         self.offer(now, run);
     }
 
-    /// Enters work for the own backend server.
+    /// Creates a job for the own backend server.
     pub(crate) fn new_job(&mut self, now: Time, owner: JobOwner, call: Call) -> RunId {
         let run = RunId {
             at: self.own_instance.incarnation,
@@ -109,12 +109,12 @@
         let operation = rules.match_rule(&request).map(MatchedRule::operation);
         let job = Job {
             owner,
-            action: call.action,
-            dice: call.admission_sample,
+            action_id: call.action,
+            admission_sample: call.admission_sample,
             depth: call.depth,
             deadline: now + Duration::from_millis(u64::from(call.remaining_ms)),
-            account: RetryAllowance::new(call.retry_allowance),
-            again: call.possible_repeat,
+            retry_allowance: RetryAllowance::new(call.retry_allowance),
+            possible_repeat: call.possible_repeat,
             operation: operation.map(operation_key),
             fingerprint: Fingerprint::of(&request),
             keyed: call.key.is_some(),
@@ -145,80 +145,80 @@
         run
     }
 
-    /// Offers a job to the server's limit and queue.
+    /// Offers a job to the concurrency limiter and queue of the server.
     pub(crate) fn offer(&mut self, now: Time, run: RunId) {
         let Some(job) = self.jobs.get(&run) else {
             return;
         };
-        // While the log is down no next home is named, and calls for this node's keys would go on
-        // coming until the instance is taken away in the middle of one.
+        // During an outage of the log no new home is assigned, and calls for the keys of this node
+        // would keep coming until the process exits in the middle of one.
         if self.stopping && now >= self.closed_at {
             return self.end_job(now, run, self.not_run(Reason::Draining));
         }
         let fingerprint = job.fingerprint;
-        let mut ticket = WorkItem {
+        let mut item = WorkItem {
             id: run.number,
             class: job.class,
             priority: job.priority,
             passed_level: job.passed_level,
-            random_value: job.dice,
+            random_value: job.admission_sample,
             deadline: job.deadline,
             arrived: now,
             admitted: job.depth > 0,
         };
-        if !self.pass_quarantine(now, run, fingerprint) {
+        if !self.check_quarantine(now, run, fingerprint) {
             return;
         }
-        if !ticket.admitted {
-            let level = self.path_level(now, run);
-            if admission_value(ticket.class, ticket.random_value) < level {
-                self.server.on_refused_before_offer(now, ticket.class);
-                let refusal = shed_refusal(level, ticket.class, ticket.random_value);
+        if !item.admitted {
+            let level = self.downstream_level(now, run);
+            if admission_value(item.class, item.random_value) < level {
+                self.server.on_refused_before_offer(now, item.class);
+                let refusal = shed_refusal(level, item.class, item.random_value);
                 if let Some(job) = self.jobs.get_mut(&run) {
                     job.child_levels
-                        .extend(job.operation.clone().map(|own| (own, level)));
+                        .extend(job.operation.clone().map(|operation| (operation, level)));
                 }
-                return self.after_offer(now, run, AdmissionDecision::Refused(refusal));
+                return self.apply_decision(now, run, AdmissionDecision::Refused(refusal));
             }
-            ticket.passed_level = ticket.passed_level.max(level);
+            item.passed_level = item.passed_level.max(level);
         }
-        let offer = self.server.offer(now, ticket);
-        if !ticket.admitted {
-            let passed = ticket.passed_level.max(self.server.level());
+        let decision = self.server.offer(now, item);
+        if !item.admitted {
+            let passed_level = item.passed_level.max(self.server.level());
             if let Some(job) = self.jobs.get_mut(&run) {
-                job.passed_level = passed;
+                job.passed_level = passed_level;
             }
         }
-        self.after_offer(now, run, offer);
+        self.apply_decision(now, run, decision);
     }
 
-    /// The level of the services below a job's operation.
-    fn path_level(&self, now: Time, run: RunId) -> u16 {
+    /// The admission level of the services below a job's operation.
+    fn downstream_level(&self, now: Time, run: RunId) -> u16 {
         let job = self.jobs.get(&run).filter(|_| self.cfg.policy.levels);
         let operation = job.and_then(|job| job.operation.as_ref());
         operation.map_or(0, |operation| self.admission.level_below(now, operation))
     }
 
-    /// Lets the queue move.
+    /// Starts or refuses queued jobs whose turn has come.
     pub(crate) fn start_queued_jobs(&mut self, now: Time) {
-        while let Some((ticket, offer)) = self.server.next_decision(now) {
+        while let Some((item, decision)) = self.server.next_decision(now) {
             let run = RunId {
                 at: self.own_instance.incarnation,
-                number: ticket.id,
+                number: item.id,
             };
-            self.after_offer(now, run, offer);
+            self.apply_decision(now, run, decision);
         }
     }
 
-    fn after_offer(&mut self, now: Time, run: RunId, offer: AdmissionDecision) {
-        match offer {
-            AdmissionDecision::Start => self.start(now, run),
+    fn apply_decision(&mut self, now: Time, run: RunId, decision: AdmissionDecision) {
+        match decision {
+            AdmissionDecision::Start => self.start_run(now, run),
             AdmissionDecision::Queued => {}
             AdmissionDecision::Refused(refusal) => self.end_job(now, run, Outcome::NotRun(refusal)),
         }
     }
 
-    fn start(&mut self, now: Time, run: RunId) {
+    fn start_run(&mut self, now: Time, run: RunId) {
         let Some((owner, class)) = self.jobs.get(&run).map(|job| (job.owner, job.class)) else {
             return;
         };
@@ -256,20 +256,21 @@
         let (class, fingerprint) = (job.class, job.fingerprint);
         let cancelled = job.cancelled;
         let expected_server = job.expected_server.clone();
-        let made_calls = matches!(job.owner, JobOwner::Key(_)) && !job.child_counts.is_empty();
-        let ended = job.ended(now, &end);
-        self.record_run_time(now, run, ended);
-        self.server.on_finished(now, class, ended);
+        let made_child_calls =
+            matches!(job.owner, JobOwner::Key(_)) && !job.child_counts.is_empty();
+        let feedback = job.server_feedback(now, &end);
+        self.record_run_time(now, run, feedback);
+        self.server.on_finished(now, class, feedback);
         let outcome = match end {
             RunEnd::Response(response) => {
                 self.clear_suspect(now, fingerprint);
                 Outcome::Completed(response)
             }
-            // The next run would make the same child keys, which would not be new then. So a run
-            // that made child calls is never taken for one that did not run.
-            RunEnd::Refused { .. } if made_calls => Outcome::Unknown(Reason::ServerRefused),
+            // The next run would generate the same child keys, which would then no longer be new.
+            // So a run that made child calls never counts as one that did not run.
+            RunEnd::Refused { .. } if made_child_calls => Outcome::Unknown(Reason::ServerRefused),
             RunEnd::Refused { retry_after } => {
-                let retry_after = retry_after.unwrap_or(crate::refusal::RETRY_AFTER);
+                let retry_after = retry_after.unwrap_or(crate::refusal::DEFAULT_RETRY_AFTER);
                 Outcome::NotRun(Refusal::new(Reason::ServerRefused, retry_after))
             }
             RunEnd::NeverSent => self.not_run(Reason::ServerLost),
@@ -281,7 +282,7 @@
             RunEnd::Lost => {
                 self.count(Counter::RunLost);
                 if !cancelled {
-                    self.suspect(now, fingerprint);
+                    self.report_crash(now, fingerprint);
                 }
                 Outcome::Unknown(Reason::ServerLost)
             }
@@ -309,18 +310,18 @@
         if self.jobs_by_request_id.get(&job.request.id) == Some(&run) {
             self.jobs_by_request_id.swap_remove(&job.request.id);
         }
-        let unspent = job.account.remaining();
-        let below = job.below();
+        let unspent_retries = job.retry_allowance.remaining();
+        let downstream = job.downstream();
         if let Some(operation) = job.operation.as_ref().filter(|_| job.started.is_some()) {
-            self.admission.record_downstream(now, operation, below);
+            self.admission.record_downstream(now, operation, downstream);
         }
-        self.ended_run_downstream = below;
+        self.ended_run_downstream = downstream;
         match job.owner {
-            JobOwner::Call(call) => self.answer_call(call, unspent, outcome),
-            JobOwner::Key(key) => self.finish_keyed_run(now, key, unspent, outcome),
+            JobOwner::Call(call) => self.answer_call(call, unspent_retries, outcome),
+            JobOwner::Key(key) => self.finish_keyed_run(now, key, unspent_retries, outcome),
         }
         self.ended_run_downstream = DownstreamSummary::default();
-        self.next_suspect(now, run);
+        self.admit_next_suspect(now, run);
     }
 
     pub(crate) fn on_cancel(&mut self, now: Time, _from: Incarnation, id: CallId) {
@@ -334,8 +335,8 @@
         }
     }
 
-    /// Takes work out of the queue, or asks the backend server to stop it. Nobody waits for what
-    /// its child calls would give.
+    /// Removes a job from the queue, or asks the backend server to stop its run. The child calls of
+    /// the run are cancelled too, as nobody waits for their answers.
     pub(crate) fn cancel_run(&mut self, now: Time, run: RunId) {
         if self.withdraw(run) {
             return self.end_withdrawn_job(now, run);
@@ -350,25 +351,26 @@
         }
     }
 
-    /// The cancel of a call may be lost, or its node; its work would go on for nobody.
+    /// Cancels a run at its deadline. The cancel message may have been lost, or the node that
+    /// should have sent it, and the work would go on for nobody.
     pub(crate) fn on_run_deadline(&mut self, now: Time, run: RunId) {
         if self.jobs.contains_key(&run) {
             self.cancel_run(now, run);
         }
     }
 
-    /// Takes work back that has not started; `false` if it has.
+    /// Removes a job that has not started. Returns `false` if it has started.
     pub(crate) fn withdraw(&mut self, run: RunId) -> bool {
         self.server.cancel(run.number) || self.suspects.withdraw(run)
     }
 
-    /// Ends a job that was taken out of the queue.
+    /// Ends a job that was removed from the queue.
     pub(crate) fn end_withdrawn_job(&mut self, now: Time, run: RunId) {
         self.end_job(now, run, self.not_run(Reason::CallerGone));
     }
 
-    /// Answers a call of which nobody can tell whether it was answered before.
-    fn answer_forgotten(&mut self, from: Incarnation, id: CallId) {
+    /// Answers a call when it is no longer known whether it was answered before.
+    fn answer_evicted_call(&mut self, from: Incarnation, id: CallId) {
         let answer = Answer {
             outcome: Outcome::Unknown(Reason::PeerLost),
             unspent_retries: 0,
@@ -378,12 +380,12 @@
         self.send_to(from, Frame::Answer(id, Box::new(answer)));
     }
 
-    /// Answers an inbound call, once.
-    pub(crate) fn answer_call(&mut self, id: CallId, unspent: u16, outcome: Outcome) {
+    /// Answers an inbound call and removes it.
+    pub(crate) fn answer_call(&mut self, id: CallId, unspent_retries: u16, outcome: Outcome) {
         self.inbound.swap_remove(&id);
         let answer = Answer {
             outcome,
-            unspent_retries: unspent,
+            unspent_retries,
             load: self.load_report(),
             downstream: self.ended_run_downstream,
         };
@@ -402,7 +404,8 @@
     }
 }
 
-/// The scope of the keys of child calls: the same for every run of the same call of the action.
+/// The scope of the keys of child calls. It is the same for every run of the same call of the
+/// action.
 fn child_key_scope(action: ActionId, key: Option<KeyHash>) -> Arc<str> {
     match key {
         Some(key) => format!("{action}/{:032x}", key.0).into(),
--- a/crates/node/src/events.rs
+++ b/crates/node/src/events.rs
@@ -64,7 +64,7 @@
 fn log_diagnostic(shell: &Shell, diagnostic: &Diagnostic) {
     let is_success = match diagnostic {
         Diagnostic::Answered { outcome, .. } | Diagnostic::Ran { outcome, .. } => {
-            matches!(outcome, OutcomeSummary::Whole(status) if *status < 500)
+            matches!(outcome, OutcomeSummary::Completed(status) if *status < 500)
         }
         Diagnostic::Refused { .. } => false,
         // Changes of the node's view of others are rare, so these lines are not limited.
