--- a/crates/experiment/src/graph.rs
+++ b/crates/experiment/src/graph.rs
@@ -2,9 +2,9 @@
 //! shops of the brief, scaled down.
 
 use std::time::Duration;
-use trial::Layout;
+use trial::ClusterConfig;
 use trial::Operation;
-use trial::Place;
+use trial::Placement;
 
 /// The service at the end of the chain, which is the narrowest.
 pub const DEEPEST: &str = "royalty";
@@ -29,10 +29,10 @@
 const DEADLINE: Duration = Duration::from_secs(2);
 
 /// The layout: lookups and orders both go through all four services.
-pub fn layout(policy: engine::Switches) -> Layout {
-    let mut layout = Layout::small();
+pub fn layout(policy: engine::Switches) -> ClusterConfig {
+    let mut layout = ClusterConfig::small();
     layout.operations.clear();
-    layout.places.clear();
+    layout.placements.clear();
     let mut rules = String::new();
     for (depth, service) in SERVICES.into_iter().enumerate() {
         let takes = if service == DEEPEST { 100 } else { 5 };
@@ -42,7 +42,7 @@
                 service: service.into(),
                 method: method.into(),
                 path: "/x".into(),
-                takes: Duration::from_millis(takes),
+                service_time: Duration::from_millis(takes),
                 children: children.into_iter().collect(),
                 parallel: false,
                 retries: 2,
@@ -57,7 +57,7 @@
             if service == DEEPEST { 170 } else { 400 }
         );
         for (failure_domain, region) in DOMAINS {
-            layout.places.push(Place {
+            layout.placements.push(Placement {
                 service: service.into(),
                 failure_domain: failure_domain.into(),
                 region: region.into(),
@@ -66,7 +66,7 @@
     }
     layout.rules = rules;
     layout.slots = 50;
-    layout.backlog = 350;
+    layout.max_backlog = 350;
     layout.policy = policy;
     layout
 }
--- a/crates/experiment/src/load.rs
+++ b/crates/experiment/src/load.rs
@@ -71,10 +71,10 @@
         let operation = if order { ORDER } else { LOOKUP };
         let mut action = Action::new(operation, &format!("a{}", self.next));
         action.caller = format!("shop{}", self.next).into();
-        action.patience = PATIENCE;
+        action.attempt_timeout = PATIENCE;
         action.resends = RESENDS;
         let wait = Duration::from_millis(self.rng.random_range(50..300));
-        action.comes_back = self.rng.random_bool(HARD).then_some(wait);
+        action.resend_delay = self.rng.random_bool(HARD).then_some(wait);
         action
     }
 }
--- a/crates/experiment/src/measure.rs
+++ b/crates/experiment/src/measure.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 use stdx::Time;
 use trial::Action;
-use trial::End;
+use trial::ActionOutcome;
 use trial::World;
 
 /// The figures of one run, over the actions that began in a window.
@@ -43,8 +43,8 @@
     pub fn new(world: &World) -> Self {
         Self {
             at: world.now,
-            work: world.work_begun,
-            bytes: world.net.region_bytes,
+            work: world.nominal_service_time,
+            bytes: world.network.cross_region_bytes,
         }
     }
 }
@@ -52,26 +52,26 @@
 /// The figures from a mark until `end`; the world has run on until all of them have ended.
 pub fn figures(world: &World, from: Mark, end: Time) -> Figures {
     let secs = end.since(from.at).as_secs_f64();
-    let inside = |action: &&Action| action.began >= from.at && action.began < end;
+    let inside = |action: &&Action| action.first_sent_at >= from.at && action.first_sent_at < end;
     let actions: Vec<&Action> = world.actions.iter().filter(inside).collect();
     let whole: Vec<&&Action> = actions.iter().filter(|a| is_whole(a)).collect();
     let count = |operation: usize| whole.iter().filter(|a| a.operation == operation).count() as f64;
     let came = |operation: usize| {
         let mine = world.actions.iter().filter(|a| a.operation == operation);
-        let inside = |a: &&Action| a.end.is_some_and(|(at, _)| at >= from.at && at < end);
+        let inside = |a: &&Action| a.ended.is_some_and(|(at, _)| at >= from.at && at < end);
         mine.filter(|a| is_whole(a)).filter(inside).count() as f64 / secs
     };
     let asked = actions.iter().filter(|a| a.operation == ORDER).count() as f64;
     let mut millis = Histogram::<u64>::new_with_max(600_000, 3).expect("the bounds are allowed");
     for action in &whole {
-        let (at, _) = action.end.expect("a whole action has ended");
-        millis.saturating_record(at.since(action.began).as_millis() as u64);
+        let (at, _) = action.ended.expect("a whole action has ended");
+        millis.saturating_record(at.since(action.first_sent_at).as_millis() as u64);
     }
-    let work = (world.work_begun - from.work).as_secs_f64();
+    let work = (world.nominal_service_time - from.work).as_secs_f64();
     let useful: f64 = world
         .actions
         .iter()
-        .filter(|action| is_whole(action) && action.end.is_some_and(|(at, _)| at >= from.at))
+        .filter(|action| is_whole(action) && action.ended.is_some_and(|(at, _)| at >= from.at))
         .map(|action| chain_time(world, action.operation))
         .sum();
     let attempts: f64 = actions.iter().map(|a| f64::from(a.attempts)).sum();
@@ -84,13 +84,13 @@
         attempts: attempts / (actions.len() as f64).max(1.0),
         p50: millis.value_at_quantile(0.5) as f64,
         p99: millis.value_at_quantile(0.99) as f64,
-        region_kb: (world.net.region_bytes - from.bytes) as f64 / 1000.0 / waited,
+        region_kb: (world.network.cross_region_bytes - from.bytes) as f64 / 1000.0 / waited,
     }
 }
 
 /// The share of actions that ended whole, by the second in which they began.
 pub fn whole_share(world: &World, from: usize, to: usize) -> f64 {
-    let second = |action: &&Action| (action.began.as_micros() / 1_000_000) as usize;
+    let second = |action: &&Action| (action.first_sent_at.as_micros() / 1_000_000) as usize;
     let inside = |action: &&Action| (from..to).contains(&second(action));
     let (whole, all) = world
         .actions
@@ -107,7 +107,7 @@
     let secs = (world.now.as_micros() / 1_000_000) as usize + 1;
     let mut goodput = vec![0.0; secs];
     for action in world.actions.iter().filter(|action| is_whole(action)) {
-        if let Some((at, _)) = action.end {
+        if let Some((at, _)) = action.ended {
             goodput[(at.as_micros() / 1_000_000) as usize] += 1.0;
         }
     }
@@ -115,15 +115,15 @@
 }
 
 fn is_whole(action: &Action) -> bool {
-    matches!(action.end, Some((_, End::Whole)))
+    matches!(action.ended, Some((_, ActionOutcome::Succeeded)))
 }
 
 fn chain_time(world: &World, operation: usize) -> f64 {
-    let operation = &world.layout.operations[operation];
+    let operation = &world.cluster.operations[operation];
     let below: f64 = operation
         .children
         .iter()
         .map(|child| chain_time(world, *child))
         .sum();
-    operation.takes.as_secs_f64() + below
+    operation.service_time.as_secs_f64() + below
 }
--- a/crates/experiment/src/scenario.rs
+++ b/crates/experiment/src/scenario.rs
@@ -37,9 +37,9 @@
 /// A world whose nodes have found each other.
 fn world(seed: u64, variant: &Variant) -> World {
     let mut world = World::new(seed, graph::layout(variant.switches));
-    world.go_on = true;
+    world.continue_after_violation = true;
     for node in &mut world.nodes {
-        if &*node.me.service == DEEPEST {
+        if &*node.instance.service == DEEPEST {
             node.server.set_slots(10);
         }
     }
@@ -98,7 +98,7 @@
     load.run(&mut world, CAPACITY * USUAL, SETTLE * 2);
     let mark = Mark::new(&world);
     for (after, fault) in (trigger.faults)(&world) {
-        world.after(after, move |world| world.strike(fault));
+        world.schedule_after(after, move |world| world.inject_fault(fault));
     }
     load.run(&mut world, CAPACITY * trigger.demand, trigger.lasts);
     let end = world.now;
--- a/crates/experiment/src/trigger.rs
+++ b/crates/experiment/src/trigger.rs
@@ -130,12 +130,12 @@
 fn deepest(world: &World) -> usize {
     let mut nodes = world.nodes.iter();
     nodes
-        .position(|node| &*node.me.service == DEEPEST)
+        .position(|node| &*node.instance.service == DEEPEST)
         .unwrap_or(0)
 }
 
 fn of_domain(world: &World, failure_domain: &str) -> Vec<usize> {
     let nodes = world.nodes.iter().enumerate();
-    let there = nodes.filter(|(_, node)| &*node.me.failure_domain == failure_domain);
+    let there = nodes.filter(|(_, node)| &*node.instance.failure_domain == failure_domain);
     there.map(|(index, _)| index).collect()
 }
--- a/crates/experiment/tests/loads.rs
+++ b/crates/experiment/tests/loads.rs
@@ -35,7 +35,7 @@
 
 /// The nodes of the deepest service.
 fn deepest(world: &World) -> Vec<usize> {
-    let of_service = |node: &usize| &*world.nodes[*node].me.service == DEEPEST;
+    let of_service = |node: &usize| &*world.nodes[*node].instance.service == DEEPEST;
     (0..world.nodes.len()).filter(of_service).collect()
 }
 
@@ -54,7 +54,7 @@
 fn a_slow_server_among_good_ones() {
     let slow = |world: &mut World| {
         let node = deepest(world)[0];
-        world.nodes[node].server.slowness = 5;
+        world.nodes[node].server.slow_factor = 5;
     };
     let with = run(&policy(), 0.6, slow);
     let off = run(&without(|s| s.by_load = false), 0.6, slow);
@@ -68,7 +68,7 @@
     let release = |world: &mut World| {
         for (nth, node) in deepest(world).into_iter().enumerate() {
             let at = Duration::from_secs(1 + 2 * nth as u64);
-            world.after(at, move |world| world.strike(Fault::Replace(node)));
+            world.schedule_after(at, move |world| world.inject_fault(Fault::Replace(node)));
         }
     };
     let with = run(&policy(), 1.2, release);
--- a/crates/trial/src/caller.rs
+++ b/crates/trial/src/caller.rs
@@ -1,6 +1,6 @@
 //! Callers: what they send, how long they wait, and when they send again.
 
-use crate::Layout;
+use crate::ClusterConfig;
 use crate::World;
 use bytes::Bytes;
 use engine::Input;
@@ -21,7 +21,7 @@
 /// Something that a caller wants done.
 #[derive(Debug, Clone)]
 pub struct Action {
-    /// What: an index into [`Layout::operations`].
+    /// What: an index into [`ClusterConfig::operations`].
     pub operation: usize,
     /// Its identity, which is also the body.
     pub body: String,
@@ -30,9 +30,9 @@
     /// The key; `None` leaves it to the node, which makes one.
     pub key: Option<Arc<str>>,
     /// How long the caller waits for one attempt before it hangs up.
-    pub patience: Duration,
+    pub attempt_timeout: Duration,
     /// Comes back after this time, whatever it was told.
-    pub comes_back: Option<Duration>,
+    pub resend_delay: Option<Duration>,
     /// How often it sends again at most.
     pub resends: u32,
     /// Attempts so far.
@@ -40,16 +40,16 @@
     /// The last attempt that was answered; its caller waits no more, if only to send again.
     pub answered: u32,
     /// When it was first sent.
-    pub began: Time,
+    pub first_sent_at: Time,
     /// How it ended, and when.
-    pub end: Option<(Time, End)>,
+    pub ended: Option<(Time, ActionOutcome)>,
 }
 
 /// How an action ended for its caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum End {
+pub enum ActionOutcome {
     /// With the whole answer.
-    Whole,
+    Succeeded,
     /// With the backend server's own failure, whole.
     Failed,
     /// The last attempt was told not to have run.
@@ -57,7 +57,7 @@
     /// The last attempt's end is unknown.
     Unknown(Reason),
     /// The caller hung up, or its node went away, and it did not send again.
-    GaveUp,
+    Abandoned,
 }
 
 /// Who waits for an answer.
@@ -93,13 +93,13 @@
             body: body.to_owned(),
             caller: "shop".into(),
             key: Some(body.into()),
-            patience: Duration::from_secs(5),
-            comes_back: None,
+            attempt_timeout: Duration::from_secs(5),
+            resend_delay: None,
             resends: 3,
             attempts: 0,
             answered: 0,
-            began: Time::ZERO,
-            end: None,
+            first_sent_at: Time::ZERO,
+            ended: None,
         }
     }
 }
@@ -109,46 +109,48 @@
     pub fn submit(&mut self, at: Time, action: Action, node: Option<usize>) -> usize {
         let index = self.actions.len();
         self.actions.push(action);
-        self.at(at, move |world| world.on_send(index, node));
+        self.schedule_at(at, move |world| world.on_send(index, node));
         index
     }
 
     /// The caller sends an action again, whatever it was told, unless it has no key to do so with.
     pub fn send_again(&mut self, index: usize, node: Option<usize>) {
         if self.actions[index].attempts > 0 && self.has_key(index) {
-            self.actions[index].end = None;
+            self.actions[index].ended = None;
             self.on_send(index, node);
         }
     }
 
     fn has_key(&self, index: usize) -> bool {
         let action = &self.actions[index];
-        action.key.is_some() || self.layout.operations[action.operation].idempotent
+        action.key.is_some() || self.cluster.operations[action.operation].idempotent
     }
 
     pub(crate) fn on_send(&mut self, index: usize, node: Option<usize>) {
         let any = self.rng.random_range(0..self.nodes.len());
         let node = node.unwrap_or(any);
         let action = &mut self.actions[index];
-        action.end = None;
+        action.ended = None;
         action.attempts += 1;
         if action.attempts == 1 {
-            action.began = self.now;
+            action.first_sent_at = self.now;
         }
         let attempt = action.attempts;
-        let (operation, patience) = (action.operation, action.patience);
+        let (operation, attempt_timeout) = (action.operation, action.attempt_timeout);
         let (caller, key) = (action.caller.clone(), action.key.clone());
         let body = Bytes::from(action.body.clone());
         if self.nodes[node].engine.is_none() {
-            return self.resend(index, Duration::from_millis(50), End::GaveUp);
+            return self.resend(index, Duration::from_millis(50), ActionOutcome::Abandoned);
         }
         let waiter = Waiter::Caller {
             action: index,
             attempt,
         };
-        let travel = self.layout.caller_latency;
+        let travel = self.cluster.caller_latency;
         self.request(node, waiter, operation, body, caller, None, key, travel);
-        self.after(patience, move |world| world.on_impatient(index, attempt));
+        self.schedule_after(attempt_timeout, move |world| {
+            world.on_impatient(index, attempt)
+        });
     }
 
     /// A backend server's call to another service, through its own node.
@@ -201,17 +203,17 @@
         self.next_token += 1;
         let from = self.nodes[node].incarnation;
         self.nodes[node].waiting.insert(token, waiter.clone());
-        let asked = &self.layout.operations[operation];
+        let asked = &self.cluster.operations[operation];
         let is_root = matches!(waiter, Waiter::Caller { .. });
-        self.judge.on_attempt(asked, &body, is_root);
+        self.checker.on_attempt(asked, &body, is_root);
         if let (Some(key), false) = (&key, asked.idempotent) {
-            self.judge
+            self.checker
                 .on_key(asked, &body, (caller.clone(), key.clone()));
         }
         let due = asked.deadline + LATE;
         let request = Request::new(&asked.service, &asked.method, &asked.path, body);
-        let patience = match waiter {
-            Waiter::Caller { action, .. } => Some(self.actions[action].patience),
+        let attempt_timeout = match waiter {
+            Waiter::Caller { action, .. } => Some(self.actions[action].attempt_timeout),
             Waiter::Child { .. } => None,
         };
         let input = Input::Request {
@@ -221,16 +223,16 @@
             context,
             parent: None,
             key,
-            caller_timeout: patience,
+            caller_timeout: attempt_timeout,
             request,
         };
         // The deadline counts from when the node takes the request, which may be frozen now.
-        self.after_in(node, travel, move |world| {
+        self.schedule_in_process(node, travel, move |world| {
             let place = &mut world.nodes[node];
             if place.waiting.contains_key(&token) {
                 place.taken.insert(token);
             }
-            world.after_in(node, due, move |world| world.on_due(node, from, token));
+            world.schedule_in_process(node, due, move |world| world.on_due(node, from, token));
             world.feed(node, from, input);
         });
     }
@@ -249,14 +251,14 @@
         };
         let (operation, body) = self.asked(&waiter);
         let verdict = self
-            .judge
-            .on_outcome(&self.layout, operation, &body, &outcome);
+            .checker
+            .on_outcome(&self.cluster, operation, &body, &outcome);
         self.check(verdict);
         let travel = match waiter {
-            Waiter::Caller { .. } => self.layout.caller_latency,
+            Waiter::Caller { .. } => self.cluster.caller_latency,
             Waiter::Child { .. } => Duration::from_micros(100),
         };
-        self.after(travel, move |world| {
+        self.schedule_after(travel, move |world| {
             world.on_reply(waiter, outcome, made_key)
         });
     }
@@ -282,7 +284,7 @@
             return self.on_child_answer(waiter, Some(outcome));
         };
         let action = &mut self.actions[index];
-        if attempt != action.attempts || action.end.is_some() {
+        if attempt != action.attempts || action.ended.is_some() {
             return;
         }
         action.answered = attempt;
@@ -290,22 +292,28 @@
             action.key = made;
         }
         match outcome {
-            Outcome::Completed(response) if response.status == 200 => self.end(index, End::Whole),
+            Outcome::Completed(response) if response.status == 200 => {
+                self.end(index, ActionOutcome::Succeeded)
+            }
             Outcome::Completed(_) => {
-                let again = action.comes_back.is_some();
-                let idempotent = self.layout.operations[action.operation].idempotent;
+                let again = action.resend_delay.is_some();
+                let idempotent = self.cluster.operations[action.operation].idempotent;
                 if again && idempotent {
-                    self.resend(index, Duration::ZERO, End::Failed);
+                    self.resend(index, Duration::ZERO, ActionOutcome::Failed);
                 } else {
-                    self.end(index, End::Failed);
+                    self.end(index, ActionOutcome::Failed);
                 }
             }
             Outcome::NotRun(refusal) => {
                 let wait = Duration::from_millis(u64::from(refusal.retry_after_ms));
-                self.resend(index, wait, End::NotRun(refusal.reason));
+                self.resend(index, wait, ActionOutcome::NotRun(refusal.reason));
             }
             Outcome::Unknown(reason) => {
-                self.resend(index, Duration::from_millis(100), End::Unknown(reason));
+                self.resend(
+                    index,
+                    Duration::from_millis(100),
+                    ActionOutcome::Unknown(reason),
+                );
             }
         }
     }
@@ -313,7 +321,7 @@
     pub(crate) fn on_impatient(&mut self, index: usize, attempt: u32) {
         let action = &self.actions[index];
         let waits = action.attempts == attempt && action.answered < attempt;
-        if !waits || action.end.is_some() {
+        if !waits || action.ended.is_some() {
             return;
         }
         let nodes = self.nodes.iter().enumerate();
@@ -323,32 +331,32 @@
         });
         if let Some((node, (token, _))) = mine {
             let input = Input::CallerGone(*token);
-            self.input(node, self.layout.caller_latency, input);
+            self.input(node, self.cluster.caller_latency, input);
         }
-        self.resend(index, Duration::ZERO, End::GaveUp);
+        self.resend(index, Duration::ZERO, ActionOutcome::Abandoned);
     }
 
     /// Sends again if the caller still wants to and has a key to send again with.
-    fn resend(&mut self, index: usize, wait: Duration, end: End) {
+    fn resend(&mut self, index: usize, wait: Duration, end: ActionOutcome) {
         let can = self.has_key(index);
         self.end(index, end);
         let action = &mut self.actions[index];
         if can && action.attempts <= action.resends {
-            action.end = None;
-            let wait = action.comes_back.unwrap_or(wait);
+            action.ended = None;
+            let wait = action.resend_delay.unwrap_or(wait);
             let attempt = action.attempts;
-            self.after(wait, move |world| {
+            self.schedule_after(wait, move |world| {
                 let action = &world.actions[index];
-                if action.attempts == attempt && action.end.is_none() {
+                if action.attempts == attempt && action.ended.is_none() {
                     world.on_send(index, None);
                 }
             });
         }
     }
 
-    fn end(&mut self, index: usize, end: End) {
+    fn end(&mut self, index: usize, end: ActionOutcome) {
         let at = self.now;
-        self.actions[index].end = Some((at, end));
+        self.actions[index].ended = Some((at, end));
         let body = &self.actions[index].body;
         self.note(format!("{body} ends {end:?}"));
     }
@@ -357,8 +365,8 @@
     pub(crate) fn on_node_gone(&mut self, _token: RequestToken, waiter: Waiter) {
         match waiter {
             Waiter::Caller { action, attempt } if self.actions[action].attempts == attempt => {
-                if self.actions[action].end.is_none() {
-                    self.resend(action, Duration::from_millis(10), End::GaveUp);
+                if self.actions[action].ended.is_none() {
+                    self.resend(action, Duration::from_millis(10), ActionOutcome::Abandoned);
                 }
             }
             Waiter::Caller { .. } => {}
@@ -372,14 +380,15 @@
             return;
         }
         if self.now.since(place.moved) < LATE {
-            return self.after_in(node, LATE, move |world| world.on_due(node, from, token));
+            return self
+                .schedule_in_process(node, LATE, move |world| world.on_due(node, from, token));
         }
         let what = format!("no answer in time: {:?}", place.waiting[&token]);
         self.violation(&what);
     }
 }
 
-impl Layout {
+impl ClusterConfig {
     /// The index of an operation by its method and `/SERVICE/PATH`.
     pub fn operation(&self, method: &str, path: &str) -> Option<usize> {
         self.operations.iter().position(|operation| {
--- a/crates/trial/src/judge.rs
+++ b/crates/trial/src/checker.rs
@@ -1,6 +1,6 @@
 //! What must always hold, checked at each step.
 
-use crate::Layout;
+use crate::ClusterConfig;
 use crate::Node;
 use crate::Operation;
 use bytes::Bytes;
@@ -53,7 +53,7 @@
 
 /// Counts the runs by key, and says when something is not as promised.
 #[derive(Debug, Default)]
-pub struct Judge {
+pub struct InvariantChecker {
     /// What was violated, with seed and time.
     pub violations: Vec<String>,
     /// A body that has one of these in it crashes each backend server that runs it.
@@ -84,7 +84,7 @@
     body.split('>').next().unwrap_or_default().to_owned()
 }
 
-impl Judge {
+impl InvariantChecker {
     /// How often a backend server began the work.
     pub fn runs(&self, operation: &Operation, body: &[u8]) -> u32 {
         self.work
@@ -210,23 +210,23 @@
     /// An engine answers a request.
     pub(crate) fn on_outcome(
         &mut self,
-        layout: &Layout,
+        cluster: &ClusterConfig,
         operation: usize,
         body: &[u8],
         outcome: &Outcome,
     ) -> Result<(), String> {
-        let name = name(&layout.operations[operation], body);
+        let name = name(&cluster.operations[operation], body);
         let known = self.work.entry(name.clone()).or_default();
         match outcome {
             Outcome::NotRun(refusal) => {
                 known.not_run += 1;
-                let of_all = !layout.operations[operation].idempotent && !refusal.attempt_only;
+                let of_all = !cluster.operations[operation].idempotent && !refusal.attempt_only;
                 if known.runs > 0 && (of_all || known.attempts == known.not_run) {
                     return Err(format!("{name} was told {refusal:?} but ran: {known:?}"));
                 }
             }
             Outcome::Completed(response) => {
-                let expected = layout.expected(operation, body);
+                let expected = cluster.expected(operation, body);
                 let fits = match response.status {
                     200 => response.body == expected,
                     _ => response.body == "[failed]",
--- a/crates/trial/src/layout.rs
+++ b/crates/trial/src/cluster.rs
@@ -13,8 +13,8 @@
     /// The path.
     pub path: Arc<str>,
     /// How long the backend server works before it calls others.
-    pub takes: Duration,
-    /// What it calls: indices into [`Layout::operations`].
+    pub service_time: Duration,
+    /// What it calls: indices into [`ClusterConfig::operations`].
     pub children: Vec<usize>,
     /// Whether it calls them all at once.
     pub parallel: bool,
@@ -28,7 +28,7 @@
 
 /// Where one instance is.
 #[derive(Debug, Clone)]
-pub struct Place {
+pub struct Placement {
     /// Its service.
     pub service: Arc<str>,
     /// Its failure domain.
@@ -39,11 +39,11 @@
 
 /// What a run starts with.
 #[derive(Debug, Clone)]
-pub struct Layout {
+pub struct ClusterConfig {
     /// What the services do.
     pub operations: Vec<Operation>,
     /// One place for each instance.
-    pub places: Vec<Place>,
+    pub placements: Vec<Placement>,
     /// The rules file that is in force from the start.
     pub rules: String,
     /// Work that a backend server does at once.
@@ -51,34 +51,34 @@
     /// Which mechanisms of the policy under load are on.
     pub policy: engine::Switches,
     /// Work that waits in a backend server beyond its slots before it refuses.
-    pub backlog: usize,
+    pub max_backlog: usize,
     /// How long a node goes on with its leases without hearing the log.
-    pub max_log_silence: Duration,
+    pub max_log_staleness: Duration,
     /// One-way latency within a failure domain, within a region and between regions.
     pub latency: [Duration; 3],
     /// One-way latency between callers and nodes.
     pub caller_latency: Duration,
 }
 
-impl Layout {
+impl ClusterConfig {
     /// Three services, three deep, each with an instance in each of three failure domains, which
     /// lie in two regions. Every service has a lookup and something that must not run twice.
     ///
     /// # Examples
     ///
     /// ```
-    /// assert_eq!(trial::Layout::small().places.len(), 9);
+    /// assert_eq!(trial::ClusterConfig::small().placements.len(), 9);
     /// ```
     pub fn small() -> Self {
         Self::with_instances(3)
     }
 
-    /// As [`Layout::small`], with this many instances a service, from one to three.
+    /// As [`ClusterConfig::small`], with this many instances a service, from one to three.
     ///
     /// # Examples
     ///
     /// ```
-    /// assert_eq!(trial::Layout::with_instances(2).places.len(), 6);
+    /// assert_eq!(trial::ClusterConfig::with_instances(2).placements.len(), 6);
     /// ```
     pub fn with_instances(count: usize) -> Self {
         let services = ["order", "press", "royalty"];
@@ -87,10 +87,10 @@
             ("milano-2", "lombardia"),
             ("padova-1", "veneto"),
         ];
-        let mut places = Vec::new();
+        let mut placements = Vec::new();
         for service in services {
             for (domain, region) in domains.into_iter().rev().take(count) {
-                places.push(Place {
+                placements.push(Placement {
                     service: service.into(),
                     failure_domain: domain.into(),
                     region: region.into(),
@@ -106,12 +106,12 @@
                 operation("royalty", "GET", "/rates", 3, &[]),
                 operation("royalty", "POST", "/charges", 5, &[]),
             ],
-            places,
+            placements,
             rules: RULES.to_owned(),
             slots: 10,
             policy: engine::Switches::ALL,
-            backlog: 40,
-            max_log_silence: once::Config::default().max_log_staleness,
+            max_backlog: 40,
+            max_log_staleness: once::Config::default().max_log_staleness,
             latency: [
                 Duration::from_micros(100),
                 Duration::from_micros(500),
@@ -124,12 +124,18 @@
 
 /// An operation with two retries and a deadline of four seconds; everything but `GET` must not run
 /// twice.
-fn operation(service: &str, method: &str, path: &str, takes: u64, children: &[usize]) -> Operation {
+fn operation(
+    service: &str,
+    method: &str,
+    path: &str,
+    service_time: u64,
+    children: &[usize],
+) -> Operation {
     Operation {
         service: service.into(),
         method: method.into(),
         path: path.into(),
-        takes: Duration::from_millis(takes),
+        service_time: Duration::from_millis(service_time),
         children: children.to_vec(),
         parallel: children.len() > 1,
         retries: 2,
--- a/crates/trial/src/fault.rs
+++ b/crates/trial/src/fault.rs
@@ -65,7 +65,7 @@
 
 impl World {
     /// Has a fault happen now.
-    pub fn strike(&mut self, fault: Fault) {
+    pub fn inject_fault(&mut self, fault: Fault) {
         self.note(format!("FAULT {fault:?}"));
         match fault {
             Fault::Kill(node) => self.kill(node),
@@ -76,7 +76,7 @@
             }
             Fault::Pause(node, time) => {
                 self.pause(node);
-                self.after(time, move |world| world.strike(Fault::Resume(node)));
+                self.schedule_after(time, move |world| world.inject_fault(Fault::Resume(node)));
             }
             Fault::PauseAtRun(node, time) => self.nodes[node].pause_at_run = Some(time),
             Fault::Resume(node) => self.resume(node),
@@ -91,7 +91,7 @@
             Fault::Heal => self.heal(),
             Fault::Silent(a, b) => {
                 for connection in self.between(a, b) {
-                    self.net.connections[connection].silent = true;
+                    self.network.connections[connection].silent = true;
                     self.watch(connection);
                 }
             }
@@ -100,7 +100,9 @@
                     self.break_off(connection);
                 }
             }
-            Fault::Datagrams(loss, twice) => (self.net.loss, self.net.twice) = (loss, twice),
+            Fault::Datagrams(loss, twice) => {
+                (self.network.loss, self.network.twice) = (loss, twice)
+            }
             Fault::LogDown(down) => self.log.down = down,
             Fault::LogCut(node, true) => drop(self.log.cut.insert(node)),
             Fault::LogCut(node, false) => drop(self.log.cut.swap_remove(&node)),
@@ -113,12 +115,12 @@
                 for node in self
                     .nodes
                     .iter_mut()
-                    .filter(|node| node.me.service == service)
+                    .filter(|node| node.instance.service == service)
                 {
-                    node.server.slowness = times;
+                    node.server.slow_factor = times;
                 }
             }
-            Fault::Poison(body) => self.judge.poison.push(body),
+            Fault::Poison(body) => self.checker.poison.push(body),
             Fault::Surge(service, count) => self.surge(&service, count),
         }
     }
@@ -130,14 +132,14 @@
         }
         let from = place.incarnation;
         place.stopping = Some(self.now);
-        self.after_in(node, Duration::ZERO, move |world| {
+        self.schedule_in_process(node, Duration::ZERO, move |world| {
             world.nodes[node].heard_stop = Some(world.now);
             world.feed(node, from, Input::Stop);
         });
     }
 
     fn cut_region(&mut self, region: &str) {
-        let inside = |node: &crate::Node| &*node.me.region == region;
+        let inside = |node: &crate::Node| &*node.instance.region == region;
         let (a, b): (Vec<usize>, Vec<usize>) =
             (0..self.nodes.len()).partition(|node| inside(&self.nodes[*node]));
         for (x, y) in a.iter().flat_map(|x| b.iter().map(move |y| (*x, *y))) {
@@ -155,7 +157,7 @@
             .max()
             .unwrap_or(0);
         for operator in 0..operators {
-            let file = format!("{}# by operator {operator} on {seen}\n", self.layout.rules);
+            let file = format!("{}# by operator {operator} on {seen}\n", self.cluster.rules);
             let publication = self.rng.random();
             let name = format!("operator {operator}");
             self.publish(seen, publication, &name, &file);
@@ -167,7 +169,7 @@
 
     /// One order to three lookups.
     fn surge(&mut self, service: &str, count: u32) {
-        let operations = &self.layout.operations;
+        let operations = &self.cluster.operations;
         let of = |method: &str| {
             operations
                 .iter()
--- a/crates/trial/src/lib.rs
+++ b/crates/trial/src/lib.rs
@@ -2,14 +2,14 @@
 //! the network, the store, backend servers and callers. One queue of events, one seed.
 //!
 //! It sees engines only as a shell does: [`engine::Engine::handle`], timers and public getters.
-//! A [`Judge`] watches what must always hold.
+//! A [`InvariantChecker`] watches what must always hold.
 
 mod caller;
+mod checker;
+mod cluster;
 mod fault;
-mod judge;
-mod layout;
 mod log;
-mod net;
+mod network;
 mod node;
 mod plan;
 mod process;
@@ -18,14 +18,14 @@
 mod world;
 
 pub use caller::Action;
-pub use caller::End;
+pub use caller::ActionOutcome;
+pub use checker::InvariantChecker;
+pub use cluster::ClusterConfig;
+pub use cluster::Operation;
+pub use cluster::Placement;
 pub use fault::Fault;
-pub use judge::Judge;
-pub use layout::Layout;
-pub use layout::Operation;
-pub use layout::Place;
 pub use log::Log;
-pub use net::Net;
+pub use network::Network;
 pub use node::Node;
 pub use plan::check_seed;
 pub use plan::Plan;
--- a/crates/trial/src/log.rs
+++ b/crates/trial/src/log.rs
@@ -124,7 +124,7 @@
         let keys: Vec<&str> = entries.iter().map(|(key, _)| &**key).collect();
         let what = keys.join(" ");
         self.note(format!("{} appends {what} at {at}", self.nodes[node].name));
-        self.after(self.log.latency(), move |world| {
+        self.schedule_after(self.log.latency(), move |world| {
             let log = &mut world.log;
             let down = log.is_down_for(node);
             let lost = down || log.lose_answers > 0 || log.slow >= PATIENCE;
@@ -140,7 +140,7 @@
                 (false, true) => (world.log.latency(), Input::AppendConflict(number)),
                 (false, false) => (world.log.latency(), Input::Appended(number)),
             };
-            world.after_in(node, wait, move |world| world.feed(node, from, input));
+            world.schedule_in_process(node, wait, move |world| world.feed(node, from, input));
         });
     }
 
@@ -148,14 +148,14 @@
     pub(crate) fn check_rules(&mut self, node: usize) {
         let asked = self.nodes[node].time(self.now);
         let from = self.nodes[node].incarnation;
-        self.after(self.log.latency(), move |world| {
+        self.schedule_after(self.log.latency(), move |world| {
             let lost = world.log.is_down_for(node) || world.log.slow >= PATIENCE;
             let version = world.log.said.version;
             let (wait, input) = match lost {
                 true => (PATIENCE, Input::RulesCheckFailed),
                 false => (world.log.latency(), Input::RulesChecked { asked, version }),
             };
-            world.after_in(node, wait, move |world| world.feed(node, from, input));
+            world.schedule_in_process(node, wait, move |world| world.feed(node, from, input));
         });
     }
 
@@ -168,7 +168,7 @@
     }
 
     fn read(&mut self, node: usize, number: u64) {
-        self.after(self.log.latency(), move |world| world.on_read(node, number));
+        self.schedule_after(self.log.latency(), move |world| world.on_read(node, number));
     }
 
     fn on_read(&mut self, node: usize, number: u64) {
@@ -178,7 +178,8 @@
         };
         if self.log.is_down_for(node) || self.log.slow >= PATIENCE {
             self.input(node, PATIENCE, Input::LogUnreachable);
-            return self.after(PATIENCE + READ_PAUSE, move |world| world.read(node, number));
+            return self
+                .schedule_after(PATIENCE + READ_PAUSE, move |world| world.read(node, number));
         }
         let next = engine.next_offset();
         let (first, end) = (self.log.first, self.log.end());
@@ -188,8 +189,8 @@
             let from = self.nodes[node].incarnation;
             let latency = self.log.latency();
             self.input(node, latency, Input::TopicSnapshot { values, end });
-            self.after_in(node, latency, move |world| world.on_end(node, from, end));
-            return self.after(latency, move |world| world.read(node, number));
+            self.schedule_in_process(node, latency, move |world| world.on_end(node, from, end));
+            return self.schedule_after(latency, move |world| world.read(node, number));
         }
         let skip = next.saturating_sub(first) as usize;
         let numbered = (self.log.first..).zip(&self.log.records).skip(skip);
@@ -201,16 +202,17 @@
         let latency = self.log.latency();
         if batch.is_empty() && std::mem::replace(&mut place.read_to_end, true) {
             self.log.waiting.push((node, number));
-            return self.after(READ_WAIT, move |world| world.on_read_timeout(node, number));
+            return self
+                .schedule_after(READ_WAIT, move |world| world.on_read_timeout(node, number));
         }
         if !batch.is_empty() {
             self.input(node, latency, Input::Records(batch));
         }
         if read_to_end {
             let from = self.nodes[node].incarnation;
-            self.after_in(node, latency, move |world| world.on_end(node, from, end));
+            self.schedule_in_process(node, latency, move |world| world.on_end(node, from, end));
         }
-        self.after(latency, move |world| world.read(node, number));
+        self.schedule_after(latency, move |world| world.read(node, number));
     }
 
     /// The end of the topic was read, unless something sent the reader back before it.
--- a/crates/trial/src/node.rs
+++ b/crates/trial/src/node.rs
@@ -2,7 +2,7 @@
 
 use crate::caller::Waiter;
 use crate::world::Event;
-use crate::Layout;
+use crate::ClusterConfig;
 use crate::Server;
 use engine::Engine;
 use engine::RequestToken;
@@ -20,7 +20,7 @@
     /// `SERVICE-N`.
     pub name: String,
     /// Who it is now.
-    pub me: Instance,
+    pub instance: Instance,
     /// Its present incarnation.
     pub incarnation: Incarnation,
     /// `None` while no process runs.
@@ -55,16 +55,16 @@
 }
 
 impl Node {
-    pub(crate) fn new(layout: &Layout, at: usize) -> Self {
-        let place = &layout.places[at];
-        let nth = layout.places[..at]
+    pub(crate) fn new(cluster: &ClusterConfig, at: usize) -> Self {
+        let place = &cluster.placements[at];
+        let nth = cluster.placements[..at]
             .iter()
             .filter(|other| other.service == place.service)
             .count();
         let incarnation = Incarnation(0);
         Self {
             name: format!("{}-{}", place.service, nth + 1),
-            me: Instance {
+            instance: Instance {
                 incarnation,
                 service: place.service.clone(),
                 failure_domain: place.failure_domain.clone(),
@@ -80,7 +80,7 @@
             known_version: 0,
             stopping: None,
             heard_stop: None,
-            server: Server::new(layout),
+            server: Server::new(cluster),
             waiting: IndexMap::new(),
             taken: IndexSet::new(),
             runs: IndexMap::new(),
@@ -105,7 +105,7 @@
             return write!(f, " not running");
         };
         let (journal, tables) = (engine.journal(), engine.table_sizes());
-        let view = journal.view(&self.me.service);
+        let view = journal.view(&self.instance.service);
         let members = view.map(|view| {
             view.members
                 .iter()
--- a/crates/trial/src/plan.rs
+++ b/crates/trial/src/plan.rs
@@ -1,9 +1,9 @@
 //! Random runs: a seed decides what is asked and what goes wrong.
 
 use crate::Action;
-use crate::End;
+use crate::ActionOutcome;
+use crate::ClusterConfig;
 use crate::Fault;
-use crate::Layout;
 use crate::World;
 use rand::rngs::StdRng;
 use rand::RngExt;
@@ -19,7 +19,7 @@
 
 /// How long nodes go on without the log in random runs: longer than it is down there, and shorter than
 /// everything is given to settle.
-const MAX_LOG_SILENCE: Duration = Duration::from_secs(60);
+const MAX_LOG_STALENESS: Duration = Duration::from_secs(60);
 
 /// How long everything is given to settle when all faults are mended. Keys whose home was lost are
 /// in doubt for as long as records are kept.
@@ -37,11 +37,11 @@
 impl Plan {
     /// The plan of a seed. One in three has a single kind of fault, the others have all. Without
     /// `homes_move` no process ends or is taken for dead, so each key keeps its home.
-    pub fn new(seed: u64, layout: &Layout, homes_move: bool) -> Self {
+    pub fn new(seed: u64, cluster: &ClusterConfig, homes_move: bool) -> Self {
         let mut rng = StdRng::seed_from_u64(seed ^ 0x7472_6961_6c00);
         let count = rng.random_range(100..800);
         let actions = (0..count)
-            .map(|nth| random_action(&mut rng, layout, nth))
+            .map(|nth| random_action(&mut rng, cluster, nth))
             .collect();
         let first = if homes_move { 0 } else { MOVES };
         let only = (seed % 3 == 0).then(|| rng.random_range(first..KINDS));
@@ -49,38 +49,38 @@
         let faults = (0..count)
             .flat_map(|_| {
                 let kind = only.unwrap_or_else(|| rng.random_range(first..KINDS));
-                random_faults(&mut rng, layout, kind)
+                random_faults(&mut rng, cluster, kind)
             })
             .collect();
         Self { actions, faults }
     }
 
     /// A world in which the plan will happen.
-    pub fn world(&self, seed: u64, layout: Layout) -> World {
-        let mut world = World::new(seed, layout);
+    pub fn world(&self, seed: u64, cluster: ClusterConfig) -> World {
+        let mut world = World::new(seed, cluster);
         for (at, action) in &self.actions {
             let index = world.submit(*at, action.clone(), None);
             // A caller that lost the answer, or its patience, sends again though all went well.
             for _ in 0..world.rng.random_range(0..3) {
                 let wait = Duration::from_millis(world.rng.random_range(1..15_000));
-                world.at(*at + wait, move |world| world.send_again(index, None));
+                world.schedule_at(*at + wait, move |world| world.send_again(index, None));
             }
         }
         for (at, fault) in &self.faults {
             let fault = fault.clone();
-            world.at(*at, move |world| world.strike(fault));
+            world.schedule_at(*at, move |world| world.inject_fault(fault));
         }
         world
     }
 }
 
-fn random_action(rng: &mut StdRng, layout: &Layout, nth: u32) -> (Time, Action) {
+fn random_action(rng: &mut StdRng, cluster: &ClusterConfig, nth: u32) -> (Time, Action) {
     let at = Time::ZERO + WARM.mul_f64(rng.random_range(0.6..1.0)) + FAULTS.mul_f64(rng.random());
     let padding = "x".repeat(rng.random_range(0..100));
     let body = format!("a{nth}-{padding}");
-    let mut action = Action::new(rng.random_range(0..layout.operations.len()), &body);
+    let mut action = Action::new(rng.random_range(0..cluster.operations.len()), &body);
     action.caller = format!("shop{}", rng.random_range(0..4)).into();
-    action.patience = Duration::from_millis(rng.random_range(300..6000));
+    action.attempt_timeout = Duration::from_millis(rng.random_range(300..6000));
     action.resends = rng.random_range(0..6);
     match rng.random_range(0..10) {
         0 => action.key = None,
@@ -97,12 +97,12 @@
 /// How many of them, the first, end processes or make others take them for dead.
 const MOVES: u32 = 10;
 
-fn random_faults(rng: &mut StdRng, layout: &Layout, kind: u32) -> Vec<(Time, Fault)> {
+fn random_faults(rng: &mut StdRng, cluster: &ClusterConfig, kind: u32) -> Vec<(Time, Fault)> {
     let at = Time::ZERO + WARM + FAULTS.mul_f64(rng.random());
-    let a = rng.random_range(0..layout.places.len());
-    let b = (a + rng.random_range(1..layout.places.len())) % layout.places.len();
+    let a = rng.random_range(0..cluster.placements.len());
+    let b = (a + rng.random_range(1..cluster.placements.len())) % cluster.placements.len();
     let long = Duration::from_millis(rng.random_range(100..12_000));
-    let service = layout.places[a].service.clone();
+    let service = cluster.placements[a].service.clone();
     let for_a_while = |fault, mended| vec![(at, fault), (at + long, mended)];
     match kind {
         0 => for_a_while(Fault::Kill(a), Fault::Start(a)),
@@ -116,7 +116,7 @@
         5 => for_a_while(Fault::Cut(a, b), Fault::Heal),
         6 => for_a_while(Fault::CutOneWay(a, b), Fault::Heal),
         7 => for_a_while(
-            Fault::CutRegion(layout.places[a].region.clone()),
+            Fault::CutRegion(cluster.placements[a].region.clone()),
             Fault::Heal,
         ),
         10 => vec![(at, Fault::Silent(a, b))],
@@ -140,7 +140,7 @@
         20 => vec![(at, Fault::LogExpire(rng.random_range(0..5)))],
         9 => vec![(at, Fault::Pause(a, long)), (at, Fault::Pause(b, long))],
         // All connections of a node go silent at once, as when a switch forgets them.
-        _ => (0..layout.places.len())
+        _ => (0..cluster.placements.len())
             .filter(|other| *other != a)
             .map(|other| (at, Fault::Silent(a, other)))
             .collect(),
@@ -153,7 +153,7 @@
         let services: Vec<_> = self
             .nodes
             .iter()
-            .map(|node| node.me.service.clone())
+            .map(|node| node.instance.service.clone())
             .collect();
         let mut mended = vec![
             Fault::Heal,
@@ -166,9 +166,9 @@
         mended.extend((0..self.nodes.len()).map(|node| Fault::LogCut(node, false)));
         mended.extend((0..self.nodes.len()).map(Fault::Resume));
         mended.extend((0..self.nodes.len()).map(Fault::Start));
-        self.judge.poison.clear();
+        self.checker.poison.clear();
         for fault in mended {
-            self.strike(fault);
+            self.inject_fault(fault);
         }
     }
 
@@ -186,7 +186,7 @@
         self.check_versions();
         let first = self.actions.len();
         for node in 0..self.nodes.len() {
-            let operation = node % self.layout.operations.len();
+            let operation = node % self.cluster.operations.len();
             // One after another: a backend server that was slow for long takes little at once.
             let action = Action::new(operation, &format!("new{node}"));
             let at = self.now + Duration::from_secs(1) * node as u32;
@@ -194,7 +194,7 @@
         }
         self.run_for(Duration::from_secs(20));
         for action in &self.actions[first..] {
-            if !matches!(action.end, Some((_, End::Whole))) {
+            if !matches!(action.ended, Some((_, ActionOutcome::Succeeded))) {
                 let what = format!("after everything was mended: {action:?}");
                 return self.violation(&what);
             }
@@ -236,17 +236,17 @@
 }
 
 /// Two or three instances a service, quick or slow, with few or many slots.
-fn random_layout(seed: u64) -> Layout {
+fn random_cluster(seed: u64) -> ClusterConfig {
     let mut rng = StdRng::seed_from_u64(seed);
-    let mut layout = Layout::with_instances(rng.random_range(2..4));
+    let mut cluster = ClusterConfig::with_instances(rng.random_range(2..4));
     let times = [1, 1, 10, 50][rng.random_range(0..4)];
-    for operation in &mut layout.operations {
-        operation.takes *= times;
+    for operation in &mut cluster.operations {
+        operation.service_time *= times;
     }
-    layout.slots = rng.random_range(2..12);
-    layout.backlog = rng.random_range(0..40);
-    layout.max_log_silence = MAX_LOG_SILENCE;
-    layout
+    cluster.slots = rng.random_range(2..12);
+    cluster.max_backlog = rng.random_range(0..40);
+    cluster.max_log_staleness = MAX_LOG_STALENESS;
+    cluster
 }
 
 /// Runs the plan of a seed.
@@ -255,13 +255,13 @@
 ///
 /// The report of the first violation and the trace that led to it.
 pub fn check_seed(seed: u64, homes_move: bool) -> Result<World, String> {
-    let layout = random_layout(seed);
-    let mut world = Plan::new(seed, &layout, homes_move).world(seed, layout);
+    let cluster = random_cluster(seed);
+    let mut world = Plan::new(seed, &cluster, homes_move).world(seed, cluster);
     world.run_for(WARM + FAULTS + Duration::from_secs(15));
-    if world.judge.violations.is_empty() {
+    if world.checker.violations.is_empty() {
         world.settle(SETTLE);
     }
-    match world.judge.violations.first() {
+    match world.checker.violations.first() {
         None => Ok(world),
         Some(violation) => {
             let trace: Vec<_> = world.trace.iter().map(|line| line.as_str()).collect();
--- a/crates/trial/src/process.rs
+++ b/crates/trial/src/process.rs
@@ -22,23 +22,23 @@
         let incarnation = Incarnation(self.rng.random());
         let clock_rate = self.rng.random_range(1.0 - CLOCK_DRIFT..1.0 + CLOCK_DRIFT);
         let contacts = (0..2).map(|_| self.rng.random_range(0..self.nodes.len()));
-        let contacts = contacts.map(|at| self.nodes[at].me.addr).collect();
+        let contacts = contacts.map(|at| self.nodes[at].instance.addr).collect();
         let mut cfg = Config {
             seed: incarnation.0,
             contacts,
-            policy: self.layout.policy,
+            policy: self.cluster.policy,
             ..Config::default()
         };
         cfg.membership.seed = incarnation.0;
-        cfg.once.max_log_staleness = self.layout.max_log_silence;
+        cfg.once.max_log_staleness = self.cluster.max_log_staleness;
         let now = self.now;
         let engines = self.nodes.iter().filter_map(|node| node.engine.as_ref());
         let known_version = engines.map(Engine::rules_version).max().unwrap_or(0);
         let place = &mut self.nodes[node];
         place.known_version = known_version;
-        place.me.incarnation = incarnation;
+        place.instance.incarnation = incarnation;
         place.incarnation = incarnation;
-        place.engine = Some(Engine::new(cfg, place.me.clone()));
+        place.engine = Some(Engine::new(cfg, place.instance.clone()));
         place.started = now;
         place.clock_rate = clock_rate;
         place.moved = now;
@@ -73,7 +73,7 @@
     /// Kills a process and starts it again.
     pub(crate) fn restart(&mut self, node: usize) {
         self.kill(node);
-        self.after(START, move |world| world.start(node));
+        self.schedule_after(START, move |world| world.start(node));
     }
 
     pub(crate) fn pause(&mut self, node: usize) {
--- a/crates/trial/src/server.rs
+++ b/crates/trial/src/server.rs
@@ -2,7 +2,7 @@
 //! refusal, cancellation, deadlines, and crashes on certain requests.
 
 use crate::caller::Waiter;
-use crate::Layout;
+use crate::ClusterConfig;
 use crate::World;
 use bytes::Bytes;
 use engine::Input;
@@ -26,7 +26,7 @@
     /// It takes connections.
     pub up: bool,
     /// How many times longer everything takes.
-    pub slowness: u32,
+    pub slow_factor: u32,
     /// Work in its slots.
     pub running: IndexMap<u64, Work>,
     /// Work that waits for a slot.
@@ -41,7 +41,7 @@
 pub struct Work {
     /// The node's name for it.
     pub run: RunId,
-    /// What it does: an index into [`Layout::operations`].
+    /// What it does: an index into [`ClusterConfig::operations`].
     pub operation: usize,
     /// What came with it.
     pub body: Bytes,
@@ -57,14 +57,14 @@
 
 impl Server {
     /// A server that is up.
-    pub fn new(layout: &Layout) -> Self {
+    pub fn new(cluster: &ClusterConfig) -> Self {
         Self {
             up: true,
-            slowness: 1,
+            slow_factor: 1,
             running: IndexMap::new(),
             backlog: VecDeque::new(),
-            slots: layout.slots,
-            max_backlog: layout.backlog,
+            slots: cluster.slots,
+            max_backlog: cluster.max_backlog,
             next: 0,
         }
     }
@@ -75,7 +75,7 @@
     }
 }
 
-impl Layout {
+impl ClusterConfig {
     /// The index of the operation that a request asks for.
     pub fn find(&self, req: &Request) -> Option<usize> {
         self.operations.iter().position(|operation| {
@@ -95,8 +95,8 @@
     /// # Examples
     ///
     /// ```
-    /// let layout = trial::Layout::small();
-    /// assert_eq!(layout.expected(4, b"a1"), "[royalty/rates a1]");
+    /// let cluster = trial::ClusterConfig::small();
+    /// assert_eq!(cluster.expected(4, b"a1"), "[royalty/rates a1]");
     /// ```
     pub fn expected(&self, operation: usize, body: &[u8]) -> Bytes {
         let children = self.operations[operation].children.iter().enumerate();
@@ -133,7 +133,7 @@
         if too_late || !place.server.up {
             return self.end_run(node, run, RunEnd::NeverSent);
         }
-        let Some(operation) = self.layout.find(&request) else {
+        let Some(operation) = self.cluster.find(&request) else {
             return self.end_run(node, run, RunEnd::NeverSent);
         };
         let full = place.server.running.len() >= place.server.slots;
@@ -164,22 +164,22 @@
 
     /// The work starts for real: from here on it counts as run.
     fn begin_work(&mut self, node: usize, number: u64, work: Work) {
-        let operation = &self.layout.operations[work.operation];
+        let operation = &self.cluster.operations[work.operation];
         let body = String::from_utf8_lossy(&work.body).into_owned();
         let line = format!("{} runs {} {body}", self.nodes[node].name, operation.path);
-        let verdict = self.judge.on_run(operation, &work.body);
+        let verdict = self.checker.on_run(operation, &work.body);
         self.note(line);
         self.check(verdict);
-        let poison = &mut self.judge.poison.iter();
+        let poison = &mut self.checker.poison.iter();
         if let Some(poison) = poison.find(|poison| body.contains(&***poison)).cloned() {
-            *self.judge.crashes.entry(poison).or_default() += 1;
+            *self.checker.crashes.entry(poison).or_default() += 1;
             return self.crash_server(node);
         }
-        let operation = &self.layout.operations[work.operation];
-        self.work_begun += operation.takes;
-        let takes = operation.takes * self.nodes[node].server.slowness;
+        let operation = &self.cluster.operations[work.operation];
+        self.nominal_service_time += operation.service_time;
+        let service_time = operation.service_time * self.nodes[node].server.slow_factor;
         self.nodes[node].server.running.insert(number, work);
-        self.after(takes, move |world| world.on_work(node, number));
+        self.schedule_after(service_time, move |world| world.on_work(node, number));
     }
 
     /// The service time is over, or a child has answered: calls the next child, or answers.
@@ -187,12 +187,12 @@
         let Some(work) = self.nodes[node].server.running.get_mut(&number) else {
             return;
         };
-        let operation = &self.layout.operations[work.operation];
+        let operation = &self.cluster.operations[work.operation];
         let left = !work.failed && work.sent < operation.children.len();
         if left && (work.open == 0 || operation.parallel) {
             let nth = work.sent;
             let child = operation.children[nth];
-            let body = Layout::child_body(&work.body, nth);
+            let body = ClusterConfig::child_body(&work.body, nth);
             work.sent += 1;
             work.open += 1;
             let run = work.run;
@@ -211,7 +211,7 @@
     fn answer_work(&mut self, node: usize, mut work: Work) {
         work.parts.sort_unstable_keys();
         let parts: Vec<Bytes> = work.parts.into_values().collect();
-        let body = self.layout.answer(work.operation, &work.body, &parts);
+        let body = self.cluster.answer(work.operation, &work.body, &parts);
         let response = Response {
             status: if work.failed { 502 } else { 200 },
             headers: Vec::new(),
@@ -248,7 +248,7 @@
         else {
             return;
         };
-        let expected = self.layout.expected(operation, &body);
+        let expected = self.cluster.expected(operation, &body);
         let Some(work) = self.nodes[node].server.running.get_mut(&number) else {
             return;
         };
@@ -313,6 +313,6 @@
         for run in lost {
             self.end_run(node, run, RunEnd::Lost);
         }
-        self.after(CRASHED_FOR, move |world| world.nodes[node].server.up = true);
+        self.schedule_after(CRASHED_FOR, move |world| world.nodes[node].server.up = true);
     }
 }
--- a/crates/trial/src/trace.rs
+++ b/crates/trial/src/trace.rs
@@ -9,9 +9,9 @@
 
 use crate::plan::SETTLE;
 use crate::Action;
-use crate::End;
+use crate::ActionOutcome;
+use crate::ClusterConfig;
 use crate::Fault;
-use crate::Layout;
 use crate::World;
 use std::time::Duration;
 use stdx::Time;
@@ -50,7 +50,7 @@
 
 /// Replays a trace; gives the world at its end, or where it was not as stated.
 pub fn replay_all(text: &str) -> (World, Result<(), TraceError>) {
-    let mut world = World::new(1, Layout::small());
+    let mut world = World::new(1, ClusterConfig::small());
     let mut result = Ok(());
     for (nth, line) in text.lines().enumerate() {
         let line = line.split('#').next().unwrap_or_default();
@@ -70,7 +70,7 @@
     let at = duration(at).ok_or(TraceError::BadLine(number))?;
     world.run_until(Time::ZERO + at);
     let step = step(world, words);
-    if let Some(violation) = world.judge.violations.first() {
+    if let Some(violation) = world.checker.violations.first() {
         return Err(TraceError::Violation(violation.clone()));
     }
     step.map_err(|problem| match problem {
@@ -83,7 +83,7 @@
 fn step(world: &mut World, words: &[&str]) -> Result<(), Option<String>> {
     match words {
         ["call", method, path, body, options @ ..] => {
-            let operation = world.layout.operation(method, path).ok_or(None)?;
+            let operation = world.cluster.operation(method, path).ok_or(None)?;
             let mut action = Action::new(operation, body);
             action.resends = 0;
             let mut node = None;
@@ -91,7 +91,7 @@
                 match option {
                     ["at", name] => node = Some(world.node(name).ok_or(None)?),
                     ["key", key] => action.key = Some((*key).into()),
-                    ["patience", time] => action.patience = duration(time).ok_or(None)?,
+                    ["patience", time] => action.attempt_timeout = duration(time).ok_or(None)?,
                     ["resends", count] => action.resends = count.parse().map_err(|_| None)?,
                     _ => return Err(None),
                 }
@@ -110,23 +110,23 @@
             Ok(())
         }
         ["expect", body, ends @ ..] => {
-            stated(ends, end_name(world.actions[find(world, body)?].end))
+            stated(ends, outcome_name(world.actions[find(world, body)?].ended))
         }
         ["expect-runs", method, path, body, counts @ ..] => {
-            let operation = world.layout.operation(method, path).ok_or(None)?;
-            let operation = &world.layout.operations[operation];
-            let runs = world.judge.runs(operation, body.as_bytes());
+            let operation = world.cluster.operation(method, path).ok_or(None)?;
+            let operation = &world.cluster.operations[operation];
+            let runs = world.checker.runs(operation, body.as_bytes());
             stated(counts, runs.to_string())
         }
         ["expect-crashes", poison, counts @ ..] => {
-            let crashes = world.judge.crashes.get(*poison).unwrap_or(&0);
+            let crashes = world.checker.crashes.get(*poison).unwrap_or(&0);
             stated(counts, crashes.to_string())
         }
         ["expect-all", ends @ ..] => {
             let mut got = world
                 .actions
                 .iter()
-                .map(|action| (action, end_name(action.end)));
+                .map(|action| (action, outcome_name(action.ended)));
             match got.find(|(_, end)| !ends.contains(&&**end)) {
                 None => Ok(()),
                 Some((action, end)) => Err(Some(format!("{} {end}", action.body))),
@@ -143,7 +143,7 @@
         }
         _ => {
             let fault = fault(world, words).ok_or(None)?;
-            world.strike(fault);
+            world.inject_fault(fault);
             Ok(())
         }
     }
@@ -197,16 +197,16 @@
     }
 }
 
-fn end_name(end: Option<(Time, End)>) -> String {
+fn outcome_name(end: Option<(Time, ActionOutcome)>) -> String {
     let Some((_, end)) = end else {
         return "none".to_owned();
     };
     match end {
-        End::Whole => "whole".to_owned(),
-        End::Failed => "failed".to_owned(),
-        End::NotRun(reason) => format!("not-run:{}", reason.name()),
-        End::Unknown(reason) => format!("unknown:{}", reason.name()),
-        End::GaveUp => "gave-up".to_owned(),
+        ActionOutcome::Succeeded => "whole".to_owned(),
+        ActionOutcome::Failed => "failed".to_owned(),
+        ActionOutcome::NotRun(reason) => format!("not-run:{}", reason.name()),
+        ActionOutcome::Unknown(reason) => format!("unknown:{}", reason.name()),
+        ActionOutcome::Abandoned => "gave-up".to_owned(),
     }
 }
 
--- a/crates/trial/src/world.rs
+++ b/crates/trial/src/world.rs
@@ -1,11 +1,11 @@
 //! The queue of events, the nodes, and how an engine's outputs become inputs.
 
 use crate::Action;
+use crate::ClusterConfig;
 use crate::Fault;
-use crate::Judge;
-use crate::Layout;
+use crate::InvariantChecker;
 use crate::Log;
-use crate::Net;
+use crate::Network;
 use crate::Node;
 use engine::Input;
 use engine::Output;
@@ -46,25 +46,25 @@
     /// The only source of chance.
     pub rng: StdRng,
     /// What the run started with.
-    pub layout: Layout,
-    /// One for each place of the layout.
+    pub cluster: ClusterConfig,
+    /// One for each place of the cluster.
     pub nodes: Vec<Node>,
     /// What is between nodes.
-    pub net: Net,
+    pub network: Network,
     /// The store.
     pub log: Log,
     /// The callers' actions.
     pub actions: Vec<Action>,
     /// What must always hold.
-    pub judge: Judge,
+    pub checker: InvariantChecker,
     /// Counters of all engines, by name.
     pub counters: IndexMap<String, u64>,
     /// The last events, for the report of a violation.
     pub trace: VecDeque<String>,
     /// Violations do not stop the run: what is measured may break the promises.
-    pub go_on: bool,
+    pub continue_after_violation: bool,
     /// Service time of all work that was begun, at servers that are not slow.
-    pub work_begun: Duration,
+    pub nominal_service_time: Duration,
     /// The seed.
     pub seed: u64,
     pub(crate) next_token: u64,
@@ -73,40 +73,40 @@
 }
 
 impl World {
-    /// A world in which all processes start at once and the layout's rules stand in the log.
+    /// A world in which all processes start at once and the cluster's rules stand in the log.
     ///
     /// # Examples
     ///
     /// ```
     /// use std::time::Duration;
     ///
-    /// let mut world = trial::World::new(1, trial::Layout::small());
+    /// let mut world = trial::World::new(1, trial::ClusterConfig::small());
     /// world.run_for(Duration::from_secs(5));
-    /// assert!(world.judge.violations.is_empty());
+    /// assert!(world.checker.violations.is_empty());
     /// ```
-    pub fn new(seed: u64, layout: Layout) -> Self {
-        let nodes = (0..layout.places.len())
-            .map(|at| Node::new(&layout, at))
+    pub fn new(seed: u64, cluster: ClusterConfig) -> Self {
+        let nodes = (0..cluster.placements.len())
+            .map(|at| Node::new(&cluster, at))
             .collect();
         let mut world = Self {
             now: Time::ZERO,
             rng: StdRng::seed_from_u64(seed),
             nodes,
-            net: Net::new(&layout),
+            network: Network::new(&cluster),
             log: Log::default(),
             actions: Vec::new(),
-            judge: Judge::default(),
+            checker: InvariantChecker::default(),
             counters: IndexMap::new(),
             trace: VecDeque::new(),
-            go_on: false,
-            work_begun: Duration::ZERO,
+            continue_after_violation: false,
+            nominal_service_time: Duration::ZERO,
             seed,
             next_token: 0,
             queue: BTreeMap::new(),
             next_event: 0,
-            layout,
+            cluster,
         };
-        let rules = world.layout.rules.clone();
+        let rules = world.cluster.rules.clone();
         world.publish(0, 1, "first", &rules);
         for node in 0..world.nodes.len() {
             world.start(node);
@@ -122,7 +122,7 @@
     /// Lets time pass up to `end`, or to the first violation.
     pub fn run_until(&mut self, end: Time) {
         while let Some(next) = self.queue.first_entry() {
-            let stop = !self.go_on && !self.judge.violations.is_empty();
+            let stop = !self.continue_after_violation && !self.checker.violations.is_empty();
             if next.key().0 > end || stop {
                 break;
             }
@@ -153,17 +153,17 @@
     }
 
     /// Has something happen at a time of the virtual clock.
-    pub fn at(&mut self, at: Time, effect: impl FnOnce(&mut World) + 'static) {
+    pub fn schedule_at(&mut self, at: Time, effect: impl FnOnce(&mut World) + 'static) {
         self.enter(at, None, effect);
     }
 
     /// Has something happen after a while.
-    pub fn after(&mut self, wait: Duration, effect: impl FnOnce(&mut World) + 'static) {
+    pub fn schedule_after(&mut self, wait: Duration, effect: impl FnOnce(&mut World) + 'static) {
         self.enter(self.now + wait, None, effect);
     }
 
     /// Has something happen in a node's process after a while, or later if it is frozen then.
-    pub(crate) fn after_in(
+    pub(crate) fn schedule_in_process(
         &mut self,
         process: usize,
         wait: Duration,
@@ -175,7 +175,7 @@
     /// Has an input reach an incarnation of a node after a while.
     pub(crate) fn input(&mut self, node: usize, wait: Duration, input: Input) {
         let from = self.nodes[node].incarnation;
-        self.after_in(node, wait, move |world| world.feed(node, from, input));
+        self.schedule_in_process(node, wait, move |world| world.feed(node, from, input));
     }
 
     fn enter(
@@ -211,7 +211,7 @@
         let outputs = engine.handle(now, input);
         let (version, file) = (engine.rules_version(), engine.journal().file.clone());
         if version != before {
-            let verdict = self.judge.on_version(before, version, &file);
+            let verdict = self.checker.on_version(before, version, &file);
             self.check(verdict);
         }
         for output in outputs {
@@ -238,7 +238,7 @@
         if place.tick.is_none_or(|tick| tick > at) {
             place.tick = Some(at);
             let from = place.incarnation;
-            self.after_in(node, at.since(self.now), move |world| {
+            self.schedule_in_process(node, at.since(self.now), move |world| {
                 world.on_tick(node, from, at)
             });
         }
@@ -267,7 +267,7 @@
                 start_within,
             } => {
                 let verdict = self
-                    .judge
+                    .checker
                     .on_run_asked(&self.nodes[node], self.now, &request);
                 self.check(verdict);
                 let (deadline, start_by) = (
@@ -275,13 +275,13 @@
                     start_within.map(|within| self.now + within),
                 );
                 self.nodes[node].runs.insert(run, None);
-                self.after_in(node, LOCAL, move |world| {
+                self.schedule_in_process(node, LOCAL, move |world| {
                     world.on_hand_over(node, from, run, request, deadline, start_by);
                 });
                 if let Some(time) = self.nodes[node].pause_at_run.take() {
-                    self.strike(Fault::Pause(node, time));
+                    self.inject_fault(Fault::Pause(node, time));
                 }
-                self.after_in(node, remaining, move |world| {
+                self.schedule_in_process(node, remaining, move |world| {
                     world.on_run_deadline(node, from, run)
                 });
             }
@@ -296,7 +296,9 @@
             Output::ReadLog => self.read_now(node),
             Output::Count(counter) => *self.counters.entry(counter.name()).or_insert(0) += 1,
             Output::Diagnostic(_) | Output::CheckServer { .. } => {}
-            Output::Stopped => self.after_in(node, EXIT, move |world| world.on_exit(node, from)),
+            Output::Stopped => {
+                self.schedule_in_process(node, EXIT, move |world| world.on_exit(node, from))
+            }
         }
     }
 
@@ -306,7 +308,7 @@
                 Outcome::Completed(response) => format!("whole {}", response.status),
                 other => format!("{other:?}"),
             };
-            self.judge
+            self.checker
                 .on_answer_sent(&self.nodes[node], *id, &answer.outcome);
             self.note(format!("{} answers {id} {outcome}", self.nodes[node].name));
         }
@@ -323,6 +325,6 @@
         let millis = self.now.as_micros() / 1000;
         let report = format!("seed {} at {millis} ms: {what}", self.seed);
         self.note(format!("VIOLATION {what}"));
-        self.judge.violations.push(report);
+        self.checker.violations.push(report);
     }
 }
--- a/crates/trial/tests/members.rs
+++ b/crates/trial/tests/members.rs
@@ -2,9 +2,9 @@
 
 use std::time::Duration;
 use trial::Action;
-use trial::End;
+use trial::ActionOutcome;
+use trial::ClusterConfig;
 use trial::Fault;
-use trial::Layout;
 use trial::World;
 
 const LOOKUP_PRESS: usize = 2;
@@ -12,10 +12,10 @@
 
 /// A world that has run a while, then these faults.
 fn world(seed: u64, faults: &[Fault]) -> World {
-    let mut world = World::new(seed, Layout::small());
+    let mut world = World::new(seed, ClusterConfig::small());
     world.run_for(Duration::from_secs(12));
     for fault in faults {
-        world.strike(fault.clone());
+        world.inject_fault(fault.clone());
     }
     world
 }
@@ -42,11 +42,13 @@
 /// Lets time pass, and checks that all calls from `first` on were answered whole but for `others`.
 fn check(world: &mut World, first: usize, secs: u64, others: usize) {
     world.run_for(Duration::from_secs(secs));
-    assert_eq!(world.judge.violations, Vec::<String>::new());
+    assert_eq!(world.checker.violations, Vec::<String>::new());
     let not_whole = world.actions[first..]
         .iter()
-        .filter(|action| !matches!(action.end, Some((_, End::Whole))));
-    let not_whole: Vec<_> = not_whole.map(|action| (&action.body, action.end)).collect();
+        .filter(|action| !matches!(action.ended, Some((_, ActionOutcome::Succeeded))));
+    let not_whole: Vec<_> = not_whole
+        .map(|action| (&action.body, action.ended))
+        .collect();
     assert_eq!(not_whole.len(), others, "{not_whole:?}");
 }
 
@@ -116,7 +118,7 @@
     world.run_for(Duration::from_secs(20));
     assert!(count(&world, "eviction_asked") > 0);
     world.run_for(Duration::from_secs(20));
-    world.strike(Fault::LogDown(false));
+    world.inject_fault(Fault::LogDown(false));
     world.run_for(Duration::from_secs(40));
     assert_eq!(listed_at(&world, 4), world.nodes.len());
 }
@@ -129,7 +131,7 @@
     let mut world = world(5, &faults);
     world.run_for(Duration::from_secs(15));
     for node in [4, 5] {
-        world.strike(Fault::Kill(node));
+        world.inject_fault(Fault::Kill(node));
     }
     world.run_for(Duration::from_secs(15));
     let first = look_up(&mut world, 2);
@@ -144,16 +146,18 @@
     let mut world = world(6, &[Fault::Slow("royalty".into(), 200)]);
     for home in 6..9 {
         let cut = Fault::Cut(0, home);
-        world.after(Duration::from_millis(100), move |world| world.strike(cut));
+        world.schedule_after(Duration::from_millis(100), move |world| {
+            world.inject_fault(cut)
+        });
     }
-    world.after(Duration::from_millis(3300), |world| {
-        world.strike(Fault::Heal);
+    world.schedule_after(Duration::from_millis(3300), |world| {
+        world.inject_fault(Fault::Heal);
     });
     let first = world.actions.len();
     let mut action = Action::new(CHARGE, "charge");
     action.resends = 0;
     world.submit(world.now, action, Some(0));
     check(&mut world, first, 8, 0);
-    let charge = world.layout.operations[CHARGE].clone();
-    assert_eq!(world.judge.runs(&charge, b"charge"), 1);
+    let charge = world.cluster.operations[CHARGE].clone();
+    assert_eq!(world.checker.runs(&charge, b"charge"), 1);
 }
--- a/crates/trial/tests/overload.rs
+++ b/crates/trial/tests/overload.rs
@@ -3,22 +3,22 @@
 use proto::Reason;
 use std::time::Duration;
 use trial::Action;
-use trial::End;
+use trial::ActionOutcome;
+use trial::ClusterConfig;
 use trial::Fault;
-use trial::Layout;
 use trial::World;
 
 fn world(seed: u64) -> World {
-    let mut world = World::new(seed, Layout::small());
+    let mut world = World::new(seed, ClusterConfig::small());
     world.run_for(Duration::from_secs(5));
     world
 }
 
 fn check(world: &World) {
     assert!(
-        world.judge.violations.is_empty(),
+        world.checker.violations.is_empty(),
         "{}",
-        world.judge.violations[0]
+        world.checker.violations[0]
     );
 }
 
@@ -28,10 +28,10 @@
 fn lookups_are_shed_before_anything_else() {
     for seed in 1..=2 {
         let mut world = world(seed);
-        world.judge.lookups_go_first = true;
+        world.checker.lookups_go_first = true;
         for _ in 0..3 {
             for service in ["order", "press", "royalty"] {
-                world.strike(Fault::Surge(service.into(), 2000));
+                world.inject_fault(Fault::Surge(service.into(), 2000));
             }
             world.run_for(Duration::from_secs(1));
         }
@@ -47,8 +47,8 @@
 fn a_request_that_crashes_servers_does_so_twice_at_most() {
     for seed in 1..=5 {
         let mut world = world(seed);
-        let days = world.layout.operation("GET", "/press/days").unwrap();
-        world.strike(Fault::Poison("poison".into()));
+        let days = world.cluster.operation("GET", "/press/days").unwrap();
+        world.inject_fault(Fault::Poison("poison".into()));
         for nth in 0..20 {
             let mut poison = Action::new(days, "poison");
             poison.resends = 0;
@@ -62,16 +62,16 @@
         }
         world.run_for(Duration::from_secs(70));
         check(&world);
-        let poison = &world.layout.operations[days];
-        assert!(world.judge.runs(poison, b"poison") <= 2, "seed {seed}");
+        let poison = &world.cluster.operations[days];
+        assert!(world.checker.runs(poison, b"poison") <= 2, "seed {seed}");
         let quarantined = world.counters.get("not_run.quarantined").copied();
         assert!(quarantined.unwrap_or(0) >= 18, "seed {seed}");
         for action in world.actions.iter().filter(|a| a.body != "poison") {
-            let end = action.end.map(|(_, end)| end);
-            let innocent = end != Some(End::NotRun(Reason::Quarantined));
+            let end = action.ended.map(|(_, end)| end);
+            let innocent = end != Some(ActionOutcome::NotRun(Reason::Quarantined));
             assert!(innocent, "seed {seed}: {}", action.body);
             let beside = action.body.starts_with("a0-");
-            let whole = beside || end == Some(End::Whole);
+            let whole = beside || end == Some(ActionOutcome::Succeeded);
             assert!(whole, "seed {seed}: {} {end:?}", action.body);
         }
     }
