--- a/crates/experiment/src/load.rs
+++ b/crates/experiment/src/load.rs
@@ -72,7 +72,7 @@
         let mut action = Action::new(operation, &format!("a{}", self.next));
         action.caller = format!("shop{}", self.next).into();
         action.attempt_timeout = PATIENCE;
-        action.resends = RESENDS;
+        action.max_resends = RESENDS;
         let wait = Duration::from_millis(self.rng.random_range(50..300));
         action.resend_delay = self.rng.random_bool(HARD).then_some(wait);
         action
--- a/crates/trial/examples/replay.rs
+++ b/crates/trial/examples/replay.rs
@@ -1,10 +1,10 @@
-//! Replays a trace file, and prints what happened.
+//! Replays a trace file and prints the recorded events and the result.
 
 fn main() {
-    let path = std::env::args().nth(1).expect("a trace file");
-    let text = std::fs::read_to_string(path).expect("a readable trace file");
-    let (world, result) = trial::replay_all(&text);
-    for line in &world.trace {
+    let path = std::env::args().nth(1).expect("usage: replay TRACE_FILE");
+    let text = std::fs::read_to_string(path).expect("cannot read the trace file");
+    let (world, result) = trial::replay_with_world(&text);
+    for line in &world.event_trace {
         println!("{line}");
     }
     println!("{result:?}");
--- a/crates/trial/src/caller.rs
+++ b/crates/trial/src/caller.rs
@@ -1,4 +1,4 @@
-//! Callers: what they send, how long they wait, and when they send again.
+//! Simulated callers: the requests they send, their timeouts and their re-sends.
 
 use crate::ClusterConfig;
 use crate::World;
@@ -15,78 +15,79 @@
 use std::time::Duration;
 use stdx::Time;
 
-/// How late an answer may be after its deadline.
-const LATE: Duration = Duration::from_millis(100);
+/// How long after its deadline a request may still be answered.
+const DEADLINE_TOLERANCE: Duration = Duration::from_millis(100);
 
-/// Something that a caller wants done.
+/// An action that a caller requests, in one or more attempts.
 #[derive(Debug, Clone)]
 pub struct Action {
-    /// What: an index into [`ClusterConfig::operations`].
+    /// The requested operation, as an index into [`ClusterConfig::operations`].
     pub operation: usize,
-    /// Its identity, which is also the body.
+    /// The request body, which also identifies the action.
     pub body: String,
-    /// Who asks.
+    /// The caller's name.
     pub caller: Arc<str>,
-    /// The key; `None` leaves it to the node, which makes one.
+    /// The idempotency key; with `None` the node generates one.
     pub key: Option<Arc<str>>,
-    /// How long the caller waits for one attempt before it hangs up.
+    /// How long the caller waits for an answer to one attempt before it disconnects.
     pub attempt_timeout: Duration,
-    /// Comes back after this time, whatever it was told.
+    /// Delay before each re-send, in place of the one that depends on the answer. If set, the
+    /// caller also re-sends an idempotent request after a complete but failed response.
     pub resend_delay: Option<Duration>,
-    /// How often it sends again at most.
-    pub resends: u32,
-    /// Attempts so far.
+    /// The maximum number of re-sends.
+    pub max_resends: u32,
+    /// Number of attempts sent so far.
     pub attempts: u32,
-    /// The last attempt that was answered; its caller waits no more, if only to send again.
-    pub answered: u32,
-    /// When it was first sent.
+    /// The last attempt that was answered. Its timeout no longer applies, even if a re-send is due.
+    pub last_answered_attempt: u32,
+    /// When the first attempt was sent.
     pub first_sent_at: Time,
-    /// How it ended, and when.
+    /// When the action ended and with which outcome; `None` while it is in progress.
     pub ended: Option<(Time, ActionOutcome)>,
 }
 
-/// How an action ended for its caller.
+/// The outcome of an action as its caller sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ActionOutcome {
-    /// With the whole answer.
+    /// A complete response with status 200.
     Succeeded,
-    /// With the backend server's own failure, whole.
+    /// A complete response with another status, from the backend server itself.
     Failed,
-    /// The last attempt was told not to have run.
+    /// The last attempt was answered as not run.
     NotRun(Reason),
-    /// The last attempt's end is unknown.
+    /// It is unknown whether the last attempt ran.
     Unknown(Reason),
-    /// The caller hung up, or its node went away, and it did not send again.
+    /// The caller timed out, or its node failed, and it did not re-send.
     Abandoned,
 }
 
-/// Who waits for an answer.
+/// The party that waits for the answer to a request.
 #[derive(Debug, Clone)]
 pub enum Waiter {
-    /// A caller: the action, and which attempt.
+    /// A caller, with one attempt of an action.
     Caller {
-        /// The action's index.
+        /// The action, as an index into [`World::actions`].
         action: usize,
-        /// Which attempt, from 1.
+        /// The number of the attempt, from 1.
         attempt: u32,
     },
-    /// A backend server, for a child call.
+    /// A backend server that called another service.
     Child {
-        /// The server's node.
+        /// The node of the backend server, as an index into [`World::nodes`].
         node: usize,
-        /// The parent's work there.
+        /// The id of the parent's work on that server.
         work: u64,
-        /// Which child of it.
+        /// The index of this call among the children of the parent.
         nth: usize,
-        /// What is asked.
+        /// The called operation, as an index into [`ClusterConfig::operations`].
         operation: usize,
-        /// The child's body.
+        /// The body of the child request.
         body: Bytes,
     },
 }
 
 impl Action {
-    /// An action with its body as key, one second of patience and three re-sends.
+    /// An action with its body as key, a timeout of five seconds and up to three re-sends.
     pub fn new(operation: usize, body: &str) -> Self {
         Self {
             operation,
@@ -95,9 +96,9 @@
             key: Some(body.into()),
             attempt_timeout: Duration::from_secs(5),
             resend_delay: None,
-            resends: 3,
+            max_resends: 3,
             attempts: 0,
-            answered: 0,
+            last_answered_attempt: 0,
             first_sent_at: Time::ZERO,
             ended: None,
         }
@@ -105,28 +106,31 @@
 }
 
 impl World {
-    /// Has a caller send an action; `node` is where the first attempt goes, any node if `None`.
+    /// Schedules a caller to send an action and returns the index of the action. The first attempt
+    /// goes to `node`, or to a random node if `None`.
     pub fn submit(&mut self, at: Time, action: Action, node: Option<usize>) -> usize {
         let index = self.actions.len();
         self.actions.push(action);
-        self.schedule_at(at, move |world| world.on_send(index, node));
+        self.schedule_at(at, move |world| world.send_attempt(index, node));
         index
     }
 
-    /// The caller sends an action again, whatever it was told, unless it has no key to do so with.
+    /// Sends an action again, whatever its outcome. Does nothing if it was never sent, or if it is
+    /// not idempotent and has no key.
     pub fn send_again(&mut self, index: usize, node: Option<usize>) {
-        if self.actions[index].attempts > 0 && self.has_key(index) {
+        if self.actions[index].attempts > 0 && self.can_resend(index) {
             self.actions[index].ended = None;
-            self.on_send(index, node);
+            self.send_attempt(index, node);
         }
     }
 
-    fn has_key(&self, index: usize) -> bool {
+    /// Whether a re-send is safe: the action is idempotent or has a key.
+    fn can_resend(&self, index: usize) -> bool {
         let action = &self.actions[index];
         action.key.is_some() || self.cluster.operations[action.operation].idempotent
     }
 
-    pub(crate) fn on_send(&mut self, index: usize, node: Option<usize>) {
+    pub(crate) fn send_attempt(&mut self, index: usize, node: Option<usize>) {
         let any = self.rng.random_range(0..self.nodes.len());
         let node = node.unwrap_or(any);
         let action = &mut self.actions[index];
@@ -140,20 +144,20 @@
         let (caller, key) = (action.caller.clone(), action.key.clone());
         let body = Bytes::from(action.body.clone());
         if self.nodes[node].engine.is_none() {
-            return self.resend(index, Duration::from_millis(50), ActionOutcome::Abandoned);
+            return self.resend_or_end(index, Duration::from_millis(50), ActionOutcome::Abandoned);
         }
         let waiter = Waiter::Caller {
             action: index,
             attempt,
         };
-        let travel = self.cluster.caller_latency;
-        self.request(node, waiter, operation, body, caller, None, key, travel);
+        let latency = self.cluster.caller_latency;
+        self.send_request(node, waiter, operation, body, caller, None, key, latency);
         self.schedule_after(attempt_timeout, move |world| {
-            world.on_impatient(index, attempt)
+            world.on_attempt_timeout(index, attempt)
         });
     }
 
-    /// A backend server's call to another service, through its own node.
+    /// Sends a backend server's call to another service through the server's own node.
     pub(crate) fn request_child(
         &mut self,
         node: usize,
@@ -171,11 +175,11 @@
             body: body.clone(),
         };
         if self.nodes[node].engine.is_none() {
-            return self.on_child_answer(waiter, None);
+            return self.on_child_outcome(waiter, None);
         }
         let context = Some(run.to_string().into());
-        let travel = Duration::from_micros(100);
-        self.request(
+        let latency = Duration::from_micros(100);
+        self.send_request(
             node,
             waiter,
             operation,
@@ -183,12 +187,15 @@
             "".into(),
             context,
             None,
-            travel,
+            latency,
         );
     }
 
-    #[expect(clippy::too_many_arguments, reason = "they are the input's own fields")]
-    fn request(
+    #[expect(
+        clippy::too_many_arguments,
+        reason = "they are the fields of the engine's input"
+    )]
+    fn send_request(
         &mut self,
         node: usize,
         waiter: Waiter,
@@ -197,21 +204,23 @@
         caller: Arc<str>,
         context: Option<Arc<str>>,
         key: Option<Arc<str>>,
-        travel: Duration,
+        latency: Duration,
     ) {
         let token = RequestToken(self.next_token);
         self.next_token += 1;
-        let from = self.nodes[node].incarnation;
-        self.nodes[node].waiting.insert(token, waiter.clone());
-        let asked = &self.cluster.operations[operation];
+        let incarnation = self.nodes[node].incarnation;
+        self.nodes[node]
+            .pending_requests
+            .insert(token, waiter.clone());
+        let target = &self.cluster.operations[operation];
         let is_root = matches!(waiter, Waiter::Caller { .. });
-        self.checker.on_attempt(asked, &body, is_root);
-        if let (Some(key), false) = (&key, asked.idempotent) {
+        self.checker.on_attempt(target, &body, is_root);
+        if let (Some(key), false) = (&key, target.idempotent) {
             self.checker
-                .on_key(asked, &body, (caller.clone(), key.clone()));
+                .on_key(target, &body, (caller.clone(), key.clone()));
         }
-        let due = asked.deadline + LATE;
-        let request = Request::new(&asked.service, &asked.method, &asked.path, body);
+        let due = target.deadline + DEADLINE_TOLERANCE;
+        let request = Request::new(&target.service, &target.method, &target.path, body);
         let attempt_timeout = match waiter {
             Waiter::Caller { action, .. } => Some(self.actions[action].attempt_timeout),
             Waiter::Child { .. } => None,
@@ -226,44 +235,48 @@
             caller_timeout: attempt_timeout,
             request,
         };
-        // The deadline counts from when the node takes the request, which may be frozen now.
-        self.schedule_in_process(node, travel, move |world| {
-            let place = &mut world.nodes[node];
-            if place.waiting.contains_key(&token) {
-                place.taken.insert(token);
+        // The deadline counts from when the node accepts the request, which is later if its process
+        // is paused.
+        self.schedule_in_process(node, latency, move |world| {
+            let node_state = &mut world.nodes[node];
+            if node_state.pending_requests.contains_key(&token) {
+                node_state.accepted_requests.insert(token);
             }
-            world.schedule_in_process(node, due, move |world| world.on_due(node, from, token));
-            world.feed(node, from, input);
+            world.schedule_in_process(node, due, move |world| {
+                world.check_answer_overdue(node, incarnation, token)
+            });
+            world.handle_input(node, incarnation, input);
         });
     }
 
-    /// The engine's answer to a request.
+    /// Handles the engine's answer to a request and passes it on to the waiter.
     pub(crate) fn on_answer(
         &mut self,
         node: usize,
         token: RequestToken,
         outcome: Outcome,
-        made_key: Option<Arc<str>>,
+        generated_key: Option<Arc<str>>,
     ) {
-        self.nodes[node].taken.swap_remove(&token);
-        let Some(waiter) = self.nodes[node].waiting.swap_remove(&token) else {
-            return self.violation(&format!("a second answer to {token:?}: {outcome:?}"));
+        self.nodes[node].accepted_requests.swap_remove(&token);
+        let Some(waiter) = self.nodes[node].pending_requests.swap_remove(&token) else {
+            return self
+                .record_violation(&format!("second answer to request {token:?}: {outcome:?}"));
         };
-        let (operation, body) = self.asked(&waiter);
+        let (operation, body) = self.operation_and_body(&waiter);
         let verdict = self
             .checker
             .on_outcome(&self.cluster, operation, &body, &outcome);
-        self.check(verdict);
-        let travel = match waiter {
+        self.record_check(verdict);
+        let latency = match waiter {
             Waiter::Caller { .. } => self.cluster.caller_latency,
             Waiter::Child { .. } => Duration::from_micros(100),
         };
-        self.schedule_after(travel, move |world| {
-            world.on_reply(waiter, outcome, made_key)
+        self.schedule_after(latency, move |world| {
+            world.on_answer_received(waiter, outcome, generated_key)
         });
     }
 
-    fn asked(&self, waiter: &Waiter) -> (usize, Bytes) {
+    fn operation_and_body(&self, waiter: &Waiter) -> (usize, Bytes) {
         match waiter {
             Waiter::Caller { action, .. } => {
                 let action = &self.actions[*action];
@@ -275,41 +288,46 @@
         }
     }
 
-    pub(crate) fn on_reply(&mut self, waiter: Waiter, outcome: Outcome, made: Option<Arc<str>>) {
+    pub(crate) fn on_answer_received(
+        &mut self,
+        waiter: Waiter,
+        outcome: Outcome,
+        generated_key: Option<Arc<str>>,
+    ) {
         let Waiter::Caller {
             action: index,
             attempt,
         } = waiter
         else {
-            return self.on_child_answer(waiter, Some(outcome));
+            return self.on_child_outcome(waiter, Some(outcome));
         };
         let action = &mut self.actions[index];
         if attempt != action.attempts || action.ended.is_some() {
             return;
         }
-        action.answered = attempt;
-        if made.is_some() {
-            action.key = made;
+        action.last_answered_attempt = attempt;
+        if generated_key.is_some() {
+            action.key = generated_key;
         }
         match outcome {
             Outcome::Completed(response) if response.status == 200 => {
-                self.end(index, ActionOutcome::Succeeded)
+                self.end_action(index, ActionOutcome::Succeeded)
             }
             Outcome::Completed(_) => {
-                let again = action.resend_delay.is_some();
+                let resends_failures = action.resend_delay.is_some();
                 let idempotent = self.cluster.operations[action.operation].idempotent;
-                if again && idempotent {
-                    self.resend(index, Duration::ZERO, ActionOutcome::Failed);
+                if resends_failures && idempotent {
+                    self.resend_or_end(index, Duration::ZERO, ActionOutcome::Failed);
                 } else {
-                    self.end(index, ActionOutcome::Failed);
+                    self.end_action(index, ActionOutcome::Failed);
                 }
             }
             Outcome::NotRun(refusal) => {
                 let wait = Duration::from_millis(u64::from(refusal.retry_after_ms));
-                self.resend(index, wait, ActionOutcome::NotRun(refusal.reason));
+                self.resend_or_end(index, wait, ActionOutcome::NotRun(refusal.reason));
             }
             Outcome::Unknown(reason) => {
-                self.resend(
+                self.resend_or_end(
                     index,
                     Duration::from_millis(100),
                     ActionOutcome::Unknown(reason),
@@ -318,79 +336,95 @@
         }
     }
 
-    pub(crate) fn on_impatient(&mut self, index: usize, attempt: u32) {
+    /// The caller's timeout: it disconnects if it still waits for the answer to this attempt.
+    pub(crate) fn on_attempt_timeout(&mut self, index: usize, attempt: u32) {
         let action = &self.actions[index];
-        let waits = action.attempts == attempt && action.answered < attempt;
-        if !waits || action.ended.is_some() {
+        let still_waiting = action.attempts == attempt && action.last_answered_attempt < attempt;
+        if !still_waiting || action.ended.is_some() {
             return;
         }
         let nodes = self.nodes.iter().enumerate();
-        let mut waiting = nodes.flat_map(|(at, node)| node.waiting.iter().map(move |w| (at, w)));
-        let mine = waiting.find(|(_, (_, waiter))| {
+        let mut all_requests =
+            nodes.flat_map(|(at, node)| node.pending_requests.iter().map(move |w| (at, w)));
+        let own_request = all_requests.find(|(_, (_, waiter))| {
             matches!(waiter, Waiter::Caller { action, attempt: n } if (*action, *n) == (index, attempt))
         });
-        if let Some((node, (token, _))) = mine {
+        if let Some((node, (token, _))) = own_request {
             let input = Input::CallerGone(*token);
-            self.input(node, self.cluster.caller_latency, input);
+            self.schedule_input(node, self.cluster.caller_latency, input);
         }
-        self.resend(index, Duration::ZERO, ActionOutcome::Abandoned);
+        self.resend_or_end(index, Duration::ZERO, ActionOutcome::Abandoned);
     }
 
-    /// Sends again if the caller still wants to and has a key to send again with.
-    fn resend(&mut self, index: usize, wait: Duration, end: ActionOutcome) {
-        let can = self.has_key(index);
-        self.end(index, end);
+    /// Re-sends the action after `wait` if it has re-sends left and a re-send is safe; otherwise
+    /// the action ends with `outcome`.
+    fn resend_or_end(&mut self, index: usize, wait: Duration, outcome: ActionOutcome) {
+        let can_resend = self.can_resend(index);
+        self.end_action(index, outcome);
         let action = &mut self.actions[index];
-        if can && action.attempts <= action.resends {
+        if can_resend && action.attempts <= action.max_resends {
             action.ended = None;
             let wait = action.resend_delay.unwrap_or(wait);
             let attempt = action.attempts;
             self.schedule_after(wait, move |world| {
                 let action = &world.actions[index];
                 if action.attempts == attempt && action.ended.is_none() {
-                    world.on_send(index, None);
+                    world.send_attempt(index, None);
                 }
             });
         }
     }
 
-    fn end(&mut self, index: usize, end: ActionOutcome) {
+    fn end_action(&mut self, index: usize, outcome: ActionOutcome) {
         let at = self.now;
-        self.actions[index].ended = Some((at, end));
+        self.actions[index].ended = Some((at, outcome));
         let body = &self.actions[index].body;
-        self.note(format!("{body} ends {end:?}"));
+        self.trace_event(format!("{body} ended: {outcome:?}"));
     }
 
-    /// The node that had the request is gone, and the connection with it.
+    /// Handles the loss of the node that had the request, and of the connection to it.
     pub(crate) fn on_node_gone(&mut self, _token: RequestToken, waiter: Waiter) {
         match waiter {
             Waiter::Caller { action, attempt } if self.actions[action].attempts == attempt => {
                 if self.actions[action].ended.is_none() {
-                    self.resend(action, Duration::from_millis(10), ActionOutcome::Abandoned);
+                    self.resend_or_end(action, Duration::from_millis(10), ActionOutcome::Abandoned);
                 }
             }
             Waiter::Caller { .. } => {}
-            Waiter::Child { .. } => self.on_child_answer(waiter, None),
+            Waiter::Child { .. } => self.on_child_outcome(waiter, None),
         }
     }
 
-    pub(crate) fn on_due(&mut self, node: usize, from: Incarnation, token: RequestToken) {
-        let place = &self.nodes[node];
-        if place.incarnation != from || !place.waiting.contains_key(&token) {
+    /// Records a violation if a request is still unanswered after its deadline. Looks again later
+    /// if the process was paused or resumed a moment ago.
+    pub(crate) fn check_answer_overdue(
+        &mut self,
+        node: usize,
+        incarnation: Incarnation,
+        token: RequestToken,
+    ) {
+        let node_state = &self.nodes[node];
+        if node_state.incarnation != incarnation
+            || !node_state.pending_requests.contains_key(&token)
+        {
             return;
         }
-        if self.now.since(place.moved) < LATE {
-            return self
-                .schedule_in_process(node, LATE, move |world| world.on_due(node, from, token));
+        if self.now.since(node_state.pause_changed_at) < DEADLINE_TOLERANCE {
+            return self.schedule_in_process(node, DEADLINE_TOLERANCE, move |world| {
+                world.check_answer_overdue(node, incarnation, token)
+            });
         }
-        let what = format!("no answer in time: {:?}", place.waiting[&token]);
-        self.violation(&what);
+        let report = format!(
+            "no answer by the deadline: {:?}",
+            node_state.pending_requests[&token]
+        );
+        self.record_violation(&report);
     }
 }
 
 impl ClusterConfig {
-    /// The index of an operation by its method and `/SERVICE/PATH`.
-    pub fn operation(&self, method: &str, path: &str) -> Option<usize> {
+    /// The index of the operation with this method and `/SERVICE/PATH`.
+    pub fn operation_index(&self, method: &str, path: &str) -> Option<usize> {
         self.operations.iter().position(|operation| {
             &*operation.method == method
                 && format!("/{}{}", operation.service, operation.path) == path
--- a/crates/trial/src/checker.rs
+++ b/crates/trial/src/checker.rs
@@ -1,4 +1,4 @@
-//! What must always hold, checked at each step.
+//! The guarantees of the system, checked at each step of a simulation.
 
 use crate::ClusterConfig;
 use crate::Node;
@@ -15,199 +15,222 @@
 use std::time::Duration;
 use stdx::Time;
 
-/// After this long a leaving backend server gets nothing new.
-const DRAINED_AFTER: Duration = Duration::from_secs(3);
+/// How long a node may still submit runs to its backend server after it was asked to stop.
+const DRAIN_PERIOD: Duration = Duration::from_secs(3);
 
+/// Caller, service and key, which together identify an idempotency key.
 type Key = (Arc<str>, Arc<str>, Arc<str>);
 
-/// What is known of one piece of work, by operation and body.
+/// Attempts, refusals and runs of one piece of work, identified by operation and body.
 #[derive(Debug, Default)]
-struct Known {
+struct WorkRecord {
     attempts: u32,
     not_run: u32,
     runs: u32,
 }
 
-/// A call of another node that has no answer yet.
+/// A call from another node that has not been answered yet.
 #[derive(Debug)]
-struct Waiting {
+struct PendingCall {
     body: Bytes,
     protected: bool,
-    /// Something other than a lookup was refused for load since it came.
-    refused_more: bool,
-    /// It was handed to the backend server.
+    /// Since its arrival the node has refused a protected call because of overload.
+    protected_call_refused: bool,
+    /// The node has submitted it to its backend server.
     started: bool,
 }
 
-/// What is known of an action and all below it.
+/// Counts for an action and all calls below it.
 #[derive(Debug, Default)]
-struct Tree {
-    /// Requests of the caller.
-    roots: u64,
+struct CallTree {
+    /// Requests of the caller itself.
+    root_requests: u64,
     /// Requests of the caller and of backend servers: the edges of the call tree.
-    edges: u64,
-    /// Work handed to backend servers.
-    handed: u64,
-    allowance: u64,
+    requests: u64,
+    /// Runs submitted to backend servers.
+    submitted_runs: u64,
+    /// Retries allowed for each request of the caller.
+    retry_allowance: u64,
 }
 
-/// Counts the runs by key, and says when something is not as promised.
+/// Counts the runs of each key and detects violated guarantees.
 #[derive(Debug, Default)]
 pub struct InvariantChecker {
-    /// What was violated, with seed and time.
+    /// Reports of the violations, each with seed and time.
     pub violations: Vec<String>,
-    /// A body that has one of these in it crashes each backend server that runs it.
-    pub poison: Vec<Arc<str>>,
-    /// Crashes of backend servers by each of them.
-    pub crashes: IndexMap<Arc<str>, u32>,
-    /// Checks that no lookup that waited when something else was refused for load is started. Calls
-    /// and runs are matched by their bodies here, so it is only for callers that never re-send; the
-    /// same is asserted inside `policy::ServerAdmission` for every run.
-    pub lookups_go_first: bool,
-    work: IndexMap<String, Known>,
-    trees: IndexMap<String, Tree>,
-    /// The key of each piece of work that a caller named one for: caller, service, key.
+    /// A request whose body contains one of these crashes each backend server that runs it.
+    pub poison_bodies: Vec<Arc<str>>,
+    /// Number of backend server crashes caused by each entry of `poison_bodies`.
+    pub crashes_by_poison: IndexMap<Arc<str>, u32>,
+    /// Checks that no lookup is started that was queued while a protected call was refused because
+    /// of overload. Calls and runs are matched by body, so the check is only valid if callers never
+    /// re-send. `policy::ServerAdmission` asserts the same in every run.
+    pub check_lookups_shed_first: bool,
+    work: IndexMap<String, WorkRecord>,
+    trees: IndexMap<String, CallTree>,
+    /// The key of each piece of work for which the caller supplied one.
     keys: IndexMap<String, Key>,
+    /// Number of runs of each key.
     key_runs: IndexMap<Key, u32>,
-    files: IndexMap<u64, Arc<str>>,
-    /// Calls of other nodes that have no answer yet.
-    waiting: IndexMap<Incarnation, IndexMap<CallId, Waiting>>,
+    /// The rules file of each version that any node has had in force.
+    rules_files: IndexMap<u64, Arc<str>>,
+    /// Unanswered calls from other nodes, by the incarnation that received them.
+    pending_calls: IndexMap<Incarnation, IndexMap<CallId, PendingCall>>,
 }
 
-fn name(operation: &Operation, body: &[u8]) -> String {
+/// The identifier of a piece of work.
+fn work_name(operation: &Operation, body: &[u8]) -> String {
     let body = String::from_utf8_lossy(body);
     format!("{}{} {body}", operation.service, operation.path)
 }
 
-fn root(body: &[u8]) -> String {
+/// The body of the caller's request at the root of the call tree; see
+/// [`ClusterConfig::child_body`].
+fn root_body(body: &[u8]) -> String {
     let body = String::from_utf8_lossy(body);
     body.split('>').next().unwrap_or_default().to_owned()
 }
 
 impl InvariantChecker {
-    /// How often a backend server began the work.
-    pub fn runs(&self, operation: &Operation, body: &[u8]) -> u32 {
+    /// How many times a backend server has started this work.
+    pub fn run_count(&self, operation: &Operation, body: &[u8]) -> u32 {
         self.work
-            .get(&name(operation, body))
-            .map_or(0, |known| known.runs)
+            .get(&work_name(operation, body))
+            .map_or(0, |record| record.runs)
     }
 
-    /// A caller or a backend server asks.
+    /// Records a request of a caller (`is_root`) or of a backend server.
     pub(crate) fn on_attempt(&mut self, operation: &Operation, body: &[u8], is_root: bool) {
-        self.work.entry(name(operation, body)).or_default().attempts += 1;
-        let tree = self.trees.entry(root(body)).or_default();
-        tree.edges += 1;
+        self.work
+            .entry(work_name(operation, body))
+            .or_default()
+            .attempts += 1;
+        let tree = self.trees.entry(root_body(body)).or_default();
+        tree.requests += 1;
         if is_root {
-            tree.roots += 1;
-            tree.allowance = operation.retries;
+            tree.root_requests += 1;
+            tree.retry_allowance = operation.retries;
         }
     }
 
-    /// A caller names a key for its request.
+    /// Records the key that a caller supplied with its request.
     pub(crate) fn on_key(&mut self, operation: &Operation, body: &[u8], key: (Arc<str>, Arc<str>)) {
         let key = (key.0, operation.service.clone(), key.1);
-        self.keys.insert(name(operation, body), key);
+        self.keys.insert(work_name(operation, body), key);
     }
 
-    /// An engine hands work to its backend server.
-    pub(crate) fn on_run_asked(
+    /// Checks a run that an engine submits to its backend server.
+    pub(crate) fn on_run_submitted(
         &mut self,
         node: &Node,
         now: Time,
         req: &Request,
     ) -> Result<(), String> {
         if node
-            .heard_stop
-            .is_some_and(|at| now.since(at) > DRAINED_AFTER)
+            .stop_received_at
+            .is_some_and(|at| now.since(at) > DRAIN_PERIOD)
         {
-            return Err(format!("{} starts work while it is leaving", node.name));
+            return Err(format!(
+                "{} starts a run more than {DRAIN_PERIOD:?} after it was asked to stop",
+                node.name
+            ));
         }
         let version = node
             .engine
             .as_ref()
             .map_or(0, |engine| engine.rules_version());
-        if version < node.known_version {
+        if version < node.version_at_start {
             return Err(format!(
-                "{} works with old rules, version {version}",
+                "{} starts a run under outdated rules version {version}",
                 node.name
             ));
         }
-        let waiting = self.waiting.entry(node.incarnation).or_default();
-        // A call that has started may still be in flight while the node starts the same request
-        // of a caller of its own, which is no call of another node and waited for nothing.
-        let mut calls = waiting.values_mut();
-        let mine = calls.find(|call| call.body == req.body && !call.started);
-        let first = mine.is_some_and(|call| {
+        let pending_by_id = self.pending_calls.entry(node.incarnation).or_default();
+        // Calls that have started are left out: such a call may still be in flight while the node
+        // starts an equal request of one of its own callers, which is not a call from another node
+        // and was not queued.
+        let mut calls = pending_by_id.values_mut();
+        let matching = calls.find(|call| call.body == req.body && !call.started);
+        let starts_out_of_order = matching.is_some_and(|call| {
             call.started = true;
-            !call.protected && call.refused_more
+            !call.protected && call.protected_call_refused
         });
-        if self.lookups_go_first && first {
+        if self.check_lookups_shed_first && starts_out_of_order {
             return Err(format!(
-                "{} starts {} that waited while it refused more",
+                "{} starts lookup {} that was queued while a protected call was refused",
                 node.name,
                 String::from_utf8_lossy(&req.body)
             ));
         }
-        let tree = self.trees.entry(root(&req.body)).or_default();
-        tree.handed += 1;
-        if tree.handed > tree.edges + tree.allowance * tree.roots {
+        let tree = self.trees.entry(root_body(&req.body)).or_default();
+        tree.submitted_runs += 1;
+        if tree.submitted_runs > tree.requests + tree.retry_allowance * tree.root_requests {
             return Err(format!(
-                "more attempts than allowed: {} {tree:?}",
-                root(&req.body)
+                "more runs than the retry allowance permits: {} {tree:?}",
+                root_body(&req.body)
             ));
         }
         Ok(())
     }
 
-    /// A call arrives at a node.
+    /// Records the arrival of a call at a node.
     pub(crate) fn on_arrival(&mut self, node: &Node, call: &Call) {
-        let waiting = Waiting {
+        let pending_call = PendingCall {
             body: call.request.body.clone(),
             protected: call.class.is_protected(),
-            refused_more: false,
+            protected_call_refused: false,
             started: false,
         };
-        let calls = self.waiting.entry(node.incarnation).or_default();
-        calls.entry(call.id).or_insert(waiting);
+        let calls = self.pending_calls.entry(node.incarnation).or_default();
+        calls.entry(call.id).or_insert(pending_call);
     }
 
-    /// A node answers a call of another node.
+    /// Records a node's answer to a call from another node.
     pub(crate) fn on_answer_sent(&mut self, node: &Node, id: CallId, outcome: &Outcome) {
-        let calls = self.waiting.entry(node.incarnation).or_default();
+        let calls = self.pending_calls.entry(node.incarnation).or_default();
         let answered = calls.shift_remove(&id);
         let Outcome::NotRun(refusal) = outcome else {
             return;
         };
-        let for_load = matches!(refusal.reason, Reason::Shed | Reason::QueueFull);
-        if for_load && answered.is_some_and(|call| call.protected) {
-            calls.values_mut().for_each(|call| call.refused_more = true);
+        let refused_for_load = matches!(refusal.reason, Reason::Shed | Reason::QueueFull);
+        if refused_for_load && answered.is_some_and(|call| call.protected) {
+            calls
+                .values_mut()
+                .for_each(|call| call.protected_call_refused = true);
         }
     }
 
-    /// A backend server begins the work.
-    pub(crate) fn on_run(&mut self, operation: &Operation, body: &[u8]) -> Result<(), String> {
-        let name = name(operation, body);
-        let known = self.work.entry(name.clone()).or_default();
-        known.runs += 1;
-        if known.runs > 1 && !operation.idempotent {
-            return Err(format!("{name} runs {} times", known.runs));
+    /// Records and checks the start of work on a backend server.
+    pub(crate) fn on_run_started(
+        &mut self,
+        operation: &Operation,
+        body: &[u8],
+    ) -> Result<(), String> {
+        let name = work_name(operation, body);
+        let record = self.work.entry(name.clone()).or_default();
+        record.runs += 1;
+        if record.runs > 1 && !operation.idempotent {
+            return Err(format!(
+                "{name} is not idempotent but ran {} times",
+                record.runs
+            ));
         }
         if let Some(key) = self.keys.get(&name) {
             let runs = self.key_runs.entry(key.clone()).or_default();
             *runs += 1;
             if *runs > 1 {
-                return Err(format!("{name} runs though {key:?} has run"));
+                return Err(format!("{name} runs although key {key:?} has already run"));
             }
         }
-        if known.attempts == known.not_run {
+        if record.attempts == record.not_run {
             return Err(format!(
-                "{name} runs though every attempt was told not to: {known:?}"
+                "{name} runs although every attempt was answered as not run: {record:?}"
             ));
         }
         Ok(())
     }
 
-    /// An engine answers a request.
+    /// Records and checks an engine's answer to a request.
     pub(crate) fn on_outcome(
         &mut self,
         cluster: &ClusterConfig,
@@ -215,25 +238,28 @@
         body: &[u8],
         outcome: &Outcome,
     ) -> Result<(), String> {
-        let name = name(&cluster.operations[operation], body);
-        let known = self.work.entry(name.clone()).or_default();
+        let name = work_name(&cluster.operations[operation], body);
+        let record = self.work.entry(name.clone()).or_default();
         match outcome {
             Outcome::NotRun(refusal) => {
-                known.not_run += 1;
-                let of_all = !cluster.operations[operation].idempotent && !refusal.attempt_only;
-                if known.runs > 0 && (of_all || known.attempts == known.not_run) {
-                    return Err(format!("{name} was told {refusal:?} but ran: {known:?}"));
+                record.not_run += 1;
+                let for_all_attempts =
+                    !cluster.operations[operation].idempotent && !refusal.attempt_only;
+                if record.runs > 0 && (for_all_attempts || record.attempts == record.not_run) {
+                    return Err(format!(
+                        "{name} was answered {refusal:?} but has run: {record:?}"
+                    ));
                 }
             }
             Outcome::Completed(response) => {
-                let expected = cluster.expected(operation, body);
-                let fits = match response.status {
+                let expected = cluster.expected_response(operation, body);
+                let is_expected = match response.status {
                     200 => response.body == expected,
                     _ => response.body == "[failed]",
                 };
-                if !fits || known.runs == 0 {
+                if !is_expected || record.runs == 0 {
                     return Err(format!(
-                        "{name} got an answer that is not its own: {response:?}"
+                        "{name} was answered with an unexpected response: {response:?}"
                     ));
                 }
             }
@@ -242,19 +268,26 @@
         Ok(())
     }
 
-    /// An engine has another version of the rules.
-    pub(crate) fn on_version(
+    /// Checks a change of the rules version in an engine.
+    pub(crate) fn on_rules_version(
         &mut self,
         before: u64,
         version: u64,
         file: &Arc<str>,
     ) -> Result<(), String> {
         if version < before {
-            return Err(format!("version {before} went back to {version}"));
+            return Err(format!(
+                "rules version went back from {before} to {version}"
+            ));
         }
-        let known = self.files.entry(version).or_insert_with(|| file.clone());
-        if known != file {
-            return Err(format!("version {version} is not the same file everywhere"));
+        let recorded_file = self
+            .rules_files
+            .entry(version)
+            .or_insert_with(|| file.clone());
+        if recorded_file != file {
+            return Err(format!(
+                "nodes have different rules files for version {version}"
+            ));
         }
         Ok(())
     }
--- a/crates/trial/src/cluster.rs
+++ b/crates/trial/src/cluster.rs
@@ -1,9 +1,10 @@
-//! What a run starts with: services, their operations, and where their instances are.
+//! Configuration of a simulated cluster: services, their operations, and the placement of their
+//! instances.
 
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What a backend server does for one method and path.
+/// An operation of a service: what a backend server does for one method and path.
 #[derive(Debug, Clone)]
 pub struct Operation {
     /// The service.
@@ -12,21 +13,21 @@
     pub method: Arc<str>,
     /// The path.
     pub path: Arc<str>,
-    /// How long the backend server works before it calls others.
+    /// Time that the backend server works before it sends child calls.
     pub service_time: Duration,
-    /// What it calls: indices into [`ClusterConfig::operations`].
+    /// The operations that it calls, as indices into [`ClusterConfig::operations`].
     pub children: Vec<usize>,
-    /// Whether it calls them all at once.
+    /// Whether the child calls are sent concurrently.
     pub parallel: bool,
-    /// Retries that a root call of this operation may spend.
+    /// Retries that a root call of this operation may spend on itself and all calls below it.
     pub retries: u64,
-    /// The longest a call may take.
+    /// Maximum duration of a call.
     pub deadline: Duration,
-    /// Whether running it twice is as good as once.
+    /// Whether the operation may run more than once.
     pub idempotent: bool,
 }
 
-/// Where one instance is.
+/// The placement of one instance.
 #[derive(Debug, Clone)]
 pub struct Placement {
     /// Its service.
@@ -37,22 +38,23 @@
     pub region: Arc<str>,
 }
 
-/// What a run starts with.
+/// The configuration of a simulated cluster.
 #[derive(Debug, Clone)]
 pub struct ClusterConfig {
-    /// What the services do.
+    /// The operations of all services.
     pub operations: Vec<Operation>,
-    /// One place for each instance.
+    /// One entry for each instance.
     pub placements: Vec<Placement>,
-    /// The rules file that is in force from the start.
+    /// The rules file in force from the start.
     pub rules: String,
-    /// Work that a backend server does at once.
+    /// Maximum number of requests that a backend server runs concurrently.
     pub slots: usize,
-    /// Which mechanisms of the policy under load are on.
+    /// The enabled mechanisms of the overload policy.
     pub policy: engine::Switches,
-    /// Work that waits in a backend server beyond its slots before it refuses.
+    /// Maximum number of requests queued in a backend server when its slots are taken; it refuses
+    /// any more.
     pub max_backlog: usize,
-    /// How long a node goes on with its leases without hearing the log.
+    /// How long a node keeps its leases while it cannot read the log.
     pub max_log_staleness: Duration,
     /// One-way latency within a failure domain, within a region and between regions.
     pub latency: [Duration; 3],
@@ -61,8 +63,9 @@
 }
 
 impl ClusterConfig {
-    /// Three services, three deep, each with an instance in each of three failure domains, which
-    /// lie in two regions. Every service has a lookup and something that must not run twice.
+    /// Three services in a call tree of depth three, each with an instance in each of three failure
+    /// domains, which are in two regions. Every service has an idempotent lookup and an operation
+    /// that must not run twice.
     ///
     /// # Examples
     ///
@@ -73,7 +76,7 @@
         Self::with_instances(3)
     }
 
-    /// As [`ClusterConfig::small`], with this many instances a service, from one to three.
+    /// As [`ClusterConfig::small`], with `count` instances of each service, from one to three.
     ///
     /// # Examples
     ///
@@ -122,8 +125,8 @@
     }
 }
 
-/// An operation with two retries and a deadline of four seconds; everything but `GET` must not run
-/// twice.
+/// An operation with two retries and a deadline of four seconds. Only `GET` operations are
+/// idempotent.
 fn operation(
     service: &str,
     method: &str,
@@ -144,8 +147,9 @@
     }
 }
 
-/// Keys are kept for longer than a caller goes on sending again, and for less than the world is given
-/// to settle: after a crash its keys are in doubt for that long.
+/// The rules of [`ClusterConfig::small`]. Key retention is longer than callers keep re-sending, and
+/// shorter than the settle time of random runs: after a crash the state of the lost keys is
+/// uncertain for the length of the retention.
 const RULES: &str = "\
 operation order GET /list class=lookup idempotent deadline=4s retries=2 # asked by Giulia
 operation order POST /orders class=order deadline=4s retries=2 # asked by Marco
--- a/crates/trial/src/fault.rs
+++ b/crates/trial/src/fault.rs
@@ -1,4 +1,4 @@
-//! What goes wrong, in memory and as text.
+//! Faults and how they are injected.
 
 use crate::Action;
 use crate::World;
@@ -7,66 +7,68 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// One thing that goes wrong, or is mended. Nodes are indices into [`World::nodes`].
+/// A fault to inject, or the repair of one. Nodes are indices into [`World::nodes`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Fault {
-    /// The process ends at once; it does not come back by itself.
+    /// Kills the process; it is not restarted.
     Kill(usize),
-    /// The process ends at once, and a new one starts at its address.
+    /// Kills the process and starts a new one at the same address.
     Restart(usize),
-    /// The instance ends at once, its backend server with it, and a new one takes its place.
+    /// Kills the process and its backend server, and starts a new instance at the same address.
     Replace(usize),
-    /// The process is frozen for this long.
+    /// Pauses the process for this long.
     Pause(usize, Duration),
-    /// The process is frozen for this long when it has next decided to run something, before that
-    /// reaches the backend server.
+    /// Pauses the process for this long as soon as it has decided on its next run, before the
+    /// request reaches the backend server.
     PauseAtRun(usize, Duration),
-    /// The process is set free.
+    /// Resumes the process.
     Resume(usize),
-    /// A graceful shutdown; a new process starts this long after it.
+    /// Shuts the process down gracefully; it is not restarted.
     Stop(usize),
-    /// The process starts, if none runs.
+    /// Starts a process if none is running.
     Start(usize),
-    /// Nothing passes between two nodes.
+    /// Blocks all traffic between two nodes.
     Cut(usize, usize),
-    /// Nothing passes from the first to the second.
+    /// Blocks all traffic from the first node to the second.
     CutOneWay(usize, usize),
-    /// Nothing passes between two regions.
+    /// Blocks all traffic between a region and the others.
     CutRegion(Arc<str>),
-    /// Every cut way is open again.
+    /// Unblocks all paths between nodes.
     Heal,
-    /// Open connections between two nodes go silent for good; new ones work.
+    /// Open connections between two nodes deliver nothing from now on but stay open; new
+    /// connections work.
     Silent(usize, usize),
-    /// Open connections between two nodes break.
+    /// Resets the open connections between two nodes.
     Reset(usize, usize),
-    /// Datagrams in a thousand that are lost, and that come twice.
+    /// Datagrams lost and datagrams duplicated, each per thousand.
     Datagrams(u32, u32),
-    /// The store is away, or up again.
+    /// Makes the store unavailable (`true`) or available again.
     LogDown(bool),
-    /// The node does not reach the store, or reaches it again.
+    /// Blocks (`true`) or unblocks the path between a node and the store.
     LogCut(usize, bool),
-    /// Each answer of the store takes this much longer.
+    /// Adds this latency to each message to and from the store.
     LogSlow(Duration),
-    /// The answers of the next appends are lost after the appends took effect.
+    /// Loses the responses to the next appends, though the appends take effect.
     LogLose(u32),
-    /// The store forgets all but this many records and the newest of each key.
+    /// The store drops all records but this many of the newest, and the newest of each key.
     LogExpire(usize),
-    /// This many operators publish on top of the same version.
+    /// This many operators publish concurrently, all based on the same version.
     Publish(u32),
-    /// The backend server crashes and comes back after a second.
+    /// Crashes the backend server; it is up again after a second.
     Crash(usize),
-    /// The backend servers of a service take this many times longer.
+    /// Multiplies the service times of the service's backend servers by this factor.
     Slow(Arc<str>, u32),
-    /// Requests with this in their body crash each backend server that runs them.
+    /// Requests whose body contains this text crash each backend server that runs them.
     Poison(Arc<str>),
-    /// This many lookups and orders of the service, evenly over a second.
+    /// Sends this many requests to the service, evenly spread over a second: three lookups for each
+    /// order.
     Surge(Arc<str>, u32),
 }
 
 impl World {
-    /// Has a fault happen now.
+    /// Injects a fault now.
     pub fn inject_fault(&mut self, fault: Fault) {
-        self.note(format!("FAULT {fault:?}"));
+        self.trace_event(format!("FAULT {fault:?}"));
         match fault {
             Fault::Kill(node) => self.kill(node),
             Fault::Restart(node) => self.restart(node),
@@ -80,36 +82,39 @@
             }
             Fault::PauseAtRun(node, time) => self.nodes[node].pause_at_run = Some(time),
             Fault::Resume(node) => self.resume(node),
-            Fault::Stop(node) => self.stop(node),
+            Fault::Stop(node) => self.request_stop(node),
             Fault::Start(node) => self.start(node),
             Fault::Cut(a, b) => {
-                self.cut(a, b);
-                self.cut(b, a);
+                self.cut_path(a, b);
+                self.cut_path(b, a);
             }
-            Fault::CutOneWay(from, to) => self.cut(from, to),
+            Fault::CutOneWay(from, to) => self.cut_path(from, to),
             Fault::CutRegion(region) => self.cut_region(&region),
-            Fault::Heal => self.heal(),
+            Fault::Heal => self.heal_paths(),
             Fault::Silent(a, b) => {
-                for connection in self.between(a, b) {
+                for connection in self.open_connections_between(a, b) {
                     self.network.connections[connection].silent = true;
-                    self.watch(connection);
+                    self.schedule_silence_check(connection);
                 }
             }
             Fault::Reset(a, b) => {
-                for connection in self.between(a, b) {
-                    self.break_off(connection);
+                for connection in self.open_connections_between(a, b) {
+                    self.break_connection(connection);
                 }
             }
             Fault::Datagrams(loss, twice) => {
-                (self.network.loss, self.network.twice) = (loss, twice)
+                (
+                    self.network.loss_per_mille,
+                    self.network.duplicates_per_mille,
+                ) = (loss, twice)
             }
             Fault::LogDown(down) => self.log.down = down,
-            Fault::LogCut(node, true) => drop(self.log.cut.insert(node)),
-            Fault::LogCut(node, false) => drop(self.log.cut.swap_remove(&node)),
-            Fault::LogSlow(time) => self.log.slow = time,
-            Fault::LogLose(answers) => self.log.lose_answers = answers,
+            Fault::LogCut(node, true) => drop(self.log.cut_off_nodes.insert(node)),
+            Fault::LogCut(node, false) => drop(self.log.cut_off_nodes.swap_remove(&node)),
+            Fault::LogSlow(time) => self.log.extra_latency = time,
+            Fault::LogLose(answers) => self.log.answers_to_lose = answers,
             Fault::LogExpire(keep) => self.log.expire(keep),
-            Fault::Publish(operators) => self.race(operators),
+            Fault::Publish(operators) => self.publish_concurrently(operators),
             Fault::Crash(node) => self.crash_server(node),
             Fault::Slow(service, times) => {
                 for node in self
@@ -120,62 +125,66 @@
                     node.server.slow_factor = times;
                 }
             }
-            Fault::Poison(body) => self.checker.poison.push(body),
-            Fault::Surge(service, count) => self.surge(&service, count),
+            Fault::Poison(body) => self.checker.poison_bodies.push(body),
+            Fault::Surge(service, count) => self.schedule_surge(&service, count),
         }
     }
 
-    fn stop(&mut self, node: usize) {
-        let place = &mut self.nodes[node];
-        if place.engine.is_none() || place.stopping.is_some() {
+    fn request_stop(&mut self, node: usize) {
+        let node_state = &mut self.nodes[node];
+        if node_state.engine.is_none() || node_state.stop_requested_at.is_some() {
             return;
         }
-        let from = place.incarnation;
-        place.stopping = Some(self.now);
+        let incarnation = node_state.incarnation;
+        node_state.stop_requested_at = Some(self.now);
         self.schedule_in_process(node, Duration::ZERO, move |world| {
-            world.nodes[node].heard_stop = Some(world.now);
-            world.feed(node, from, Input::Stop);
+            world.nodes[node].stop_received_at = Some(world.now);
+            world.handle_input(node, incarnation, Input::Stop);
         });
     }
 
     fn cut_region(&mut self, region: &str) {
-        let inside = |node: &crate::Node| &*node.instance.region == region;
+        let is_in_region = |node: &crate::Node| &*node.instance.region == region;
         let (a, b): (Vec<usize>, Vec<usize>) =
-            (0..self.nodes.len()).partition(|node| inside(&self.nodes[*node]));
+            (0..self.nodes.len()).partition(|node| is_in_region(&self.nodes[*node]));
         for (x, y) in a.iter().flat_map(|x| b.iter().map(move |y| (*x, *y))) {
-            self.cut(x, y);
-            self.cut(y, x);
+            self.cut_path(x, y);
+            self.cut_path(y, x);
         }
     }
 
-    /// Operators who saw the same version publish at once; one of them loses its answer and
-    /// appends again.
-    fn race(&mut self, operators: u32) {
-        let versions = self.nodes.iter().filter_map(|node| node.engine.as_ref());
-        let seen = versions
+    /// Operators that read the same version publish concurrently. The first one publishes twice, as
+    /// if the response to its first append was lost.
+    fn publish_concurrently(&mut self, operators: u32) {
+        let running_engines = self.nodes.iter().filter_map(|node| node.engine.as_ref());
+        let seen_version = running_engines
             .map(|engine| engine.rules_version())
             .max()
             .unwrap_or(0);
         for operator in 0..operators {
-            let file = format!("{}# by operator {operator} on {seen}\n", self.cluster.rules);
+            let file = format!(
+                "{}# by operator {operator} on {seen_version}\n",
+                self.cluster.rules
+            );
             let publication = self.rng.random();
             let name = format!("operator {operator}");
-            self.publish(seen, publication, &name, &file);
+            self.publish(seen_version, publication, &name, &file);
             if operator == 0 {
-                self.publish(seen, publication, &name, &file);
+                self.publish(seen_version, publication, &name, &file);
             }
         }
     }
 
-    /// One order to three lookups.
-    fn surge(&mut self, service: &str, count: u32) {
+    /// Schedules `count` requests to the service over the next second, three lookups for each
+    /// order.
+    fn schedule_surge(&mut self, service: &str, count: u32) {
         let operations = &self.cluster.operations;
-        let of = |method: &str| {
+        let index_of = |method: &str| {
             operations
                 .iter()
                 .position(|o| &*o.service == service && &*o.method == method)
         };
-        let (Some(lookup), Some(order)) = (of("GET"), of("POST")) else {
+        let (Some(lookup), Some(order)) = (index_of("GET"), index_of("POST")) else {
             return;
         };
         for nth in 0..count {
--- a/crates/trial/src/lib.rs
+++ b/crates/trial/src/lib.rs
@@ -1,8 +1,10 @@
-//! Many engines in one process, on a virtual clock, between small fakes of what surrounds them:
-//! the network, the store, backend servers and callers. One queue of events, one seed.
+//! Deterministic simulation of a whole system: many engines in one process, driven by a virtual
+//! clock, one event queue and one random seed. The network, the store, the backend servers and the
+//! callers are simulated.
 //!
-//! It sees engines only as a shell does: [`engine::Engine::handle`], timers and public getters.
-//! A [`InvariantChecker`] watches what must always hold.
+//! Engines are driven only through the interface that the node process uses:
+//! [`engine::Engine::handle`], timers and public getters. An [`InvariantChecker`] checks the
+//! system's guarantees at each step.
 
 mod caller;
 mod checker;
@@ -29,8 +31,8 @@
 pub use node::Node;
 pub use plan::check_seed;
 pub use plan::Plan;
-pub use server::Server;
+pub use server::FakeBackendServer;
 pub use trace::replay;
-pub use trace::replay_all;
+pub use trace::replay_with_world;
 pub use trace::TraceError;
 pub use world::World;
--- a/crates/trial/src/log.rs
+++ b/crates/trial/src/log.rs
@@ -1,5 +1,5 @@
-//! The store's fake: one topic that keeps the newest record of each key, with the faults of the real
-//! one.
+//! Simulated store: a single topic that keeps the newest record of each key, with the faults that
+//! the real store can have.
 
 use crate::World;
 use bytes::Bytes;
@@ -13,85 +13,88 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long a node waits for the store's answer.
-const PATIENCE: Duration = Duration::from_secs(5);
+/// How long a node waits for a response of the store.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// How long one read waits for new records.
-const READ_WAIT: Duration = Duration::from_secs(5);
+/// How long the store holds a read at the end of the log until there are new records.
+const MAX_READ_WAIT: Duration = Duration::from_secs(5);
 
-/// How long a node waits after a read that failed.
-const READ_PAUSE: Duration = Duration::from_secs(1);
+/// Delay before a failed read is retried.
+const READ_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// How many records one read gives at most.
-const BATCH: usize = 100;
+/// Maximum number of records in the response to a read.
+const MAX_BATCH_RECORDS: usize = 100;
 
-/// The store's fake.
+/// The simulated store.
 #[derive(Debug, Default)]
 pub struct Log {
-    /// The offset of the first record that is kept.
-    pub first: u64,
-    /// The values that are kept.
+    /// The offset of the oldest record that is kept.
+    pub first_offset: u64,
+    /// The values of the kept records, in order of their offsets.
     pub records: Vec<Bytes>,
-    /// The newest value of each key, and its offset.
-    newest: IndexMap<Arc<str>, (u64, Bytes)>,
-    /// What the records say, as the operators' tool folds them.
-    said: State,
-    /// Nothing is answered and nothing takes effect.
+    /// The newest value of each key, with its offset.
+    newest_by_key: IndexMap<Arc<str>, (u64, Bytes)>,
+    /// The state that results from all records, as the operators' tool computes it.
+    state: State,
+    /// The store is unavailable: it does not respond, and appends have no effect.
     pub down: bool,
-    /// How long each answer takes longer.
-    pub slow: Duration,
-    /// The answers of this many appends are lost after they took effect.
-    pub lose_answers: u32,
-    /// Nodes that do not reach it.
-    pub cut: IndexSet<usize>,
-    /// Reads that wait for a record: node, which read.
-    waiting: Vec<(usize, u64)>,
+    /// Latency added to each message to and from the store.
+    pub extra_latency: Duration,
+    /// Number of appends whose response will be lost, though the append takes effect.
+    pub answers_to_lose: u32,
+    /// Nodes that cannot reach the store.
+    pub cut_off_nodes: IndexSet<usize>,
+    /// Reads that wait for new records: node and read id.
+    pending_reads: Vec<(usize, u64)>,
 }
 
 impl Log {
-    /// The offset that the next append gets.
-    pub fn end(&self) -> u64 {
-        self.first + self.records.len() as u64
+    /// The offset of the next append.
+    pub fn end_offset(&self) -> u64 {
+        self.first_offset + self.records.len() as u64
     }
 
-    /// Forgets all but the newest records and the newest of each key, as the store does after its
-    /// retention.
+    /// Drops all but the `keep` newest records, as the store does when its retention ends. The
+    /// newest value of each key is kept as well.
     pub fn expire(&mut self, keep: usize) {
-        let gone = self.records.len().saturating_sub(keep);
-        self.records.drain(..gone);
-        self.first += gone as u64;
+        let expired = self.records.len().saturating_sub(keep);
+        self.records.drain(..expired);
+        self.first_offset += expired as u64;
     }
 
-    /// The newest value of each key, by offset.
-    fn newest(&self) -> Vec<(u64, Bytes)> {
-        self.newest.values().cloned().collect()
+    /// The newest value of each key, with its offset.
+    fn snapshot(&self) -> Vec<(u64, Bytes)> {
+        self.newest_by_key.values().cloned().collect()
     }
 
     fn push(&mut self, (key, value): TopicEntry) {
-        let offset = self.end();
-        self.said.apply(offset, &value);
+        let offset = self.end_offset();
+        self.state.apply(offset, &value);
         if value.is_empty() {
-            self.newest.swap_remove(&key);
+            self.newest_by_key.swap_remove(&key);
         } else {
-            self.newest.insert(key, (offset, value.clone()));
+            self.newest_by_key.insert(key, (offset, value.clone()));
         }
         self.records.push(value);
     }
 
-    fn is_down_for(&self, node: usize) -> bool {
-        self.down || self.cut.contains(&node)
+    fn is_unreachable_from(&self, node: usize) -> bool {
+        self.down || self.cut_off_nodes.contains(&node)
     }
 
     fn latency(&self) -> Duration {
-        Duration::from_millis(10) + self.slow
+        Duration::from_millis(10) + self.extra_latency
     }
 }
 
 impl World {
-    /// Publishes as an operator's tool does: on top of the version that the operator saw, or not.
+    /// Publishes a rules file as the operators' tool does: only if `expected` is still the version
+    /// in force.
     pub fn publish(&mut self, expected: u64, publication: u128, operator: &str, file: &str) {
-        if self.log.said.version != expected {
-            self.note(format!("{operator} is overtaken at version {expected}"));
+        if self.log.state.version != expected {
+            self.trace_event(format!(
+                "publication of {operator} rejected: version {expected} is not in force"
+            ));
             return;
         }
         let record = Record::Publish {
@@ -107,132 +110,164 @@
         for entry in entries {
             self.log.push(entry);
         }
-        for (node, number) in std::mem::take(&mut self.log.waiting) {
-            self.read(node, number);
+        for (node, read_id) in std::mem::take(&mut self.log.pending_reads) {
+            self.schedule_read(node, read_id);
         }
     }
 
-    /// An append of a node is on its way to the store.
-    pub(crate) fn append_from(
+    /// Sends a node's append to the store. It takes effect only if `at` is the end of the log.
+    pub(crate) fn submit_append(
         &mut self,
         node: usize,
-        number: u64,
+        append_number: u64,
         at: u64,
         entries: Vec<TopicEntry>,
     ) {
-        let from = self.nodes[node].incarnation;
+        let incarnation = self.nodes[node].incarnation;
         let keys: Vec<&str> = entries.iter().map(|(key, _)| &**key).collect();
-        let what = keys.join(" ");
-        self.note(format!("{} appends {what} at {at}", self.nodes[node].name));
+        let key_list = keys.join(" ");
+        self.trace_event(format!(
+            "{} appends {key_list} at {at}",
+            self.nodes[node].name
+        ));
         self.schedule_after(self.log.latency(), move |world| {
             let log = &mut world.log;
-            let down = log.is_down_for(node);
-            let lost = down || log.lose_answers > 0 || log.slow >= PATIENCE;
-            let conflict = log.end() != at;
-            if !down {
-                log.lose_answers = log.lose_answers.saturating_sub(1);
+            let unreachable = log.is_unreachable_from(node);
+            let lost =
+                unreachable || log.answers_to_lose > 0 || log.extra_latency >= RESPONSE_TIMEOUT;
+            let conflict = log.end_offset() != at;
+            if !unreachable {
+                log.answers_to_lose = log.answers_to_lose.saturating_sub(1);
                 if !conflict {
                     world.append(entries);
                 }
             }
             let (wait, input) = match (lost, conflict) {
-                (true, _) => (PATIENCE, Input::AppendLost(number)),
-                (false, true) => (world.log.latency(), Input::AppendConflict(number)),
-                (false, false) => (world.log.latency(), Input::Appended(number)),
+                (true, _) => (RESPONSE_TIMEOUT, Input::AppendLost(append_number)),
+                (false, true) => (world.log.latency(), Input::AppendConflict(append_number)),
+                (false, false) => (world.log.latency(), Input::Appended(append_number)),
             };
-            world.schedule_in_process(node, wait, move |world| world.feed(node, from, input));
+            world.schedule_in_process(node, wait, move |world| {
+                world.handle_input(node, incarnation, input)
+            });
         });
     }
 
-    /// A node asks whether there are newer rules.
+    /// Asks the store for the current rules version on behalf of a node.
     pub(crate) fn check_rules(&mut self, node: usize) {
-        let asked = self.nodes[node].time(self.now);
-        let from = self.nodes[node].incarnation;
+        let asked_at = self.nodes[node].local_time(self.now);
+        let incarnation = self.nodes[node].incarnation;
         self.schedule_after(self.log.latency(), move |world| {
-            let lost = world.log.is_down_for(node) || world.log.slow >= PATIENCE;
-            let version = world.log.said.version;
+            let lost =
+                world.log.is_unreachable_from(node) || world.log.extra_latency >= RESPONSE_TIMEOUT;
+            let version = world.log.state.version;
             let (wait, input) = match lost {
-                true => (PATIENCE, Input::RulesCheckFailed),
-                false => (world.log.latency(), Input::RulesChecked { asked, version }),
+                true => (RESPONSE_TIMEOUT, Input::RulesCheckFailed),
+                false => (
+                    world.log.latency(),
+                    Input::RulesChecked {
+                        asked: asked_at,
+                        version,
+                    },
+                ),
             };
-            world.schedule_in_process(node, wait, move |world| world.feed(node, from, input));
+            world.schedule_in_process(node, wait, move |world| {
+                world.handle_input(node, incarnation, input)
+            });
         });
     }
 
-    /// The node drops its present read and reads at once, for ever.
-    pub(crate) fn read_now(&mut self, node: usize) {
-        let number = self.nodes[node].read + 1;
-        self.nodes[node].read = number;
-        self.nodes[node].read_to_end = false;
-        self.read(node, number);
+    /// Cancels a node's current read and starts reading anew; each read schedules the next one.
+    pub(crate) fn restart_reading(&mut self, node: usize) {
+        let read_id = self.nodes[node].read_id + 1;
+        self.nodes[node].read_id = read_id;
+        self.nodes[node].reached_log_end = false;
+        self.schedule_read(node, read_id);
     }
 
-    fn read(&mut self, node: usize, number: u64) {
-        self.schedule_after(self.log.latency(), move |world| world.on_read(node, number));
+    fn schedule_read(&mut self, node: usize, read_id: u64) {
+        self.schedule_after(self.log.latency(), move |world| {
+            world.on_read(node, read_id)
+        });
     }
 
-    fn on_read(&mut self, node: usize, number: u64) {
-        let place = &mut self.nodes[node];
-        let Some(engine) = place.engine.as_ref().filter(|_| place.read == number) else {
+    /// Serves a read: with the snapshot, the next records or the end of the log. At the end of the
+    /// log the read waits for new records.
+    fn on_read(&mut self, node: usize, read_id: u64) {
+        let node_state = &mut self.nodes[node];
+        let Some(engine) = node_state
+            .engine
+            .as_ref()
+            .filter(|_| node_state.read_id == read_id)
+        else {
             return;
         };
-        if self.log.is_down_for(node) || self.log.slow >= PATIENCE {
-            self.input(node, PATIENCE, Input::LogUnreachable);
-            return self
-                .schedule_after(PATIENCE + READ_PAUSE, move |world| world.read(node, number));
+        if self.log.is_unreachable_from(node) || self.log.extra_latency >= RESPONSE_TIMEOUT {
+            self.schedule_input(node, RESPONSE_TIMEOUT, Input::LogUnreachable);
+            return self.schedule_after(RESPONSE_TIMEOUT + READ_RETRY_DELAY, move |world| {
+                world.schedule_read(node, read_id)
+            });
         }
         let next = engine.next_offset();
-        let (first, end) = (self.log.first, self.log.end());
-        // A start begins with the newest of each key, and so does a node whose records have expired.
+        let (first, end) = (self.log.first_offset, self.log.end_offset());
+        // A node that starts reads the newest record of each key first, and so does a node whose
+        // next record has expired.
         if next < first || (next == 0 && end > 0) {
-            let values = self.log.newest();
-            let from = self.nodes[node].incarnation;
+            let values = self.log.snapshot();
+            let incarnation = self.nodes[node].incarnation;
             let latency = self.log.latency();
-            self.input(node, latency, Input::TopicSnapshot { values, end });
-            self.schedule_in_process(node, latency, move |world| world.on_end(node, from, end));
-            return self.schedule_after(latency, move |world| world.read(node, number));
+            self.schedule_input(node, latency, Input::TopicSnapshot { values, end });
+            self.schedule_in_process(node, latency, move |world| {
+                world.on_log_end_read(node, incarnation, end)
+            });
+            return self.schedule_after(latency, move |world| world.schedule_read(node, read_id));
         }
         let skip = next.saturating_sub(first) as usize;
-        let numbered = (self.log.first..).zip(&self.log.records).skip(skip);
-        let batch: Vec<_> = numbered
-            .take(BATCH)
+        let with_offsets = (self.log.first_offset..).zip(&self.log.records).skip(skip);
+        let batch: Vec<_> = with_offsets
+            .take(MAX_BATCH_RECORDS)
             .map(|(at, r)| (at, r.clone()))
             .collect();
-        let read_to_end = batch.last().map_or(next, |(at, _)| at + 1) >= self.log.end();
+        let reads_to_end = batch.last().map_or(next, |(at, _)| at + 1) >= self.log.end_offset();
         let latency = self.log.latency();
-        if batch.is_empty() && std::mem::replace(&mut place.read_to_end, true) {
-            self.log.waiting.push((node, number));
-            return self
-                .schedule_after(READ_WAIT, move |world| world.on_read_timeout(node, number));
+        if batch.is_empty() && std::mem::replace(&mut node_state.reached_log_end, true) {
+            self.log.pending_reads.push((node, read_id));
+            return self.schedule_after(MAX_READ_WAIT, move |world| {
+                world.on_read_timeout(node, read_id)
+            });
         }
         if !batch.is_empty() {
-            self.input(node, latency, Input::Records(batch));
+            self.schedule_input(node, latency, Input::Records(batch));
         }
-        if read_to_end {
-            let from = self.nodes[node].incarnation;
-            self.schedule_in_process(node, latency, move |world| world.on_end(node, from, end));
+        if reads_to_end {
+            let incarnation = self.nodes[node].incarnation;
+            self.schedule_in_process(node, latency, move |world| {
+                world.on_log_end_read(node, incarnation, end)
+            });
         }
-        self.schedule_after(latency, move |world| world.read(node, number));
+        self.schedule_after(latency, move |world| world.schedule_read(node, read_id));
     }
 
-    /// The end of the topic was read, unless something sent the reader back before it.
-    fn on_end(&mut self, node: usize, from: Incarnation, end: u64) {
+    /// Tells the engine that it has read the log up to `end`, unless it has been set back to an
+    /// earlier offset in the meantime.
+    fn on_log_end_read(&mut self, node: usize, incarnation: Incarnation, end: u64) {
         let engine = self.nodes[node].engine.as_ref();
         if engine.is_some_and(|engine| engine.next_offset() >= end) {
-            self.feed(node, from, Input::LogCaughtUp);
+            self.handle_input(node, incarnation, Input::LogCaughtUp);
         }
     }
 
-    /// A read waited long enough and is answered with nothing.
-    fn on_read_timeout(&mut self, node: usize, number: u64) {
-        let before = self.log.waiting.len();
+    /// Answers a read that has waited for [`MAX_READ_WAIT`] without new records.
+    fn on_read_timeout(&mut self, node: usize, read_id: u64) {
+        let pending_before = self.log.pending_reads.len();
         self.log
-            .waiting
-            .retain(|waiting| *waiting != (node, number));
-        if self.log.waiting.len() < before {
-            // The store answers a read that waited in vain: nothing new up to now.
-            self.nodes[node].read_to_end = false;
-            self.read(node, number);
+            .pending_reads
+            .retain(|waiting| *waiting != (node, read_id));
+        if self.log.pending_reads.len() < pending_before {
+            // The store responds that there is nothing new, so the next read may report the end
+            // again.
+            self.nodes[node].reached_log_end = false;
+            self.schedule_read(node, read_id);
         }
     }
 }
--- a/crates/trial/src/main.rs
+++ b/crates/trial/src/main.rs
@@ -1,21 +1,21 @@
-//! Runs many seeds, and prints the seed and the trace of those that fail.
+//! Runs the random test for a range of seeds and prints a report for each seed that fails.
 
 use gumdrop::Options;
 use std::process::ExitCode;
 
-/// Runs random calls and faults by seed.
+/// Runs random calls and faults for a range of seeds.
 #[derive(Debug, Options)]
 struct Args {
     /// Print this help.
     #[options()]
     help: bool,
-    /// The seeds, as `FIRST..END`, the end not included.
+    /// The seeds, as `FIRST..END`; the end is exclusive.
     #[options(meta = "RANGE", default = "1..1000")]
     seeds: String,
-    /// No process ends or is taken for dead, so each key keeps its home.
+    /// No process ends or is evicted, so each key keeps its home.
     #[options(no_short)]
     homes_stay: bool,
-    /// Go on after a failure, and print only the violations.
+    /// Continue after a failure, and print only the violations.
     #[options()]
     all: bool,
 }
--- a/crates/trial/src/network.rs
+++ b/crates/trial/src/network.rs
@@ -1,5 +1,5 @@
-//! The network's fake: connections that keep their order and may be lost, datagrams that may do
-//! anything.
+//! Simulated network: connections deliver frames in order but can break; datagrams can be lost,
+//! delayed, duplicated and reordered.
 
 use crate::ClusterConfig;
 use crate::World;
@@ -16,45 +16,48 @@
 use std::time::Duration;
 use stdx::Time;
 
-/// How long the other end may be silent before a connection is given up, as in the shell.
-const SILENT_AFTER: Duration = Duration::from_secs(2);
+/// A connection is closed after this long without traffic from the other end, as in the node
+/// process.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How long connecting may take, as in the shell.
+/// Timeout of an attempt to connect, as in the node process.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What is between nodes.
+/// The network between the nodes.
 #[derive(Debug)]
 pub struct Network {
     /// One-way latency from node to node.
     pub latency: Vec<Vec<Duration>>,
-    /// Ways on which nothing arrives: from, to.
-    pub cut: IndexSet<(usize, usize)>,
-    /// Datagrams in a thousand that are lost.
-    pub loss: u32,
-    /// Datagrams in a thousand that come twice, the second time late.
-    pub twice: u32,
-    /// Bytes of frames and datagrams between regions.
+    /// Blocked directions of traffic: sender and receiver.
+    pub cut_paths: IndexSet<(usize, usize)>,
+    /// Datagrams lost per thousand.
+    pub loss_per_mille: u32,
+    /// Datagrams duplicated per thousand; the duplicate arrives late.
+    pub duplicates_per_mille: u32,
+    /// Total size of the frames and datagrams sent between regions, in bytes.
     pub cross_region_bytes: u64,
-    /// Connections, those that are gone included.
+    /// All connections, including closed ones.
     pub connections: Vec<Connection>,
-    links: IndexMap<(Incarnation, Incarnation), usize>,
-    dialling: IndexMap<(Incarnation, Incarnation), Vec<Frame>>,
+    /// The connection that each incarnation uses for each peer, as an index into `connections`.
+    current_connections: IndexMap<(Incarnation, Incarnation), usize>,
+    /// Attempts to connect in progress, with the frames to send once connected.
+    connecting: IndexMap<(Incarnation, Incarnation), Vec<Frame>>,
 }
 
-/// One connection.
+/// A connection between two nodes.
 #[derive(Debug)]
 pub struct Connection {
-    /// Its two ends.
-    pub ends: [(usize, Incarnation); 2],
-    /// Nothing arrives on it any more, though the ends think it open.
+    /// The two ends: node and incarnation.
+    pub endpoints: [(usize, Incarnation); 2],
+    /// The connection delivers nothing any more, though both ends take it for open.
     pub silent: bool,
     open: bool,
-    /// When the last frame arrives at each end.
-    last: [Time; 2],
-    /// Frames on their way to each end that do not get through now.
-    held: [Vec<Frame>; 2],
-    /// Frames in flight to each end arrive up to here after it broke.
-    until: [Time; 2],
+    /// The arrival time of the last frame sent to each end.
+    last_arrival: [Time; 2],
+    /// Frames to each end that are held back because the path is blocked.
+    undelivered: [Vec<Frame>; 2],
+    /// After the connection broke, frames in flight to each end are delivered up to this time.
+    deliver_until: [Time; 2],
 }
 
 impl Network {
@@ -73,83 +76,91 @@
         };
         Self {
             latency: placements.iter().map(row).collect(),
-            cut: IndexSet::new(),
-            loss: 0,
-            twice: 0,
+            cut_paths: IndexSet::new(),
+            loss_per_mille: 0,
+            duplicates_per_mille: 0,
             cross_region_bytes: 0,
             connections: Vec::new(),
-            links: IndexMap::new(),
-            dialling: IndexMap::new(),
+            current_connections: IndexMap::new(),
+            connecting: IndexMap::new(),
         }
     }
 }
 
 impl World {
-    fn travel(&mut self, from: usize, to: usize) -> Duration {
+    /// A random latency between two nodes: up to 30 % above the configured one.
+    fn sample_latency(&mut self, from: usize, to: usize) -> Duration {
         let latency = self.network.latency[from][to];
         latency.mul_f64(self.rng.random_range(1.0..1.3))
     }
 
-    pub(crate) fn send(&mut self, node: usize, to: Instance, frame: Frame) {
+    /// Sends a frame to another process, on a new connection if there is none yet.
+    pub(crate) fn send_frame(&mut self, node: usize, to: Instance, frame: Frame) {
         let pair = (self.nodes[node].incarnation, to.incarnation);
-        if let Some(connection) = self.network.links.get(&pair).copied() {
+        if let Some(connection) = self.network.current_connections.get(&pair).copied() {
             return self.transmit(connection, node, frame);
         }
-        if let Some(waiting) = self.network.dialling.get_mut(&pair) {
-            return waiting.push(frame);
+        if let Some(queued_frames) = self.network.connecting.get_mut(&pair) {
+            return queued_frames.push(frame);
         }
-        self.network.dialling.insert(pair, vec![frame]);
+        self.network.connecting.insert(pair, vec![frame]);
         let target = self
             .nodes
             .iter()
             .position(|other| other.instance.addr == to.addr);
         let wait = match target {
-            Some(target) if self.answers_dial(node, target) => self.travel(node, target) * 3,
+            Some(target) if self.gets_connect_response(node, target) => {
+                self.sample_latency(node, target) * 3
+            }
             _ => CONNECT_TIMEOUT,
         };
-        self.schedule_in_process(node, wait, move |world| world.on_dialled(node, pair.0, to));
+        self.schedule_in_process(node, wait, move |world| {
+            world.on_connect_result(node, pair.0, to)
+        });
     }
 
-    /// Whether an attempt to connect gets any answer, be it a refusal.
-    fn answers_dial(&self, node: usize, target: usize) -> bool {
-        let cut = &self.network.cut;
-        let way = !cut.contains(&(node, target)) && !cut.contains(&(target, node));
-        way && !self.nodes[target].paused
+    /// Whether an attempt to connect gets a response, even if only a refusal.
+    fn gets_connect_response(&self, node: usize, target: usize) -> bool {
+        let cut_paths = &self.network.cut_paths;
+        let paths_open =
+            !cut_paths.contains(&(node, target)) && !cut_paths.contains(&(target, node));
+        paths_open && !self.nodes[target].paused
     }
 
-    pub(crate) fn on_dialled(&mut self, node: usize, from: Incarnation, to: Instance) {
+    /// Ends an attempt to connect: sends the waiting frames, or reports the peer as unreachable.
+    pub(crate) fn on_connect_result(&mut self, node: usize, from: Incarnation, to: Instance) {
         let peer = to.incarnation;
-        let Some(frames) = self.network.dialling.swap_remove(&(from, peer)) else {
+        let Some(frames) = self.network.connecting.swap_remove(&(from, peer)) else {
             return;
         };
         let target = self
             .nodes
             .iter()
             .position(|other| other.incarnation == peer);
-        let target =
-            target.filter(|target| self.is_running(*target) && self.answers_dial(node, *target));
+        let target = target
+            .filter(|target| self.is_running(*target) && self.gets_connect_response(node, *target));
         let Some(target) = target else {
             let input = Input::PeerUnreachable {
                 peer,
                 unsent: frames,
             };
-            return self.feed(node, from, input);
+            return self.handle_input(node, from, input);
         };
         if self.nodes[node].incarnation != from || self.nodes[node].engine.is_none() {
             return;
         }
         let connection = self.network.connections.len();
         self.network.connections.push(Connection {
-            ends: [(node, from), (target, peer)],
+            endpoints: [(node, from), (target, peer)],
             silent: false,
             open: true,
-            last: [self.now; 2],
-            held: Default::default(),
-            until: [self.now; 2],
+            last_arrival: [self.now; 2],
+            undelivered: Default::default(),
+            deliver_until: [self.now; 2],
         });
         for pair in [(from, peer), (peer, from)] {
-            if let Some(old) = self.network.links.insert(pair, connection) {
-                self.break_off(old);
+            if let Some(old) = self.network.current_connections.insert(pair, connection) {
+                self.break_connection(old);
             }
         }
         for frame in frames {
@@ -157,49 +168,61 @@
         }
     }
 
-    fn is_blocked(&self, connection: usize, to: usize) -> bool {
+    /// Whether nothing can arrive at one end of a connection.
+    fn is_blocked(&self, connection: usize, side: usize) -> bool {
         let connection = &self.network.connections[connection];
-        let way = (connection.ends[1 - to].0, connection.ends[to].0);
-        connection.silent || self.network.cut.contains(&way)
+        let path = (
+            connection.endpoints[1 - side].0,
+            connection.endpoints[side].0,
+        );
+        connection.silent || self.network.cut_paths.contains(&path)
     }
 
+    /// Sends a frame on a connection, or holds it back while the path is blocked.
     fn transmit(&mut self, connection: usize, node: usize, frame: Frame) {
-        let side = usize::from(self.network.connections[connection].ends[0].0 == node);
+        let side = usize::from(self.network.connections[connection].endpoints[0].0 == node);
         if !self.network.connections[connection].open {
             return;
         }
         if self.is_blocked(connection, side) {
-            self.network.connections[connection].held[side].push(frame);
-            return self.watch(connection);
+            self.network.connections[connection].undelivered[side].push(frame);
+            return self.schedule_silence_check(connection);
         }
-        let to = self.network.connections[connection].ends[side].0;
+        let to = self.network.connections[connection].endpoints[side].0;
         if self.nodes[node].instance.region != self.nodes[to].instance.region {
             self.network.cross_region_bytes += proto::encode(&frame).len() as u64;
         }
-        let travel = self.travel(node, to);
-        let last = &mut self.network.connections[connection].last[side];
-        let at = (self.now + travel).max(*last + Duration::from_micros(1));
-        *last = at;
-        self.arrive(at, connection, side, frame, false);
+        let latency = self.sample_latency(node, to);
+        let last_arrival = &mut self.network.connections[connection].last_arrival[side];
+        let at = (self.now + latency).max(*last_arrival + Duration::from_micros(1));
+        *last_arrival = at;
+        self.schedule_delivery(at, connection, side, frame, false);
     }
 
-    fn arrive(&mut self, at: Time, connection: usize, side: usize, frame: Frame, late: bool) {
-        let process = self.network.connections[connection].ends[side].0;
+    fn schedule_delivery(
+        &mut self,
+        at: Time,
+        connection: usize,
+        side: usize,
+        frame: Frame,
+        late: bool,
+    ) {
+        let process = self.network.connections[connection].endpoints[side].0;
         self.schedule_in_process(process, at.since(self.now), move |world| {
-            world.on_arrive(connection, side, frame, late);
+            world.deliver_frame(connection, side, frame, late);
         });
     }
 
-    fn on_arrive(&mut self, connection: usize, side: usize, frame: Frame, late: bool) {
-        let wire = &self.network.connections[connection];
-        if !wire.open && !late && self.now > wire.until[side] {
+    fn deliver_frame(&mut self, connection: usize, side: usize, frame: Frame, late: bool) {
+        let link = &self.network.connections[connection];
+        if !link.open && !late && self.now > link.deliver_until[side] {
             return;
         }
-        let (node, incarnation) = wire.ends[side];
-        let from = wire.ends[1 - side].1;
+        let (node, incarnation) = link.endpoints[side];
+        let from = link.endpoints[1 - side].1;
         if let Frame::Call(call) = &frame {
             self.checker.on_arrival(&self.nodes[node], call);
-            self.note(format!(
+            self.trace_event(format!(
                 "{} gets {:?} {} {} of {}",
                 self.nodes[node].name,
                 call.role,
@@ -208,113 +231,123 @@
                 String::from_utf8_lossy(&call.request.body)
             ));
         }
-        self.feed(node, incarnation, Input::Frame { from, frame });
+        self.handle_input(node, incarnation, Input::Frame { from, frame });
     }
 
-    /// Looks at a connection again when its ends would notice that it is silent.
-    pub(crate) fn watch(&mut self, connection: usize) {
-        let wait = SILENT_AFTER + Duration::from_millis(self.rng.random_range(0..500));
-        self.schedule_after(wait, move |world| world.on_silent(connection));
+    /// Checks a connection once its ends would notice that it is silent.
+    pub(crate) fn schedule_silence_check(&mut self, connection: usize) {
+        let wait = IDLE_TIMEOUT + Duration::from_millis(self.rng.random_range(0..500));
+        self.schedule_after(wait, move |world| world.check_silence(connection));
     }
 
-    /// Has all connections of a process looked at.
-    pub(crate) fn watch_all(&mut self, of: Incarnation) {
+    /// Checks all connections of a process once the other ends would notice that they are silent.
+    pub(crate) fn schedule_silence_checks(&mut self, of: Incarnation) {
         for connection in self.connections_of(of) {
-            self.watch(connection);
+            self.schedule_silence_check(connection);
         }
     }
 
     fn connections_of(&self, of: Incarnation) -> Vec<usize> {
         let all = self.network.connections.iter().enumerate();
-        let open = all.filter(|(_, wire)| wire.open && wire.ends.iter().any(|end| end.1 == of));
+        let open =
+            all.filter(|(_, link)| link.open && link.endpoints.iter().any(|end| end.1 == of));
         open.map(|(at, _)| at).collect()
     }
 
-    pub(crate) fn on_silent(&mut self, connection: usize) {
-        let wire = &self.network.connections[connection];
-        let paused = wire.ends.iter().any(|end| {
-            self.nodes[end.0].paused && self.now.since(self.nodes[end.0].moved) >= SILENT_AFTER
+    /// Breaks a connection if an end is paused, frames are held back or a path is blocked.
+    pub(crate) fn check_silence(&mut self, connection: usize) {
+        let link = &self.network.connections[connection];
+        let paused = link.endpoints.iter().any(|end| {
+            self.nodes[end.0].paused
+                && self.now.since(self.nodes[end.0].pause_changed_at) >= IDLE_TIMEOUT
         });
-        let stuck = wire.held.iter().any(|held| !held.is_empty());
+        let has_undelivered = link
+            .undelivered
+            .iter()
+            .any(|undelivered| !undelivered.is_empty());
         let blocked = (0..2).any(|side| self.is_blocked(connection, side));
-        if paused || stuck || blocked {
-            self.break_off(connection);
+        if paused || has_undelivered || blocked {
+            self.break_connection(connection);
         }
     }
 
-    /// A connection is gone: some of what is on its way still arrives, the rest never does, and
-    /// each end notices in its own time.
-    pub(crate) fn break_off(&mut self, connection: usize) {
+    /// Breaks a connection. Some of the frames in flight are still delivered, the others are lost.
+    /// Each end notices the loss at a different time.
+    pub(crate) fn break_connection(&mut self, connection: usize) {
         if !std::mem::take(&mut self.network.connections[connection].open) {
             return;
         }
         for side in 0..2 {
             let grace = Duration::from_micros(self.rng.random_range(0..40_000));
-            let until = self.now + grace;
+            let deliver_until = self.now + grace;
             let silent = self.network.connections[connection].silent;
-            let wire = &mut self.network.connections[connection];
-            wire.until[side] = until;
-            let held = std::mem::take(&mut wire.held[side]);
-            // What the network still held may come through after the sender has given up.
+            let link = &mut self.network.connections[connection];
+            link.deliver_until[side] = deliver_until;
+            let undelivered = std::mem::take(&mut link.undelivered[side]);
+            // Frames held back by the network may arrive after the sender has closed the
+            // connection.
             if !silent && self.rng.random_bool(0.5) {
-                let arrives = self.rng.random_range(0..=held.len());
+                let arrives = self.rng.random_range(0..=undelivered.len());
                 let wait = Duration::from_millis(self.rng.random_range(40..3000));
-                for frame in held.into_iter().take(arrives) {
-                    self.arrive(self.now + wait, connection, side, frame, true);
+                for frame in undelivered.into_iter().take(arrives) {
+                    self.schedule_delivery(self.now + wait, connection, side, frame, true);
                 }
             }
-            let process = self.network.connections[connection].ends[side].0;
-            let wait = grace + self.network.connections[connection].last[side].since(self.now);
-            self.schedule_in_process(process, wait, move |world| world.on_lost(connection, side));
+            let process = self.network.connections[connection].endpoints[side].0;
+            let wait =
+                grace + self.network.connections[connection].last_arrival[side].since(self.now);
+            self.schedule_in_process(process, wait, move |world| {
+                world.on_connection_lost(connection, side)
+            });
         }
     }
 
-    pub(crate) fn on_lost(&mut self, connection: usize, side: usize) {
-        let ends = self.network.connections[connection].ends;
-        let ((node, from), (_, peer)) = (ends[side], ends[1 - side]);
-        if self.network.links.get(&(from, peer)) == Some(&connection) {
-            self.network.links.swap_remove(&(from, peer));
+    pub(crate) fn on_connection_lost(&mut self, connection: usize, side: usize) {
+        let endpoints = self.network.connections[connection].endpoints;
+        let ((node, from), (_, peer)) = (endpoints[side], endpoints[1 - side]);
+        if self.network.current_connections.get(&(from, peer)) == Some(&connection) {
+            self.network.current_connections.swap_remove(&(from, peer));
         }
-        self.feed(node, from, Input::PeerLost(peer));
+        self.handle_input(node, from, Input::PeerLost(peer));
     }
 
-    /// The process is gone and its connections with it.
-    pub(crate) fn close_all(&mut self, of: Incarnation) {
+    /// Breaks all connections of a process that was killed.
+    pub(crate) fn close_connections(&mut self, of: Incarnation) {
         for connection in self.connections_of(of) {
-            self.break_off(connection);
+            self.break_connection(connection);
         }
     }
 
-    /// The process has ended of itself: what it has sent still arrives.
-    pub(crate) fn close_after_flush(&mut self, of: Incarnation) {
+    /// Closes the connections of a process that has exited: the frames it has sent still arrive.
+    pub(crate) fn close_after_delivery(&mut self, of: Incarnation) {
         for connection in self.connections_of(of) {
-            let last = self.network.connections[connection].last;
-            self.break_off(connection);
-            self.network.connections[connection].until = last;
+            let last_arrival = self.network.connections[connection].last_arrival;
+            self.break_connection(connection);
+            self.network.connections[connection].deliver_until = last_arrival;
         }
     }
 
-    /// Breaks all connections between two nodes.
-    pub(crate) fn between(&self, a: usize, b: usize) -> Vec<usize> {
+    /// The open connections between two nodes, as indices into [`Network::connections`].
+    pub(crate) fn open_connections_between(&self, a: usize, b: usize) -> Vec<usize> {
         let all = self.network.connections.iter().enumerate();
-        let fits = all.filter(|(_, wire)| {
-            let [x, y] = [wire.ends[0].0, wire.ends[1].0];
-            wire.open && ((x, y) == (a, b) || (x, y) == (b, a))
+        let matching = all.filter(|(_, link)| {
+            let [x, y] = [link.endpoints[0].0, link.endpoints[1].0];
+            link.open && ((x, y) == (a, b) || (x, y) == (b, a))
         });
-        fits.map(|(at, _)| at).collect()
+        matching.map(|(at, _)| at).collect()
     }
 
-    /// Nothing arrives from one node at the other any more.
-    pub(crate) fn cut(&mut self, from: usize, to: usize) {
-        self.network.cut.insert((from, to));
-        for connection in self.between(from, to) {
-            self.watch(connection);
+    /// Blocks traffic from one node to another.
+    pub(crate) fn cut_path(&mut self, from: usize, to: usize) {
+        self.network.cut_paths.insert((from, to));
+        for connection in self.open_connections_between(from, to) {
+            self.schedule_silence_check(connection);
         }
     }
 
-    /// All ways are open again; what was held on them arrives.
-    pub(crate) fn heal(&mut self) {
-        self.network.cut.clear();
+    /// Unblocks all paths and sends the frames that were held back on them.
+    pub(crate) fn heal_paths(&mut self) {
+        self.network.cut_paths.clear();
         for connection in 0..self.network.connections.len() {
             if !self.network.connections[connection].open
                 || self.network.connections[connection].silent
@@ -322,8 +355,10 @@
                 continue;
             }
             for side in 0..2 {
-                let sender = self.network.connections[connection].ends[1 - side].0;
-                for frame in std::mem::take(&mut self.network.connections[connection].held[side]) {
+                let sender = self.network.connections[connection].endpoints[1 - side].0;
+                for frame in
+                    std::mem::take(&mut self.network.connections[connection].undelivered[side])
+                {
                     self.transmit(connection, sender, frame);
                 }
             }
@@ -339,23 +374,24 @@
         else {
             return;
         };
-        let lost = self.network.cut.contains(&(node, target));
-        if lost || self.rng.random_range(0..1000) < self.network.loss {
+        let is_cut = self.network.cut_paths.contains(&(node, target));
+        if is_cut || self.rng.random_range(0..1000) < self.network.loss_per_mille {
             return;
         }
         if self.nodes[node].instance.region != self.nodes[target].instance.region {
             self.network.cross_region_bytes += proto::encode(&datagram).len() as u64;
         }
-        let travel = self.travel(node, target);
-        if self.rng.random_range(0..1000) < self.network.twice {
-            let late = travel + Duration::from_millis(self.rng.random_range(0..5000));
+        let latency = self.sample_latency(node, target);
+        if self.rng.random_range(0..1000) < self.network.duplicates_per_mille {
+            let late = latency + Duration::from_millis(self.rng.random_range(0..5000));
             let datagram = datagram.clone();
-            self.datagram_after(target, late, from, datagram);
+            self.schedule_datagram(target, late, from, datagram);
         }
-        self.datagram_after(target, travel, from, datagram);
+        self.schedule_datagram(target, latency, from, datagram);
     }
 
-    /// A connection of its own, which comes about only if both ways are open.
+    /// Fetches the state of another node. This uses a separate connection, which can only be
+    /// established if the paths in both directions are open.
     pub(crate) fn fetch_state(&mut self, node: usize, addr: SocketAddr, known: SyncProgress) {
         let Some(target) = self
             .nodes
@@ -364,29 +400,35 @@
         else {
             return;
         };
-        let cut = &self.network.cut;
-        if cut.contains(&(node, target)) || cut.contains(&(target, node)) {
+        let cut_paths = &self.network.cut_paths;
+        if cut_paths.contains(&(node, target)) || cut_paths.contains(&(target, node)) {
             return;
         }
-        let there = self.travel(node, target);
-        let back = self.travel(target, node);
-        self.schedule_in_process(target, there, move |world| {
+        let outbound = self.sample_latency(node, target);
+        let inbound = self.sample_latency(target, node);
+        self.schedule_in_process(target, outbound, move |world| {
             let engine = world.nodes[target].engine.as_ref();
             let Some(state) = engine.and_then(|engine| engine.state_newer_than(known)) else {
                 return;
             };
-            world.schedule_in_process(node, back, move |world| {
+            world.schedule_in_process(node, inbound, move |world| {
                 let incarnation = world.nodes[node].incarnation;
-                world.feed(node, incarnation, Input::StateFetched(state));
+                world.handle_input(node, incarnation, Input::StateFetched(state));
             });
         });
     }
 
-    fn datagram_after(&mut self, to: usize, wait: Duration, from: SocketAddr, datagram: Datagram) {
-        // Whoever is at the address when it arrives gets it.
+    fn schedule_datagram(
+        &mut self,
+        to: usize,
+        wait: Duration,
+        from: SocketAddr,
+        datagram: Datagram,
+    ) {
+        // It goes to the process that has the address at the time of arrival.
         self.schedule_in_process(to, wait, move |world| {
             let incarnation = world.nodes[to].incarnation;
-            world.feed(to, incarnation, Input::Datagram { from, datagram });
+            world.handle_input(to, incarnation, Input::Datagram { from, datagram });
         });
     }
 }
--- a/crates/trial/src/node.rs
+++ b/crates/trial/src/node.rs
@@ -1,9 +1,9 @@
-//! One instance: a process of the system and its backend server.
+//! A simulated instance: a node process and its backend server.
 
 use crate::caller::Waiter;
 use crate::world::Event;
 use crate::ClusterConfig;
-use crate::Server;
+use crate::FakeBackendServer;
 use engine::Engine;
 use engine::RequestToken;
 use indexmap::IndexMap;
@@ -15,86 +15,92 @@
 use std::time::Duration;
 use stdx::Time;
 
-/// One instance: a process of the system and its backend server.
+/// A simulated instance: a node process and its backend server.
 pub struct Node {
-    /// `SERVICE-N`.
+    /// The name, as `SERVICE-N`.
     pub name: String,
-    /// Who it is now.
+    /// The instance as it is known to the other nodes.
     pub instance: Instance,
-    /// Its present incarnation.
+    /// The current or last incarnation of the process.
     pub incarnation: Incarnation,
-    /// `None` while no process runs.
+    /// The engine; `None` while no process is running.
     pub engine: Option<Engine>,
-    /// Its clock's origin.
-    pub started: Time,
-    /// How fast its clock runs.
+    /// When the process started; its local clock counts from here.
+    pub started_at: Time,
+    /// The rate of its local clock relative to the virtual clock.
     pub clock_rate: f64,
-    /// The process is frozen.
+    /// The process is paused.
     pub paused: bool,
-    /// When it was last frozen or set free.
-    pub moved: Time,
-    /// The newest version that was in force anywhere when the process started.
-    pub known_version: u64,
-    /// When its graceful shutdown began.
-    pub stopping: Option<Time>,
-    /// When the process heard of it, which may be frozen.
-    pub heard_stop: Option<Time>,
-    /// Its backend server.
-    pub server: Server,
-    /// Requests without an answer.
-    pub waiting: IndexMap<RequestToken, Waiter>,
-    /// Those of them that the process has taken.
-    pub taken: IndexSet<RequestToken>,
-    /// Runs handed to the backend server, by the name that the engine gave: the server's number.
+    /// When the process was last paused or resumed.
+    pub pause_changed_at: Time,
+    /// The newest rules version in force at any node when the process started.
+    pub version_at_start: u64,
+    /// When a graceful shutdown was requested.
+    pub stop_requested_at: Option<Time>,
+    /// When the process received that request, which is later if it was paused.
+    pub stop_received_at: Option<Time>,
+    /// The backend server.
+    pub server: FakeBackendServer,
+    /// Unanswered requests.
+    pub pending_requests: IndexMap<RequestToken, Waiter>,
+    /// The unanswered requests that the process has accepted.
+    pub accepted_requests: IndexSet<RequestToken>,
+    /// Runs in progress, with the id of the work on the backend server, or `None` before the server
+    /// has accepted it.
     pub runs: IndexMap<RunId, Option<u64>>,
+    /// How long to pause the process at its next run.
     pub(crate) pause_at_run: Option<Duration>,
-    pub(crate) read: u64,
-    pub(crate) read_to_end: bool,
-    pub(crate) held: Vec<Event>,
-    pub(crate) tick: Option<Time>,
+    /// The id of the current sequence of log reads; reads with another id are cancelled.
+    pub(crate) read_id: u64,
+    /// The last read found no new records, so the next one waits for some.
+    pub(crate) reached_log_end: bool,
+    /// Events that fell due while the process was paused.
+    pub(crate) deferred_events: Vec<Event>,
+    /// When the next timer event is scheduled.
+    pub(crate) scheduled_tick: Option<Time>,
 }
 
 impl Node {
     pub(crate) fn new(cluster: &ClusterConfig, at: usize) -> Self {
-        let place = &cluster.placements[at];
+        let placement = &cluster.placements[at];
         let nth = cluster.placements[..at]
             .iter()
-            .filter(|other| other.service == place.service)
+            .filter(|other| other.service == placement.service)
             .count();
         let incarnation = Incarnation(0);
         Self {
-            name: format!("{}-{}", place.service, nth + 1),
+            name: format!("{}-{}", placement.service, nth + 1),
             instance: Instance {
                 incarnation,
-                service: place.service.clone(),
-                failure_domain: place.failure_domain.clone(),
-                region: place.region.clone(),
+                service: placement.service.clone(),
+                failure_domain: placement.failure_domain.clone(),
+                region: placement.region.clone(),
                 addr: SocketAddr::from(([10, 0, 0, at as u8 + 1], 7000)),
             },
             incarnation,
             engine: None,
-            started: Time::ZERO,
+            started_at: Time::ZERO,
             clock_rate: 1.0,
             paused: false,
-            moved: Time::ZERO,
-            known_version: 0,
-            stopping: None,
-            heard_stop: None,
-            server: Server::new(cluster),
-            waiting: IndexMap::new(),
-            taken: IndexSet::new(),
+            pause_changed_at: Time::ZERO,
+            version_at_start: 0,
+            stop_requested_at: None,
+            stop_received_at: None,
+            server: FakeBackendServer::new(cluster),
+            pending_requests: IndexMap::new(),
+            accepted_requests: IndexSet::new(),
             runs: IndexMap::new(),
             pause_at_run: None,
-            read: 0,
-            read_to_end: false,
-            held: Vec::new(),
-            tick: None,
+            read_id: 0,
+            reached_log_end: false,
+            deferred_events: Vec::new(),
+            scheduled_tick: None,
         }
     }
 
-    /// What its process takes for the time.
-    pub(crate) fn time(&self, now: Time) -> Time {
-        Time::ZERO + now.since(self.started).mul_f64(self.clock_rate)
+    /// The time on the local clock of the process.
+    pub(crate) fn local_time(&self, now: Time) -> Time {
+        Time::ZERO + now.since(self.started_at).mul_f64(self.clock_rate)
     }
 }
 
@@ -114,12 +120,12 @@
         let members: Vec<_> = members.into_iter().flatten().collect();
         write!(
             f,
-            " stopping {:?} version {} next {}",
-            self.stopping, journal.version, journal.next_offset
+            " stop requested at {:?}, rules version {}, next offset {},",
+            self.stop_requested_at, journal.version, journal.next_offset
         )?;
         write!(
             f,
-            " view {:?} of {members:?} {tables:?}",
+            " view {:?} with members {members:?}, tables {tables:?}",
             view.map(|view| view.number)
         )
     }
--- a/crates/trial/src/process.rs
+++ b/crates/trial/src/process.rs
@@ -1,4 +1,4 @@
-//! Processes: started, killed, frozen, ended.
+//! Starts, kills, pauses, resumes and exits of node processes.
 
 use crate::World;
 use engine::Config;
@@ -7,20 +7,22 @@
 use rand::RngExt;
 use std::time::Duration;
 
-/// How much faster or slower than the virtual clock a process's clock may run.
-const CLOCK_DRIFT: f64 = 0.001;
+/// Maximum drift of a process's clock from the virtual clock, as a fraction.
+const MAX_CLOCK_DRIFT: f64 = 0.001;
 
-/// How long a process takes to come up again.
-const START: Duration = Duration::from_millis(200);
+/// Time that a process takes to restart.
+const RESTART_DELAY: Duration = Duration::from_millis(200);
 
 impl World {
-    /// Starts a process at the node's place, as a new incarnation.
+    /// Starts the node's process as a new incarnation, unless one is running.
     pub(crate) fn start(&mut self, node: usize) {
         if self.nodes[node].engine.is_some() {
             return;
         }
         let incarnation = Incarnation(self.rng.random());
-        let clock_rate = self.rng.random_range(1.0 - CLOCK_DRIFT..1.0 + CLOCK_DRIFT);
+        let clock_rate = self
+            .rng
+            .random_range(1.0 - MAX_CLOCK_DRIFT..1.0 + MAX_CLOCK_DRIFT);
         let contacts = (0..2).map(|_| self.rng.random_range(0..self.nodes.len()));
         let contacts = contacts.map(|at| self.nodes[at].instance.addr).collect();
         let mut cfg = Config {
@@ -33,86 +35,89 @@
         cfg.once.max_log_staleness = self.cluster.max_log_staleness;
         let now = self.now;
         let engines = self.nodes.iter().filter_map(|node| node.engine.as_ref());
-        let known_version = engines.map(Engine::rules_version).max().unwrap_or(0);
-        let place = &mut self.nodes[node];
-        place.known_version = known_version;
-        place.instance.incarnation = incarnation;
-        place.incarnation = incarnation;
-        place.engine = Some(Engine::new(cfg, place.instance.clone()));
-        place.started = now;
-        place.clock_rate = clock_rate;
-        place.moved = now;
-        place.paused = false;
-        place.stopping = None;
-        place.heard_stop = None;
-        place.read_to_end = false;
-        place.tick = None;
-        place.held.clear();
-        self.note(format!("start {} as {incarnation}", self.nodes[node].name));
-        self.set_tick(node);
-        self.read_now(node);
+        let version_at_start = engines.map(Engine::rules_version).max().unwrap_or(0);
+        let node_state = &mut self.nodes[node];
+        node_state.version_at_start = version_at_start;
+        node_state.instance.incarnation = incarnation;
+        node_state.incarnation = incarnation;
+        node_state.engine = Some(Engine::new(cfg, node_state.instance.clone()));
+        node_state.started_at = now;
+        node_state.clock_rate = clock_rate;
+        node_state.pause_changed_at = now;
+        node_state.paused = false;
+        node_state.stop_requested_at = None;
+        node_state.stop_received_at = None;
+        node_state.reached_log_end = false;
+        node_state.scheduled_tick = None;
+        node_state.deferred_events.clear();
+        self.trace_event(format!("{} starts as {incarnation}", self.nodes[node].name));
+        self.schedule_tick(node);
+        self.restart_reading(node);
     }
 
-    /// Ends a process as if by `kill -9`.
+    /// Ends a process as `kill -9` does.
     pub(crate) fn kill(&mut self, node: usize) {
-        let place = &mut self.nodes[node];
-        if place.engine.take().is_none() {
+        let node_state = &mut self.nodes[node];
+        if node_state.engine.take().is_none() {
             return;
         }
-        place.paused = false;
-        place.held.clear();
-        place.runs.clear();
-        place.taken.clear();
-        let incarnation = place.incarnation;
-        for (token, waiter) in std::mem::take(&mut place.waiting) {
+        node_state.paused = false;
+        node_state.deferred_events.clear();
+        node_state.runs.clear();
+        node_state.accepted_requests.clear();
+        let incarnation = node_state.incarnation;
+        for (token, waiter) in std::mem::take(&mut node_state.pending_requests) {
             self.on_node_gone(token, waiter);
         }
-        self.close_all(incarnation);
+        self.close_connections(incarnation);
     }
 
-    /// Kills a process and starts it again.
+    /// Kills a process and starts a new one after [`RESTART_DELAY`].
     pub(crate) fn restart(&mut self, node: usize) {
         self.kill(node);
-        self.schedule_after(START, move |world| world.start(node));
+        self.schedule_after(RESTART_DELAY, move |world| world.start(node));
     }
 
+    /// Pauses a process: its events are deferred, and peers may notice its silence.
     pub(crate) fn pause(&mut self, node: usize) {
         if self.is_running(node) {
             self.nodes[node].paused = true;
-            self.nodes[node].moved = self.now;
-            self.watch_all(self.nodes[node].incarnation);
+            self.nodes[node].pause_changed_at = self.now;
+            self.schedule_silence_checks(self.nodes[node].incarnation);
         }
     }
 
+    /// Resumes a paused process and schedules its deferred events for now.
     pub(crate) fn resume(&mut self, node: usize) {
-        // A freeze that has not come yet is called off as well; else one would come long after
-        // everything was mended.
+        // A pause that still waits for the next run is cancelled as well. Otherwise it could begin
+        // long after all faults were repaired.
         self.nodes[node].pause_at_run = None;
         if !std::mem::take(&mut self.nodes[node].paused) {
             return;
         }
-        self.nodes[node].moved = self.now;
-        for event in std::mem::take(&mut self.nodes[node].held) {
-            self.enter_event(self.now, event);
+        self.nodes[node].pause_changed_at = self.now;
+        for event in std::mem::take(&mut self.nodes[node].deferred_events) {
+            self.schedule_event(self.now, event);
         }
     }
 
-    pub(crate) fn on_exit(&mut self, node: usize, from: Incarnation) {
-        if self.nodes[node].incarnation != from || self.nodes[node].engine.is_none() {
+    /// Handles the exit of a process that has reported that nothing is in flight.
+    pub(crate) fn exit(&mut self, node: usize, incarnation: Incarnation) {
+        if self.nodes[node].incarnation != incarnation || self.nodes[node].engine.is_none() {
             return;
         }
-        let place = &self.nodes[node];
-        if !place.taken.is_empty() || !place.runs.is_empty() {
-            let cut = format!(
-                "{} ended with work in flight: {:?} {:?}",
-                place.name, place.taken, place.runs
+        let node_state = &self.nodes[node];
+        if !node_state.accepted_requests.is_empty() || !node_state.runs.is_empty() {
+            let report = format!(
+                "{} exited with work in flight: requests {:?}, runs {:?}",
+                node_state.name, node_state.accepted_requests, node_state.runs
             );
-            self.violation(&cut);
+            self.record_violation(&report);
         }
-        self.note(format!("exit {}", self.nodes[node].name));
-        self.close_after_flush(from);
-        // Whoever runs the instances starts a process again that has ended without being asked.
-        if self.nodes[node].stopping.is_none() {
+        self.trace_event(format!("{} exits", self.nodes[node].name));
+        self.close_after_delivery(incarnation);
+        // The supervisor restarts a process that exits without having been asked to stop.
+        if self.nodes[node].stop_requested_at.is_none() {
             return self.restart(node);
         }
         self.kill(node);
--- a/crates/trial/src/server.rs
+++ b/crates/trial/src/server.rs
@@ -1,5 +1,5 @@
-//! The backend server's fake: slots, service time, child calls through the own node, the documented
-//! refusal, cancellation, deadlines, and crashes on certain requests.
+//! Simulated backend server, with slots, service times, child calls through its own node, the
+//! documented refusal of requests, cancellation, deadlines, and crashes on certain requests.
 
 use crate::caller::Waiter;
 use crate::ClusterConfig;
@@ -17,46 +17,47 @@
 use std::time::Duration;
 use stdx::Time;
 
-/// How long a crashed server takes to come back.
-const CRASHED_FOR: Duration = Duration::from_secs(1);
+/// Time that a crashed server takes to restart.
+const CRASH_RECOVERY_TIME: Duration = Duration::from_secs(1);
 
-/// One backend server.
+/// A simulated backend server.
 #[derive(Debug)]
-pub struct Server {
-    /// It takes connections.
+pub struct FakeBackendServer {
+    /// The server accepts connections.
     pub up: bool,
-    /// How many times longer everything takes.
+    /// Factor by which all service times are multiplied.
     pub slow_factor: u32,
-    /// Work in its slots.
+    /// Work that occupies a slot, by its id.
     pub running: IndexMap<u64, Work>,
-    /// Work that waits for a slot.
+    /// Work that waits for a slot, with its id.
     pub backlog: VecDeque<(u64, Work)>,
     slots: usize,
     max_backlog: usize,
-    next: u64,
+    next_work_id: u64,
 }
 
-/// A piece of work at a backend server.
+/// A request that a backend server works on.
 #[derive(Debug)]
 pub struct Work {
-    /// The node's name for it.
+    /// The id of the run at the node.
     pub run: RunId,
-    /// What it does: an index into [`ClusterConfig::operations`].
+    /// The requested operation, as an index into [`ClusterConfig::operations`].
     pub operation: usize,
-    /// What came with it.
+    /// The request body.
     pub body: Bytes,
     deadline: Time,
-    /// Children that were sent.
-    sent: usize,
-    /// Children without an answer.
-    open: usize,
-    /// The children's answers, by their place.
-    parts: IndexMap<usize, Bytes>,
+    /// Number of child calls sent.
+    children_sent: usize,
+    /// Number of unanswered child calls.
+    children_pending: usize,
+    /// The responses to child calls, by the index of the child.
+    child_responses: IndexMap<usize, Bytes>,
+    /// A child call has failed.
     failed: bool,
 }
 
-impl Server {
-    /// A server that is up.
+impl FakeBackendServer {
+    /// A server that accepts connections and is idle.
     pub fn new(cluster: &ClusterConfig) -> Self {
         Self {
             up: true,
@@ -65,19 +66,19 @@
             backlog: VecDeque::new(),
             slots: cluster.slots,
             max_backlog: cluster.max_backlog,
-            next: 0,
+            next_work_id: 0,
         }
     }
 
-    /// Sets how much work it does at once.
+    /// Sets the maximum number of requests that run concurrently.
     pub fn set_slots(&mut self, slots: usize) {
         self.slots = slots;
     }
 }
 
 impl ClusterConfig {
-    /// The index of the operation that a request asks for.
-    pub fn find(&self, req: &Request) -> Option<usize> {
+    /// The index of the requested operation.
+    pub fn operation_for(&self, req: &Request) -> Option<usize> {
         self.operations.iter().position(|operation| {
             operation.service == req.service
                 && operation.method == req.method
@@ -85,59 +86,63 @@
         })
     }
 
-    /// The body of a child's request.
+    /// The body of the request to the child with index `nth`.
     pub fn child_body(body: &[u8], nth: usize) -> Bytes {
         Bytes::from([body, format!(">{nth}").as_bytes()].concat())
     }
 
-    /// The whole body that a call has to be answered with.
+    /// The complete body of a successful response to a call.
     ///
     /// # Examples
     ///
     /// ```
     /// let cluster = trial::ClusterConfig::small();
-    /// assert_eq!(cluster.expected(4, b"a1"), "[royalty/rates a1]");
+    /// assert_eq!(cluster.expected_response(4, b"a1"), "[royalty/rates a1]");
     /// ```
-    pub fn expected(&self, operation: usize, body: &[u8]) -> Bytes {
+    pub fn expected_response(&self, operation: usize, body: &[u8]) -> Bytes {
         let children = self.operations[operation].children.iter().enumerate();
-        let parts: Vec<Bytes> = children
-            .map(|(nth, child)| self.expected(*child, &Self::child_body(body, nth)))
+        let child_responses: Vec<Bytes> = children
+            .map(|(nth, child)| self.expected_response(*child, &Self::child_body(body, nth)))
             .collect();
-        self.answer(operation, body, &parts)
+        self.response_body(operation, body, &child_responses)
     }
 
-    fn answer(&self, operation: usize, body: &[u8], parts: &[Bytes]) -> Bytes {
+    fn response_body(&self, operation: usize, body: &[u8], child_responses: &[Bytes]) -> Bytes {
         let operation = &self.operations[operation];
-        let head = format!("[{}{} ", operation.service, operation.path);
-        let parts = parts.concat();
-        Bytes::from([head.as_bytes(), body, &parts, b"]"].concat())
+        let prefix = format!("[{}{} ", operation.service, operation.path);
+        let child_responses = child_responses.concat();
+        Bytes::from([prefix.as_bytes(), body, &child_responses, b"]"].concat())
     }
 }
 
 impl World {
-    /// The shell's part: the last check before the bytes leave, then the server's connection.
-    pub(crate) fn on_hand_over(
+    /// Submits a run to the backend server, as the node process does: a last check before the
+    /// request is sent, then the server accepts or refuses it.
+    pub(crate) fn submit_run(
         &mut self,
         node: usize,
-        from: Incarnation,
+        incarnation: Incarnation,
         run: RunId,
         request: Request,
         deadline: Time,
         start_by: Option<Time>,
     ) {
-        let place = &self.nodes[node];
-        if place.incarnation != from || place.engine.is_none() || !place.runs.contains_key(&run) {
+        let node_state = &self.nodes[node];
+        if node_state.incarnation != incarnation
+            || node_state.engine.is_none()
+            || !node_state.runs.contains_key(&run)
+        {
             return;
         }
         let too_late = start_by.is_some_and(|start_by| self.now >= start_by);
-        if too_late || !place.server.up {
+        if too_late || !node_state.server.up {
             return self.end_run(node, run, RunEnd::NeverSent);
         }
-        let Some(operation) = self.cluster.find(&request) else {
+        let Some(operation) = self.cluster.operation_for(&request) else {
             return self.end_run(node, run, RunEnd::NeverSent);
         };
-        let full = place.server.running.len() >= place.server.slots;
-        if full && place.server.backlog.len() >= place.server.max_backlog {
+        let full = node_state.server.running.len() >= node_state.server.slots;
+        if full && node_state.server.backlog.len() >= node_state.server.max_backlog {
             let retry_after = Some(Duration::from_secs(1));
             return self.end_run(node, run, RunEnd::Refused { retry_after });
         }
@@ -146,72 +151,77 @@
             operation,
             body: request.body,
             deadline,
-            sent: 0,
-            open: 0,
-            parts: IndexMap::new(),
+            children_sent: 0,
+            children_pending: 0,
+            child_responses: IndexMap::new(),
             failed: false,
         };
         let server = &mut self.nodes[node].server;
-        let number = server.next;
-        server.next += 1;
-        self.nodes[node].runs.insert(run, Some(number));
+        let work_id = server.next_work_id;
+        server.next_work_id += 1;
+        self.nodes[node].runs.insert(run, Some(work_id));
         if full {
-            self.nodes[node].server.backlog.push_back((number, work));
+            self.nodes[node].server.backlog.push_back((work_id, work));
         } else {
-            self.begin_work(node, number, work);
+            self.start_work(node, work_id, work);
         }
     }
 
-    /// The work starts for real: from here on it counts as run.
-    fn begin_work(&mut self, node: usize, number: u64, work: Work) {
+    /// Starts work in a slot. From here on the request counts as run.
+    fn start_work(&mut self, node: usize, work_id: u64, work: Work) {
         let operation = &self.cluster.operations[work.operation];
         let body = String::from_utf8_lossy(&work.body).into_owned();
         let line = format!("{} runs {} {body}", self.nodes[node].name, operation.path);
-        let verdict = self.checker.on_run(operation, &work.body);
-        self.note(line);
-        self.check(verdict);
-        let poison = &mut self.checker.poison.iter();
+        let verdict = self.checker.on_run_started(operation, &work.body);
+        self.trace_event(line);
+        self.record_check(verdict);
+        let poison = &mut self.checker.poison_bodies.iter();
         if let Some(poison) = poison.find(|poison| body.contains(&***poison)).cloned() {
-            *self.checker.crashes.entry(poison).or_default() += 1;
+            *self.checker.crashes_by_poison.entry(poison).or_default() += 1;
             return self.crash_server(node);
         }
         let operation = &self.cluster.operations[work.operation];
         self.nominal_service_time += operation.service_time;
         let service_time = operation.service_time * self.nodes[node].server.slow_factor;
-        self.nodes[node].server.running.insert(number, work);
-        self.schedule_after(service_time, move |world| world.on_work(node, number));
+        self.nodes[node].server.running.insert(work_id, work);
+        self.schedule_after(service_time, move |world| {
+            world.continue_work(node, work_id)
+        });
     }
 
-    /// The service time is over, or a child has answered: calls the next child, or answers.
-    pub(crate) fn on_work(&mut self, node: usize, number: u64) {
-        let Some(work) = self.nodes[node].server.running.get_mut(&number) else {
+    /// Continues work after its service time or after the answer to a child call: sends the next
+    /// child call, or the response.
+    pub(crate) fn continue_work(&mut self, node: usize, work_id: u64) {
+        let Some(work) = self.nodes[node].server.running.get_mut(&work_id) else {
             return;
         };
         let operation = &self.cluster.operations[work.operation];
-        let left = !work.failed && work.sent < operation.children.len();
-        if left && (work.open == 0 || operation.parallel) {
-            let nth = work.sent;
+        let has_unsent_children = !work.failed && work.children_sent < operation.children.len();
+        if has_unsent_children && (work.children_pending == 0 || operation.parallel) {
+            let nth = work.children_sent;
             let child = operation.children[nth];
             let body = ClusterConfig::child_body(&work.body, nth);
-            work.sent += 1;
-            work.open += 1;
+            work.children_sent += 1;
+            work.children_pending += 1;
             let run = work.run;
-            self.request_child(node, number, nth, run, child, body);
-            return self.on_work(node, number);
+            self.request_child(node, work_id, nth, run, child, body);
+            return self.continue_work(node, work_id);
         }
-        if work.open > 0 {
+        if work.children_pending > 0 {
             return;
         }
-        if let Some(work) = self.nodes[node].server.running.swap_remove(&number) {
-            self.answer_work(node, work);
-            self.next_work(node);
+        if let Some(work) = self.nodes[node].server.running.swap_remove(&work_id) {
+            self.finish_work(node, work);
+            self.start_queued_work(node);
         }
     }
 
-    fn answer_work(&mut self, node: usize, mut work: Work) {
-        work.parts.sort_unstable_keys();
-        let parts: Vec<Bytes> = work.parts.into_values().collect();
-        let body = self.cluster.answer(work.operation, &work.body, &parts);
+    fn finish_work(&mut self, node: usize, mut work: Work) {
+        work.child_responses.sort_unstable_keys();
+        let child_responses: Vec<Bytes> = work.child_responses.into_values().collect();
+        let body = self
+            .cluster
+            .response_body(work.operation, &work.body, &child_responses);
         let response = Response {
             status: if work.failed { 502 } else { 200 },
             headers: Vec::new(),
@@ -224,22 +234,22 @@
         self.end_run(node, work.run, RunEnd::Response(response));
     }
 
-    fn next_work(&mut self, node: usize) {
+    fn start_queued_work(&mut self, node: usize) {
         while self.nodes[node].server.running.len() < self.nodes[node].server.slots {
-            let Some((number, work)) = self.nodes[node].server.backlog.pop_front() else {
+            let Some((work_id, work)) = self.nodes[node].server.backlog.pop_front() else {
                 return;
             };
             if self.now >= work.deadline {
                 continue;
             }
-            self.begin_work(node, number, work);
+            self.start_work(node, work_id, work);
         }
     }
 
-    pub(crate) fn on_child_answer(&mut self, waiter: Waiter, outcome: Option<Outcome>) {
+    pub(crate) fn on_child_outcome(&mut self, waiter: Waiter, outcome: Option<Outcome>) {
         let Waiter::Child {
             node,
-            work: number,
+            work: work_id,
             nth,
             operation,
             body,
@@ -248,56 +258,61 @@
         else {
             return;
         };
-        let expected = self.cluster.expected(operation, &body);
-        let Some(work) = self.nodes[node].server.running.get_mut(&number) else {
+        let expected = self.cluster.expected_response(operation, &body);
+        let Some(work) = self.nodes[node].server.running.get_mut(&work_id) else {
             return;
         };
-        work.open -= 1;
+        work.children_pending -= 1;
         match outcome {
             Some(Outcome::Completed(response)) if response.status == 200 => {
-                work.parts.insert(nth, response.body.clone());
+                work.child_responses.insert(nth, response.body.clone());
                 if response.body != expected {
-                    self.violation(&format!("not the whole answer: {response:?}"));
+                    self.record_violation(&format!(
+                        "incomplete response to a child call: {response:?}"
+                    ));
                 }
             }
             _ => work.failed = true,
         }
-        self.on_work(node, number);
+        self.continue_work(node, work_id);
     }
 
-    /// The run is over for the node. The server may still be at it.
+    /// Ends a run at the node. The server may still be working on the request.
     fn end_run(&mut self, node: usize, run: RunId, end: RunEnd) {
-        let from = self.nodes[node].incarnation;
-        if run.at == from && self.nodes[node].runs.swap_remove(&run).is_some() {
+        let incarnation = self.nodes[node].incarnation;
+        if run.at == incarnation && self.nodes[node].runs.swap_remove(&run).is_some() {
             let input = Input::RunEnded { run, end };
-            self.input(node, Duration::from_micros(100), input);
+            self.schedule_input(node, Duration::from_micros(100), input);
         }
     }
 
-    pub(crate) fn on_run_deadline(&mut self, node: usize, from: Incarnation, run: RunId) {
-        if from == self.nodes[node].incarnation {
+    pub(crate) fn on_run_deadline(&mut self, node: usize, incarnation: Incarnation, run: RunId) {
+        if incarnation == self.nodes[node].incarnation {
             self.cancel_run(node, run);
         }
     }
 
-    /// The node closes its connection: the server drops what waits and stops what runs.
+    /// Cancels a run: the node closes its connection, and the server drops the request from its
+    /// backlog or stops the work on it.
     pub(crate) fn cancel_run(&mut self, node: usize, run: RunId) {
-        let Some(number) = self.nodes[node].runs.get(&run).copied() else {
+        let Some(work_id) = self.nodes[node].runs.get(&run).copied() else {
             return;
         };
-        if let Some(number) = number {
+        if let Some(work_id) = work_id {
             self.nodes[node]
                 .server
                 .backlog
-                .retain(|(waiting, _)| *waiting != number);
-            self.nodes[node].server.running.swap_remove(&number);
-            self.next_work(node);
+                .retain(|(waiting, _)| *waiting != work_id);
+            self.nodes[node].server.running.swap_remove(&work_id);
+            self.start_queued_work(node);
         }
         self.end_run(node, run, RunEnd::Lost);
     }
 
+    /// Crashes a backend server: all its work is lost, and it is up again after
+    /// [`CRASH_RECOVERY_TIME`].
     pub(crate) fn crash_server(&mut self, node: usize) {
-        self.note(format!(
+        self.trace_event(format!(
             "backend server of {} crashes",
             self.nodes[node].name
         ));
@@ -305,14 +320,16 @@
         server.up = false;
         server.running.clear();
         server.backlog.clear();
-        let handed = self.nodes[node]
+        let with_work = self.nodes[node]
             .runs
             .iter()
-            .filter(|(_, number)| number.is_some());
-        let lost: Vec<RunId> = handed.map(|(run, _)| *run).collect();
+            .filter(|(_, work_id)| work_id.is_some());
+        let lost: Vec<RunId> = with_work.map(|(run, _)| *run).collect();
         for run in lost {
             self.end_run(node, run, RunEnd::Lost);
         }
-        self.schedule_after(CRASHED_FOR, move |world| world.nodes[node].server.up = true);
+        self.schedule_after(CRASH_RECOVERY_TIME, move |world| {
+            world.nodes[node].server.up = true
+        });
     }
 }
--- a/crates/trial/src/trace.rs
+++ b/crates/trial/src/trace.rs
@@ -1,4 +1,4 @@
-//! Recorded traces of calls and faults, with stated outcomes: one event a line.
+//! Traces: scripts of calls and faults with the expected outcomes, one event per line.
 //!
 //! ```text
 //! 5s    call POST /order/orders a1 at order-1
@@ -7,7 +7,7 @@
 //! 30s   expect-runs POST /order/orders a1 1
 //! ```
 
-use crate::plan::SETTLE;
+use crate::plan::SETTLE_TIME;
 use crate::Action;
 use crate::ActionOutcome;
 use crate::ClusterConfig;
@@ -16,22 +16,22 @@
 use std::time::Duration;
 use stdx::Time;
 
-/// Why a trace cannot be replayed, or did not end as it says.
+/// Why the replay of a trace failed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum TraceError {
-    /// The line (from 1) makes no sense.
-    BadLine(usize),
-    /// The line's stated outcome is not what happened.
-    Unexpected(usize, String),
-    /// Something that must always hold did not.
+    /// This line (from 1) cannot be parsed, or names something that does not exist.
+    InvalidLine(usize),
+    /// The outcome expected by this line (from 1) did not occur; the text says what was found.
+    UnexpectedOutcome(usize, String),
+    /// A guarantee was violated; the text is the report.
     Violation(String),
 }
 
-/// Replays a trace.
+/// Replays a trace in a [`ClusterConfig::small`] cluster with seed 1.
 ///
 /// # Errors
 ///
-/// [`TraceError`] for a line that makes no sense, or the first thing that is not as stated.
+/// [`TraceError`] for the first invalid line, unexpected outcome or violated guarantee.
 ///
 /// # Examples
 ///
@@ -44,18 +44,18 @@
 /// assert!(trial::replay("5s expect a1 whole").is_err());
 /// ```
 pub fn replay(text: &str) -> Result<World, TraceError> {
-    let (world, result) = replay_all(text);
+    let (world, result) = replay_with_world(text);
     result.map(|()| world)
 }
 
-/// Replays a trace; gives the world at its end, or where it was not as stated.
-pub fn replay_all(text: &str) -> (World, Result<(), TraceError>) {
+/// As [`replay`], but also returns the world if the replay fails, in its state at the failure.
+pub fn replay_with_world(text: &str) -> (World, Result<(), TraceError>) {
     let mut world = World::new(1, ClusterConfig::small());
     let mut result = Ok(());
-    for (nth, line) in text.lines().enumerate() {
+    for (index, line) in text.lines().enumerate() {
         let line = line.split('#').next().unwrap_or_default();
         let words: Vec<&str> = line.split_whitespace().collect();
-        result = run_line(&mut world, nth + 1, &words);
+        result = run_line(&mut world, index + 1, &words);
         if result.is_err() {
             break;
         }
@@ -63,36 +63,38 @@
     (world, result)
 }
 
-fn run_line(world: &mut World, number: usize, words: &[&str]) -> Result<(), TraceError> {
+fn run_line(world: &mut World, line_number: usize, words: &[&str]) -> Result<(), TraceError> {
     let Some((at, words)) = words.split_first() else {
         return Ok(());
     };
-    let at = duration(at).ok_or(TraceError::BadLine(number))?;
+    let at = parse_duration(at).ok_or(TraceError::InvalidLine(line_number))?;
     world.run_until(Time::ZERO + at);
-    let step = step(world, words);
+    let result = run_command(world, words);
     if let Some(violation) = world.checker.violations.first() {
         return Err(TraceError::Violation(violation.clone()));
     }
-    step.map_err(|problem| match problem {
-        None => TraceError::BadLine(number),
-        Some(got) => TraceError::Unexpected(number, got),
+    result.map_err(|error| match error {
+        None => TraceError::InvalidLine(line_number),
+        Some(actual) => TraceError::UnexpectedOutcome(line_number, actual),
     })
 }
 
-/// `None` as an error stands for a line that makes no sense, else it says what was found.
-fn step(world: &mut World, words: &[&str]) -> Result<(), Option<String>> {
+/// Runs one command. The error is `None` for an invalid line, otherwise the unexpected outcome.
+fn run_command(world: &mut World, words: &[&str]) -> Result<(), Option<String>> {
     match words {
         ["call", method, path, body, options @ ..] => {
-            let operation = world.cluster.operation(method, path).ok_or(None)?;
+            let operation = world.cluster.operation_index(method, path).ok_or(None)?;
             let mut action = Action::new(operation, body);
-            action.resends = 0;
+            action.max_resends = 0;
             let mut node = None;
             for option in options.chunks(2) {
                 match option {
-                    ["at", name] => node = Some(world.node(name).ok_or(None)?),
+                    ["at", name] => node = Some(world.node_index(name).ok_or(None)?),
                     ["key", key] => action.key = Some((*key).into()),
-                    ["patience", time] => action.attempt_timeout = duration(time).ok_or(None)?,
-                    ["resends", count] => action.resends = count.parse().map_err(|_| None)?,
+                    ["patience", time] => {
+                        action.attempt_timeout = parse_duration(time).ok_or(None)?
+                    }
+                    ["resends", count] => action.max_resends = count.parse().map_err(|_| None)?,
                     _ => return Err(None),
                 }
             }
@@ -100,36 +102,37 @@
             Ok(())
         }
         ["again", body, "at", name] => {
-            let node = Some(world.node(name).ok_or(None)?);
-            let action = find(world, body)?;
+            let node = Some(world.node_index(name).ok_or(None)?);
+            let action = action_index(world, body)?;
             world.send_again(action, node);
             Ok(())
         }
         ["settle"] => {
-            world.settle(SETTLE);
+            world.settle(SETTLE_TIME);
             Ok(())
         }
-        ["expect", body, ends @ ..] => {
-            stated(ends, outcome_name(world.actions[find(world, body)?].ended))
-        }
+        ["expect", body, expected @ ..] => expect_one_of(
+            expected,
+            outcome_name(world.actions[action_index(world, body)?].ended),
+        ),
         ["expect-runs", method, path, body, counts @ ..] => {
-            let operation = world.cluster.operation(method, path).ok_or(None)?;
+            let operation = world.cluster.operation_index(method, path).ok_or(None)?;
             let operation = &world.cluster.operations[operation];
-            let runs = world.checker.runs(operation, body.as_bytes());
-            stated(counts, runs.to_string())
+            let runs = world.checker.run_count(operation, body.as_bytes());
+            expect_one_of(counts, runs.to_string())
         }
         ["expect-crashes", poison, counts @ ..] => {
-            let crashes = world.checker.crashes.get(*poison).unwrap_or(&0);
-            stated(counts, crashes.to_string())
+            let crashes = world.checker.crashes_by_poison.get(*poison).unwrap_or(&0);
+            expect_one_of(counts, crashes.to_string())
         }
-        ["expect-all", ends @ ..] => {
-            let mut got = world
+        ["expect-all", expected @ ..] => {
+            let mut actual = world
                 .actions
                 .iter()
                 .map(|action| (action, outcome_name(action.ended)));
-            match got.find(|(_, end)| !ends.contains(&&**end)) {
+            match actual.find(|(_, outcome)| !expected.contains(&&**outcome)) {
                 None => Ok(()),
-                Some((action, end)) => Err(Some(format!("{} {end}", action.body))),
+                Some((action, outcome)) => Err(Some(format!("{} {outcome}", action.body))),
             }
         }
         ["expect-version", version] => {
@@ -142,21 +145,21 @@
             }
         }
         _ => {
-            let fault = fault(world, words).ok_or(None)?;
+            let fault = parse_fault(world, words).ok_or(None)?;
             world.inject_fault(fault);
             Ok(())
         }
     }
 }
 
-fn fault(world: &World, words: &[&str]) -> Option<Fault> {
-    let node = |name: &str| world.node(name);
+fn parse_fault(world: &World, words: &[&str]) -> Option<Fault> {
+    let node = |name: &str| world.node_index(name);
     Some(match words {
         ["kill", a] => Fault::Kill(node(a)?),
         ["restart", a] => Fault::Restart(node(a)?),
         ["replace", a] => Fault::Replace(node(a)?),
-        ["pause", a, time] => Fault::Pause(node(a)?, duration(time)?),
-        ["pause-at-run", a, time] => Fault::PauseAtRun(node(a)?, duration(time)?),
+        ["pause", a, time] => Fault::Pause(node(a)?, parse_duration(time)?),
+        ["pause-at-run", a, time] => Fault::PauseAtRun(node(a)?, parse_duration(time)?),
         ["stop", a] => Fault::Stop(node(a)?),
         ["start", a] => Fault::Start(node(a)?),
         ["cut", a, b] => Fault::Cut(node(a)?, node(b)?),
@@ -170,7 +173,7 @@
         ["log", "up"] => Fault::LogDown(false),
         ["log", "cut", a] => Fault::LogCut(node(a)?, true),
         ["log", "mend", a] => Fault::LogCut(node(a)?, false),
-        ["log", "slow", time] => Fault::LogSlow(duration(time)?),
+        ["log", "slow", time] => Fault::LogSlow(parse_duration(time)?),
         ["log", "lose", count] => Fault::LogLose(count.parse().ok()?),
         ["log", "expire", keep] => Fault::LogExpire(keep.parse().ok()?),
         ["publish", operators] => Fault::Publish(operators.parse().ok()?),
@@ -182,7 +185,7 @@
     })
 }
 
-fn find(world: &World, body: &str) -> Result<usize, Option<String>> {
+fn action_index(world: &World, body: &str) -> Result<usize, Option<String>> {
     world
         .actions
         .iter()
@@ -190,18 +193,18 @@
         .ok_or(None)
 }
 
-fn stated(allowed: &[&str], got: String) -> Result<(), Option<String>> {
-    match allowed.contains(&&*got) {
+fn expect_one_of(expected: &[&str], actual: String) -> Result<(), Option<String>> {
+    match expected.contains(&&*actual) {
         true => Ok(()),
-        false => Err(Some(got)),
+        false => Err(Some(actual)),
     }
 }
 
-fn outcome_name(end: Option<(Time, ActionOutcome)>) -> String {
-    let Some((_, end)) = end else {
+fn outcome_name(ended: Option<(Time, ActionOutcome)>) -> String {
+    let Some((_, outcome)) = ended else {
         return "none".to_owned();
     };
-    match end {
+    match outcome {
         ActionOutcome::Succeeded => "whole".to_owned(),
         ActionOutcome::Failed => "failed".to_owned(),
         ActionOutcome::NotRun(reason) => format!("not-run:{}", reason.name()),
@@ -210,7 +213,7 @@
     }
 }
 
-fn duration(word: &str) -> Option<Duration> {
+fn parse_duration(word: &str) -> Option<Duration> {
     if let Some(millis) = word.strip_suffix("ms") {
         return millis.parse().ok().map(Duration::from_millis);
     }
--- a/crates/trial/src/world.rs
+++ b/crates/trial/src/world.rs
@@ -1,4 +1,4 @@
-//! The queue of events, the nodes, and how an engine's outputs become inputs.
+//! The event queue, the nodes, and the handling of engine outputs.
 
 use crate::Action;
 use crate::ClusterConfig;
@@ -20,60 +20,62 @@
 use std::time::Duration;
 use stdx::Time;
 
-/// How many lines of the trace are kept for the report of a violation.
-const TRACE_LINES: usize = 4000;
+/// Maximum number of event trace lines kept for the report of a violation.
+const MAX_EVENT_TRACE_LINES: usize = 4000;
 
-/// Latency between a node and its own backend server.
-const LOCAL: Duration = Duration::from_micros(100);
+/// One-way latency from a node to its own backend server.
+const LOCAL_LATENCY: Duration = Duration::from_micros(100);
 
-/// How long a process lives on after it has said that nothing is in flight.
-const EXIT: Duration = Duration::from_millis(1);
+/// Time between the report of a process that nothing is in flight and its exit.
+const EXIT_DELAY: Duration = Duration::from_millis(1);
 
-/// What an event does when its time has come.
-type Effect = Box<dyn FnOnce(&mut World)>;
+/// The code that runs when an event is due.
+type EventCallback = Box<dyn FnOnce(&mut World)>;
 
-/// Something that will happen.
+/// A scheduled event.
 pub(crate) struct Event {
-    /// The node whose process has to run for it; while that is frozen, the event is held.
+    /// The node whose process handles the event. While it is paused, the event is deferred.
     process: Option<usize>,
-    pub(crate) effect: Effect,
+    pub(crate) callback: EventCallback,
 }
 
-/// Everything there is in one run.
+/// The state of one simulation run.
 pub struct World {
     /// The virtual clock.
     pub now: Time,
-    /// The only source of chance.
+    /// The only source of randomness.
     pub rng: StdRng,
-    /// What the run started with.
+    /// The configuration of the cluster.
     pub cluster: ClusterConfig,
-    /// One for each place of the cluster.
+    /// The nodes, one for each entry of [`ClusterConfig::placements`].
     pub nodes: Vec<Node>,
-    /// What is between nodes.
+    /// The simulated network.
     pub network: Network,
-    /// The store.
+    /// The simulated store.
     pub log: Log,
     /// The callers' actions.
     pub actions: Vec<Action>,
-    /// What must always hold.
+    /// Checks the system's guarantees and collects violations.
     pub checker: InvariantChecker,
-    /// Counters of all engines, by name.
+    /// The sums of all engines' counters, by name.
     pub counters: IndexMap<String, u64>,
-    /// The last events, for the report of a violation.
-    pub trace: VecDeque<String>,
-    /// Violations do not stop the run: what is measured may break the promises.
+    /// The most recent events, for the report of a violation.
+    pub event_trace: VecDeque<String>,
+    /// Violations do not stop the run, for measurements of configurations that may violate the
+    /// guarantees.
     pub continue_after_violation: bool,
-    /// Service time of all work that was begun, at servers that are not slow.
+    /// Total service time of all started work, without the servers' slow factors.
     pub nominal_service_time: Duration,
-    /// The seed.
+    /// The random seed.
     pub seed: u64,
     pub(crate) next_token: u64,
     queue: BTreeMap<(Time, u64), Event>,
-    next_event: u64,
+    last_event_id: u64,
 }
 
 impl World {
-    /// A world in which all processes start at once and the cluster's rules stand in the log.
+    /// Creates a world in which all processes start now and the cluster's rules are published in
+    /// the log.
     ///
     /// # Examples
     ///
@@ -97,13 +99,13 @@
             actions: Vec::new(),
             checker: InvariantChecker::default(),
             counters: IndexMap::new(),
-            trace: VecDeque::new(),
+            event_trace: VecDeque::new(),
             continue_after_violation: false,
             nominal_service_time: Duration::ZERO,
             seed,
             next_token: 0,
             queue: BTreeMap::new(),
-            next_event: 0,
+            last_event_id: 0,
             cluster,
         };
         let rules = world.cluster.rules.clone();
@@ -114,12 +116,12 @@
         world
     }
 
-    /// Lets time pass.
+    /// Runs the simulation for a period of virtual time.
     pub fn run_for(&mut self, time: Duration) {
         self.run_until(self.now + time);
     }
 
-    /// Lets time pass up to `end`, or to the first violation.
+    /// Runs the simulation up to `end`, or up to the first violation.
     pub fn run_until(&mut self, end: Time) {
         while let Some(next) = self.queue.first_entry() {
             let stop = !self.continue_after_violation && !self.checker.violations.is_empty();
@@ -128,124 +130,141 @@
             }
             let ((at, _), event) = next.remove_entry();
             self.now = self.now.max(at);
-            self.on_event(event);
+            self.dispatch(event);
         }
         self.now = self.now.max(end);
     }
 
-    /// Remembers a line for the report of a violation.
-    pub fn note(&mut self, line: String) {
-        if self.trace.len() == TRACE_LINES {
-            self.trace.pop_front();
+    /// Appends a line to the event trace.
+    pub fn trace_event(&mut self, line: String) {
+        if self.event_trace.len() == MAX_EVENT_TRACE_LINES {
+            self.event_trace.pop_front();
         }
         let millis = self.now.as_micros() as f64 / 1000.0;
-        self.trace.push_back(format!("{millis:>10.3} {line}"));
+        self.event_trace.push_back(format!("{millis:>10.3} {line}"));
     }
 
-    /// The index of a node by its name.
-    pub fn node(&self, name: &str) -> Option<usize> {
+    /// The index of the node with this name.
+    pub fn node_index(&self, name: &str) -> Option<usize> {
         self.nodes.iter().position(|node| node.name == name)
     }
 
-    /// Whether the node's process is there and runs.
+    /// Whether the node's process is running and not paused.
     pub fn is_running(&self, node: usize) -> bool {
         self.nodes[node].engine.is_some() && !self.nodes[node].paused
     }
 
-    /// Has something happen at a time of the virtual clock.
-    pub fn schedule_at(&mut self, at: Time, effect: impl FnOnce(&mut World) + 'static) {
-        self.enter(at, None, effect);
+    /// Schedules an event at a time of the virtual clock.
+    pub fn schedule_at(&mut self, at: Time, callback: impl FnOnce(&mut World) + 'static) {
+        self.schedule(at, None, callback);
     }
 
-    /// Has something happen after a while.
-    pub fn schedule_after(&mut self, wait: Duration, effect: impl FnOnce(&mut World) + 'static) {
-        self.enter(self.now + wait, None, effect);
+    /// Schedules an event after a delay.
+    pub fn schedule_after(&mut self, wait: Duration, callback: impl FnOnce(&mut World) + 'static) {
+        self.schedule(self.now + wait, None, callback);
     }
 
-    /// Has something happen in a node's process after a while, or later if it is frozen then.
+    /// Schedules an event in a node's process after a delay, or later if the process is paused
+    /// then.
     pub(crate) fn schedule_in_process(
         &mut self,
         process: usize,
         wait: Duration,
-        effect: impl FnOnce(&mut World) + 'static,
+        callback: impl FnOnce(&mut World) + 'static,
     ) {
-        self.enter(self.now + wait, Some(process), effect);
+        self.schedule(self.now + wait, Some(process), callback);
     }
 
-    /// Has an input reach an incarnation of a node after a while.
-    pub(crate) fn input(&mut self, node: usize, wait: Duration, input: Input) {
-        let from = self.nodes[node].incarnation;
-        self.schedule_in_process(node, wait, move |world| world.feed(node, from, input));
+    /// Schedules an input to the current incarnation of a node after a delay.
+    pub(crate) fn schedule_input(&mut self, node: usize, wait: Duration, input: Input) {
+        let incarnation = self.nodes[node].incarnation;
+        self.schedule_in_process(node, wait, move |world| {
+            world.handle_input(node, incarnation, input)
+        });
     }
 
-    fn enter(
+    fn schedule(
         &mut self,
         at: Time,
         process: Option<usize>,
-        effect: impl FnOnce(&mut World) + 'static,
+        callback: impl FnOnce(&mut World) + 'static,
     ) {
-        let effect = Box::new(effect);
-        self.enter_event(at, Event { process, effect });
+        let callback = Box::new(callback);
+        self.schedule_event(at, Event { process, callback });
     }
 
-    pub(crate) fn enter_event(&mut self, at: Time, event: Event) {
-        self.next_event += 1;
-        self.queue.insert((at, self.next_event), event);
+    pub(crate) fn schedule_event(&mut self, at: Time, event: Event) {
+        self.last_event_id += 1;
+        self.queue.insert((at, self.last_event_id), event);
     }
 
-    fn on_event(&mut self, event: Event) {
+    fn dispatch(&mut self, event: Event) {
         match event.process {
-            Some(node) if self.nodes[node].paused => self.nodes[node].held.push(event),
-            _ => (event.effect)(self),
+            Some(node) if self.nodes[node].paused => self.nodes[node].deferred_events.push(event),
+            _ => (event.callback)(self),
         }
     }
 
-    /// Tells an engine what happened, and does what it asks for.
-    pub(crate) fn feed(&mut self, node: usize, from: Incarnation, input: Input) {
-        let place = &mut self.nodes[node];
-        let now = place.time(self.now);
-        let Some(engine) = place.engine.as_mut().filter(|_| place.incarnation == from) else {
+    /// Passes an input to an engine and applies the outputs. Does nothing if the process is no
+    /// longer incarnation `from`.
+    pub(crate) fn handle_input(&mut self, node: usize, incarnation: Incarnation, input: Input) {
+        let node_state = &mut self.nodes[node];
+        let now = node_state.local_time(self.now);
+        let Some(engine) = node_state
+            .engine
+            .as_mut()
+            .filter(|_| node_state.incarnation == incarnation)
+        else {
             return;
         };
-        let before = engine.rules_version();
+        let version_before = engine.rules_version();
         let outputs = engine.handle(now, input);
         let (version, file) = (engine.rules_version(), engine.journal().file.clone());
-        if version != before {
-            let verdict = self.checker.on_version(before, version, &file);
-            self.check(verdict);
+        if version != version_before {
+            let verdict = self
+                .checker
+                .on_rules_version(version_before, version, &file);
+            self.record_check(verdict);
         }
         for output in outputs {
-            self.perform(node, output);
+            self.apply_output(node, output);
         }
-        self.set_tick(node);
+        self.schedule_tick(node);
     }
 
-    fn on_tick(&mut self, node: usize, from: Incarnation, at: Time) {
-        if self.nodes[node].incarnation == from && self.nodes[node].tick == Some(at) {
-            self.nodes[node].tick = None;
-            self.feed(node, from, Input::Tick);
+    fn on_tick(&mut self, node: usize, incarnation: Incarnation, at: Time) {
+        if self.nodes[node].incarnation == incarnation
+            && self.nodes[node].scheduled_tick == Some(at)
+        {
+            self.nodes[node].scheduled_tick = None;
+            self.handle_input(node, incarnation, Input::Tick);
         }
     }
 
-    pub(crate) fn set_tick(&mut self, node: usize) {
-        let place = &mut self.nodes[node];
-        let Some(due) = place.engine.as_ref().and_then(|engine| engine.next_timer()) else {
+    pub(crate) fn schedule_tick(&mut self, node: usize) {
+        let node_state = &mut self.nodes[node];
+        let Some(due) = node_state
+            .engine
+            .as_ref()
+            .and_then(|engine| engine.next_timer())
+        else {
             return;
         };
-        // A timer that stays due would stop the clock; a shell's timers are no finer than this.
-        let due = place.started + due.since(Time::ZERO).div_f64(place.clock_rate);
+        // A timer that stays due would stop the virtual clock. The timers of the node process have
+        // no finer resolution than this.
+        let due = node_state.started_at + due.since(Time::ZERO).div_f64(node_state.clock_rate);
         let at = due.max(self.now + Duration::from_micros(50));
-        if place.tick.is_none_or(|tick| tick > at) {
-            place.tick = Some(at);
-            let from = place.incarnation;
+        if node_state.scheduled_tick.is_none_or(|tick| tick > at) {
+            node_state.scheduled_tick = Some(at);
+            let incarnation = node_state.incarnation;
             self.schedule_in_process(node, at.since(self.now), move |world| {
-                world.on_tick(node, from, at)
+                world.on_tick(node, incarnation, at)
             });
         }
     }
 
-    fn perform(&mut self, node: usize, output: Output) {
-        let from = self.nodes[node].incarnation;
+    fn apply_output(&mut self, node: usize, output: Output) {
+        let incarnation = self.nodes[node].incarnation;
         match output {
             Output::Answer {
                 token,
@@ -255,8 +274,8 @@
                 self.on_answer(node, token, outcome, generated_key);
             }
             Output::Send { to, frame } => {
-                self.note_answer(node, &frame);
-                self.send(node, to, frame);
+                self.observe_answer(node, &frame);
+                self.send_frame(node, to, frame);
             }
             Output::Datagram { to, datagram } => self.send_datagram(node, to, datagram),
             Output::Run {
@@ -268,21 +287,21 @@
             } => {
                 let verdict = self
                     .checker
-                    .on_run_asked(&self.nodes[node], self.now, &request);
-                self.check(verdict);
+                    .on_run_submitted(&self.nodes[node], self.now, &request);
+                self.record_check(verdict);
                 let (deadline, start_by) = (
                     self.now + remaining,
                     start_within.map(|within| self.now + within),
                 );
                 self.nodes[node].runs.insert(run, None);
-                self.schedule_in_process(node, LOCAL, move |world| {
-                    world.on_hand_over(node, from, run, request, deadline, start_by);
+                self.schedule_in_process(node, LOCAL_LATENCY, move |world| {
+                    world.submit_run(node, incarnation, run, request, deadline, start_by);
                 });
                 if let Some(time) = self.nodes[node].pause_at_run.take() {
                     self.inject_fault(Fault::Pause(node, time));
                 }
                 self.schedule_in_process(node, remaining, move |world| {
-                    world.on_run_deadline(node, from, run)
+                    world.on_run_deadline(node, incarnation, run)
                 });
             }
             Output::CancelRun(run) => self.cancel_run(node, run),
@@ -290,41 +309,40 @@
                 number,
                 at,
                 entries,
-            } => self.append_from(node, number, at, entries),
+            } => self.submit_append(node, number, at, entries),
             Output::FetchState { from, known } => self.fetch_state(node, from, known),
             Output::CheckRules => self.check_rules(node),
-            Output::ReadLog => self.read_now(node),
+            Output::ReadLog => self.restart_reading(node),
             Output::Count(counter) => *self.counters.entry(counter.name()).or_insert(0) += 1,
             Output::Diagnostic(_) | Output::CheckServer { .. } => {}
-            Output::Stopped => {
-                self.schedule_in_process(node, EXIT, move |world| world.on_exit(node, from))
-            }
+            Output::Stopped => self
+                .schedule_in_process(node, EXIT_DELAY, move |world| world.exit(node, incarnation)),
         }
     }
 
-    fn note_answer(&mut self, node: usize, frame: &Frame) {
+    fn observe_answer(&mut self, node: usize, frame: &Frame) {
         if let Frame::Answer(id, answer) = frame {
             let outcome = match &answer.outcome {
-                Outcome::Completed(response) => format!("whole {}", response.status),
+                Outcome::Completed(response) => format!("completed {}", response.status),
                 other => format!("{other:?}"),
             };
             self.checker
                 .on_answer_sent(&self.nodes[node], *id, &answer.outcome);
-            self.note(format!("{} answers {id} {outcome}", self.nodes[node].name));
+            self.trace_event(format!("{} answers {id} {outcome}", self.nodes[node].name));
         }
     }
 
-    pub(crate) fn check(&mut self, verdict: Result<(), String>) {
+    pub(crate) fn record_check(&mut self, verdict: Result<(), String>) {
         if let Err(violation) = verdict {
-            self.violation(&violation);
+            self.record_violation(&violation);
         }
     }
 
-    /// Enters a violation, with all that is needed to see it again.
-    pub fn violation(&mut self, what: &str) {
+    /// Records a violation, with the seed and the time at which it can be reproduced.
+    pub fn record_violation(&mut self, description: &str) {
         let millis = self.now.as_micros() / 1000;
-        let report = format!("seed {} at {millis} ms: {what}", self.seed);
-        self.note(format!("VIOLATION {what}"));
+        let report = format!("seed {} at {millis} ms: {description}", self.seed);
+        self.trace_event(format!("VIOLATION {description}"));
         self.checker.violations.push(report);
     }
 }
--- a/crates/trial/tests/members.rs
+++ b/crates/trial/tests/members.rs
@@ -1,4 +1,4 @@
-//! Instances that come, go and come back, seen by what callers get.
+//! Instances that stop, fail and return, as seen by callers.
 
 use std::time::Duration;
 use trial::Action;
@@ -10,7 +10,7 @@
 const LOOKUP_PRESS: usize = 2;
 const CHARGE: usize = 5;
 
-/// A world that has run a while, then these faults.
+/// A world into which `faults` are injected after 12 s without faults.
 fn world(seed: u64, faults: &[Fault]) -> World {
     let mut world = World::new(seed, ClusterConfig::small());
     world.run_for(Duration::from_secs(12));
@@ -20,14 +20,15 @@
     world
 }
 
-/// Ten lookups a second at each node that takes any, for this long; none is sent again by its caller.
-fn look_up(world: &mut World, secs: u32) -> usize {
+/// Schedules ten lookups a second for `secs` seconds at each node that accepts requests, without
+/// re-sends. Returns the index of the first one.
+fn schedule_lookups(world: &mut World, secs: u32) -> usize {
     let first = world.actions.len();
     for nth in 0..secs * 10 {
         for node in 0..world.nodes.len() {
-            if world.is_running(node) && world.nodes[node].stopping.is_none() {
+            if world.is_running(node) && world.nodes[node].stop_requested_at.is_none() {
                 let mut action = Action::new(LOOKUP_PRESS, &format!("l{nth}-{node}-{first}"));
-                action.resends = 0;
+                action.max_resends = 0;
                 world.submit(
                     world.now + Duration::from_millis(100) * nth,
                     action,
@@ -39,25 +40,24 @@
     first
 }
 
-/// Lets time pass, and checks that all calls from `first` on were answered whole but for `others`.
-fn check(world: &mut World, first: usize, secs: u64, others: usize) {
+/// Runs for `secs` seconds, then checks that no guarantee was violated and that all actions from
+/// index `first` on have succeeded, except `expected_failures` of them.
+fn check(world: &mut World, first: usize, secs: u64, expected_failures: usize) {
     world.run_for(Duration::from_secs(secs));
     assert_eq!(world.checker.violations, Vec::<String>::new());
-    let not_whole = world.actions[first..]
+    let failed = world.actions[first..]
         .iter()
         .filter(|action| !matches!(action.ended, Some((_, ActionOutcome::Succeeded))));
-    let not_whole: Vec<_> = not_whole
-        .map(|action| (&action.body, action.ended))
-        .collect();
-    assert_eq!(not_whole.len(), others, "{not_whole:?}");
+    let failed: Vec<_> = failed.map(|action| (&action.body, action.ended)).collect();
+    assert_eq!(failed.len(), expected_failures, "{failed:?}");
 }
 
 fn count(world: &World, name: &str) -> u64 {
     world.counters.get(name).copied().unwrap_or(0)
 }
 
-/// How many running nodes have `node`'s present incarnation in their views.
-fn listed_at(world: &World, node: usize) -> usize {
+/// The number of running nodes whose view contains `node`'s current incarnation.
+fn count_nodes_listing(world: &World, node: usize) -> usize {
     let incarnation = world.nodes[node].incarnation;
     let engines = world.nodes.iter().filter_map(|node| node.engine.as_ref());
     engines
@@ -66,48 +66,50 @@
 }
 
 #[test]
-fn who_leaves_hands_calls_on_though_no_announcement_arrives() {
-    // A planned stop while the log is down and every datagram is lost: nobody hears of it. The
-    // callers' calls still reach the instance; each gets a typed refusal, and goes elsewhere at no
-    // cost, so that no caller notices.
+fn stopping_instance_redirects_calls_when_its_announcement_is_lost() {
+    // A graceful stop while the log is down and every datagram is lost: the other nodes do not
+    // learn of it and still send calls to the instance. Each call has to be refused as draining and
+    // redirected without spending a retry, so that no caller notices.
     let faults = [
         Fault::LogDown(true),
         Fault::Datagrams(1000, 0),
         Fault::Stop(4),
     ];
     let mut world = world(1, &faults);
-    let first = look_up(&mut world, 2);
+    let first = schedule_lookups(&mut world, 2);
     check(&mut world, first, 8, 0);
     assert!(count(&world, "redirect.draining") > 0);
     assert_eq!(count(&world, "retry.draining"), 0);
 }
 
 #[test]
-fn who_leaves_gets_nothing_once_the_announcement_has_arrived() {
-    // The same stop with a network in order: after the gossip has gone round, nobody tries the
-    // instance any more.
+fn stopping_instance_gets_no_calls_after_its_announcement() {
+    // A graceful stop while only the log is down: once gossip has spread the announcement, no node
+    // sends calls to the instance any more.
     let mut world = world(2, &[Fault::LogDown(true), Fault::Stop(4)]);
     world.run_for(Duration::from_millis(1500));
-    let first = look_up(&mut world, 2);
+    let first = schedule_lookups(&mut world, 2);
     check(&mut world, first, 8, 0);
     assert_eq!(count(&world, "redirect.draining"), 0);
 }
 
 #[test]
-fn a_killed_instance_is_evicted_by_few() {
-    // A process is killed and does not come back. Its share of the keys has no home before the log
-    // takes it out, and the log takes only some hundred appends a second from all.
+fn few_nodes_request_the_eviction_of_a_killed_instance() {
+    // A process is killed and does not restart. Its share of the keys has no home until it is
+    // evicted through the log, and the log accepts only some hundred appends a second in total, so
+    // few nodes may request the eviction.
     let mut world = world(3, &[Fault::Kill(4)]);
     world.run_for(Duration::from_secs(15));
-    assert_eq!(listed_at(&world, 4), 0);
+    assert_eq!(count_nodes_listing(&world, 4), 0);
     let asked = count(&world, "eviction_asked");
     assert!((1..=2).contains(&asked), "{asked}");
 }
 
 #[test]
-fn an_eviction_that_waits_is_dropped_when_the_instance_is_back() {
-    // The log is down while an instance is frozen. Its eviction waits for the log; when the log is
-    // back the instance is too, and taking it out would cost its share of the keys for nothing.
+fn pending_eviction_is_dropped_when_the_instance_resumes() {
+    // The log is down while an instance is paused, so its eviction waits for the log. The instance
+    // resumes before the log is up again; an eviction would then needlessly take the home of its
+    // share of the keys.
     let mut world = world(
         4,
         &[
@@ -120,13 +122,14 @@
     world.run_for(Duration::from_secs(20));
     world.inject_fault(Fault::LogDown(false));
     world.run_for(Duration::from_secs(40));
-    assert_eq!(listed_at(&world, 4), world.nodes.len());
+    assert_eq!(count_nodes_listing(&world, 4), world.nodes.len());
 }
 
 #[test]
-fn an_instance_that_starts_in_an_outage_of_the_log_is_found_and_used() {
-    // The only press instance that is left starts anew while the log is down. The others must find
-    // it through its contacts, and use it for lookups; keys have no home there.
+fn instance_started_during_a_log_outage_is_discovered_and_used() {
+    // The only remaining press instance was started while the log was down. The other nodes must
+    // discover it through its contacts and use it for lookups, though it cannot be the home of
+    // keys.
     let faults = [Fault::LogDown(true), Fault::Replace(3)];
     let mut world = world(5, &faults);
     world.run_for(Duration::from_secs(15));
@@ -134,15 +137,15 @@
         world.inject_fault(Fault::Kill(node));
     }
     world.run_for(Duration::from_secs(15));
-    let first = look_up(&mut world, 2);
+    let first = schedule_lookups(&mut world, 2);
     check(&mut world, first, 8, 0);
 }
 
 #[test]
-fn a_call_attaches_again_when_the_path_is_back() {
-    // The path to an order's home is gone for three seconds while the order runs there: first the
-    // connection goes silent, then no new one can be made. The order was done, and the shop would
-    // be told that nobody knows.
+fn call_reattaches_when_the_path_is_restored() {
+    // The path to an order's home is cut for three seconds while the order runs there: the
+    // connection goes silent, then no new one can be established. The order has run, but without
+    // reattaching its caller would be answered that the outcome is unknown.
     let mut world = world(6, &[Fault::Slow("royalty".into(), 200)]);
     for home in 6..9 {
         let cut = Fault::Cut(0, home);
@@ -155,9 +158,9 @@
     });
     let first = world.actions.len();
     let mut action = Action::new(CHARGE, "charge");
-    action.resends = 0;
+    action.max_resends = 0;
     world.submit(world.now, action, Some(0));
     check(&mut world, first, 8, 0);
     let charge = world.cluster.operations[CHARGE].clone();
-    assert_eq!(world.checker.runs(&charge, b"charge"), 1);
+    assert_eq!(world.checker.run_count(&charge, b"charge"), 1);
 }
--- a/crates/trial/tests/overload.rs
+++ b/crates/trial/tests/overload.rs
@@ -1,4 +1,4 @@
-//! The policy under load, over the whole graph.
+//! The overload policy, over the whole call graph.
 
 use proto::Reason;
 use std::time::Duration;
@@ -22,13 +22,14 @@
     );
 }
 
-/// Ten times as much is asked for as the servers can do, half of it orders. A lookup that runs
-/// though an order that came after it was refused costs a shop its sale, or its press slot.
+/// Demand is ten times the servers' capacity, a quarter of it orders. Guards against running a
+/// queued lookup after an order that arrived later was refused, which costs a shop its sale or
+/// press slot.
 #[test]
-fn lookups_are_shed_before_anything_else() {
+fn lookups_are_shed_before_other_classes() {
     for seed in 1..=2 {
         let mut world = world(seed);
-        world.checker.lookups_go_first = true;
+        world.checker.check_lookups_shed_first = true;
         for _ in 0..3 {
             for service in ["order", "press", "royalty"] {
                 world.inject_fault(Fault::Surge(service.into(), 2000));
@@ -41,17 +42,18 @@
     }
 }
 
-/// One label crashes each backend server that renders it, and its maker sends it again through one
-/// node after another, while others browse. Every server of the service would go down in turn.
+/// One request crashes each backend server that runs it, and it is sent again through one node
+/// after another while other callers send lookups. Guards against it taking down every server of
+/// the service in turn.
 #[test]
-fn a_request_that_crashes_servers_does_so_twice_at_most() {
+fn poison_request_crashes_at_most_two_servers() {
     for seed in 1..=5 {
         let mut world = world(seed);
-        let days = world.cluster.operation("GET", "/press/days").unwrap();
+        let days = world.cluster.operation_index("GET", "/press/days").unwrap();
         world.inject_fault(Fault::Poison("poison".into()));
         for nth in 0..20 {
             let mut poison = Action::new(days, "poison");
-            poison.resends = 0;
+            poison.max_resends = 0;
             poison.caller = format!("maker{nth}").into();
             let at = world.now + Duration::from_secs(3 * nth);
             world.submit(at, poison, Some(nth as usize % 9));
@@ -63,16 +65,19 @@
         world.run_for(Duration::from_secs(70));
         check(&world);
         let poison = &world.cluster.operations[days];
-        assert!(world.checker.runs(poison, b"poison") <= 2, "seed {seed}");
+        assert!(
+            world.checker.run_count(poison, b"poison") <= 2,
+            "seed {seed}"
+        );
         let quarantined = world.counters.get("not_run.quarantined").copied();
         assert!(quarantined.unwrap_or(0) >= 18, "seed {seed}");
         for action in world.actions.iter().filter(|a| a.body != "poison") {
-            let end = action.ended.map(|(_, end)| end);
-            let innocent = end != Some(ActionOutcome::NotRun(Reason::Quarantined));
-            assert!(innocent, "seed {seed}: {}", action.body);
-            let beside = action.body.starts_with("a0-");
-            let whole = beside || end == Some(ActionOutcome::Succeeded);
-            assert!(whole, "seed {seed}: {} {end:?}", action.body);
+            let outcome = action.ended.map(|(_, outcome)| outcome);
+            let not_quarantined = outcome != Some(ActionOutcome::NotRun(Reason::Quarantined));
+            assert!(not_quarantined, "seed {seed}: {}", action.body);
+            let sent_with_first_poison = action.body.starts_with("a0-");
+            let as_expected = sent_with_first_poison || outcome == Some(ActionOutcome::Succeeded);
+            assert!(as_expected, "seed {seed}: {} {outcome:?}", action.body);
         }
     }
 }
--- a/crates/trial/tests/seeds.rs
+++ b/crates/trial/tests/seeds.rs
@@ -1,6 +1,6 @@
-//! Random calls and faults by seed.
+//! Random calls and faults, generated from seeds.
 
-/// Seeds that every run of the tests goes through.
+/// The seeds of each test run.
 const SEEDS: std::ops::Range<u64> = 1..25;
 
 fn check(seed: u64, homes_move: bool) {
@@ -10,27 +10,27 @@
 }
 
 #[test]
-fn what_must_always_hold_holds_while_no_process_ends() {
+fn guarantees_hold_while_no_process_ends() {
     SEEDS.for_each(|seed| check(seed, false));
 }
 
 #[test]
-fn what_must_always_hold_holds_while_homes_move() {
+fn guarantees_hold_while_homes_move() {
     SEEDS.for_each(|seed| check(seed, true));
 }
 
-/// A freeze that waits for its node's next run comes only after everything was mended. An order in
-/// the last check then ended as unknown, through no fault of the nodes.
+/// A pause that waits for its node's next run began only after all faults were repaired. An order
+/// of the final check then ended with an unknown outcome, though no node was at fault.
 #[test]
-fn a_freeze_that_has_not_come_is_called_off_at_the_end() {
+fn pending_pause_is_cancelled_by_the_repair() {
     check(536, true);
 }
 
-/// All instances of a service are lost within a short time and others take their places. Nobody is
-/// left who could say what was granted; still, once every lease has run out and every doubt has
-/// passed, orders have to be served again.
+/// All instances of a service are lost within a short time and replaced. No node is left that knows
+/// which leases were granted. Once every lease has expired and no key's state is uncertain any
+/// more, orders have to be served again.
 #[test]
-fn a_service_that_lost_every_instance_serves_again() {
+fn service_recovers_after_losing_every_instance() {
     [2, 59, 226, 248, 367]
         .into_iter()
         .for_each(|seed| check(seed, true));
--- a/crates/trial/tests/traces.rs
+++ b/crates/trial/tests/traces.rs
@@ -1,6 +1,6 @@
-//! Recorded traces of calls and faults, with stated outcomes.
+//! Replays the traces of calls and faults and checks their expected outcomes.
 
-/// One test for each trace, named as its file.
+/// Defines a test for each trace file.
 macro_rules! traces {
     ($($name:ident $file:literal)*) => {
         $(
@@ -10,7 +10,7 @@
             }
         )*
 
-        /// A trace that no test replays would prove nothing.
+        /// Guards against trace files that no test replays.
         #[test]
         fn every_trace_is_replayed() {
             let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/traces");
