--- a/crates/trial/src/layout.rs
+++ b/crates/trial/src/cluster.rs
@@ -1,9 +1,10 @@
-//! What a run starts with: services, their operations, and where their instances are.
+//! Configuration of a simulated cluster: services, their operations, and the placement of their
+//! instances.
 
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What a backend server does for one method and path.
+/// An operation of a service: what a backend server does for one method and path.
 #[derive(Debug, Clone)]
 pub struct Operation {
     /// The service.
@@ -12,23 +13,23 @@
     pub method: Arc<str>,
     /// The path.
     pub path: Arc<str>,
-    /// How long the backend server works before it calls others.
-    pub takes: Duration,
-    /// What it calls: indices into [`Layout::operations`].
+    /// Time that the backend server works before it sends child calls.
+    pub service_time: Duration,
+    /// The operations that it calls, as indices into [`ClusterConfig::operations`].
     pub children: Vec<usize>,
-    /// Whether it calls them all at once.
+    /// Whether the child calls are sent concurrently.
     pub parallel: bool,
-    /// Retries that a root call of this operation may spend.
+    /// Retries that a root call of this operation may spend on itself and all calls below it.
     pub retries: u64,
-    /// The longest a call may take.
+    /// Maximum duration of a call.
     pub deadline: Duration,
-    /// Whether running it twice is as good as once.
+    /// Whether the operation may run more than once.
     pub idempotent: bool,
 }
 
-/// Where one instance is.
+/// The placement of one instance.
 #[derive(Debug, Clone)]
-pub struct Place {
+pub struct Placement {
     /// Its service.
     pub service: Arc<str>,
     /// Its failure domain.
@@ -37,48 +38,50 @@
     pub region: Arc<str>,
 }
 
-/// What a run starts with.
+/// The configuration of a simulated cluster.
 #[derive(Debug, Clone)]
-pub struct Layout {
-    /// What the services do.
+pub struct ClusterConfig {
+    /// The operations of all services.
     pub operations: Vec<Operation>,
-    /// One place for each instance.
-    pub places: Vec<Place>,
-    /// The rules file that is in force from the start.
+    /// One entry for each instance.
+    pub placements: Vec<Placement>,
+    /// The rules file in force from the start.
     pub rules: String,
-    /// Work that a backend server does at once.
+    /// Maximum number of requests that a backend server runs concurrently.
     pub slots: usize,
-    /// Which mechanisms of the policy under load are on.
+    /// The enabled mechanisms of the overload policy.
     pub policy: engine::Switches,
-    /// Work that waits in a backend server beyond its slots before it refuses.
-    pub backlog: usize,
-    /// How long a node goes on with its leases without hearing the log.
-    pub max_log_silence: Duration,
+    /// Maximum number of requests queued in a backend server when its slots are taken; it refuses
+    /// any more.
+    pub max_backlog: usize,
+    /// How long a node keeps its leases while it cannot read the log.
+    pub max_log_staleness: Duration,
     /// One-way latency within a failure domain, within a region and between regions.
     pub latency: [Duration; 3],
     /// One-way latency between callers and nodes.
     pub caller_latency: Duration,
 }
 
-impl Layout {
-    /// Three services, three deep, each with an instance in each of three failure domains, which
-    /// lie in two regions. Every service has a lookup and something that must not run twice.
+impl ClusterConfig {
+    /// Three services in a call tree of depth three, each with an instance in each of three failure
+    /// domains, which are in two regions. Every service has an idempotent lookup and an operation
+    /// that must not run twice.
     ///
     /// # Examples
     ///
     /// ```
-    /// assert_eq!(trial::Layout::small().places.len(), 9);
+    /// assert_eq!(trial::ClusterConfig::small().placements.len(), 9);
     /// ```
     pub fn small() -> Self {
         Self::with_instances(3)
     }
 
-    /// As [`Layout::small`], with this many instances a service, from one to three.
+    /// As [`ClusterConfig::small`], with `count` instances of each service, from one to three.
     ///
     /// # Examples
     ///
     /// ```
-    /// assert_eq!(trial::Layout::with_instances(2).places.len(), 6);
+    /// assert_eq!(trial::ClusterConfig::with_instances(2).placements.len(), 6);
     /// ```
     pub fn with_instances(count: usize) -> Self {
         let services = ["order", "press", "royalty"];
@@ -87,10 +90,10 @@
             ("milano-2", "lombardia"),
             ("padova-1", "veneto"),
         ];
-        let mut places = Vec::new();
+        let mut placements = Vec::new();
         for service in services {
             for (domain, region) in domains.into_iter().rev().take(count) {
-                places.push(Place {
+                placements.push(Placement {
                     service: service.into(),
                     failure_domain: domain.into(),
                     region: region.into(),
@@ -106,12 +109,12 @@
                 operation("royalty", "GET", "/rates", 3, &[]),
                 operation("royalty", "POST", "/charges", 5, &[]),
             ],
-            places,
+            placements,
             rules: RULES.to_owned(),
             slots: 10,
             policy: engine::Switches::ALL,
-            backlog: 40,
-            max_log_silence: once::Config::default().max_log_staleness,
+            max_backlog: 40,
+            max_log_staleness: once::Config::default().max_log_staleness,
             latency: [
                 Duration::from_micros(100),
                 Duration::from_micros(500),
@@ -122,14 +125,20 @@
     }
 }
 
-/// An operation with two retries and a deadline of four seconds; everything but `GET` must not run
-/// twice.
-fn operation(service: &str, method: &str, path: &str, takes: u64, children: &[usize]) -> Operation {
+/// An operation with two retries and a deadline of four seconds. Only `GET` operations are
+/// idempotent.
+fn operation(
+    service: &str,
+    method: &str,
+    path: &str,
+    service_time: u64,
+    children: &[usize],
+) -> Operation {
     Operation {
         service: service.into(),
         method: method.into(),
         path: path.into(),
-        takes: Duration::from_millis(takes),
+        service_time: Duration::from_millis(service_time),
         children: children.to_vec(),
         parallel: children.len() > 1,
         retries: 2,
@@ -138,8 +147,9 @@
     }
 }
 
-/// Keys are kept for longer than a caller goes on sending again, and for less than the world is given
-/// to settle: after a crash its keys are in doubt for that long.
+/// The rules of [`ClusterConfig::small`]. Key retention is longer than callers keep re-sending, and
+/// shorter than the settle time of random runs: after a crash the state of the lost keys is
+/// uncertain for the length of the retention.
 const RULES: &str = "\
 operation order GET /list class=lookup idempotent deadline=4s retries=2 # asked by Giulia
 operation order POST /orders class=order deadline=4s retries=2 # asked by Marco
--- a/crates/trial/src/lib.rs
+++ b/crates/trial/src/lib.rs
@@ -1,15 +1,17 @@
-//! Many engines in one process, on a virtual clock, between small fakes of what surrounds them:
-//! the network, the store, backend servers and callers. One queue of events, one seed.
+//! Deterministic simulation of a whole system: many engines in one process, driven by a virtual
+//! clock, one event queue and one random seed. The network, the store, the backend servers and the
+//! callers are simulated.
 //!
-//! It sees engines only as a shell does: [`engine::Engine::handle`], timers and public getters.
-//! A [`Judge`] watches what must always hold.
+//! Engines are driven only through the interface that the node process uses:
+//! [`engine::Engine::handle`], timers and public getters. An [`InvariantChecker`] checks the
+//! system's guarantees at each step.
 
 mod caller;
+mod checker;
+mod cluster;
 mod fault;
-mod judge;
-mod layout;
 mod log;
-mod net;
+mod network;
 mod node;
 mod plan;
 mod process;
@@ -18,19 +20,19 @@
 mod world;
 
 pub use caller::Action;
-pub use caller::End;
+pub use caller::ActionOutcome;
+pub use checker::InvariantChecker;
+pub use cluster::ClusterConfig;
+pub use cluster::Operation;
+pub use cluster::Placement;
 pub use fault::Fault;
-pub use judge::Judge;
-pub use layout::Layout;
-pub use layout::Operation;
-pub use layout::Place;
 pub use log::Log;
-pub use net::Net;
+pub use network::Network;
 pub use node::Node;
 pub use plan::check_seed;
 pub use plan::Plan;
-pub use server::Server;
+pub use server::FakeBackendServer;
 pub use trace::replay;
-pub use trace::replay_all;
+pub use trace::replay_with_world;
 pub use trace::TraceError;
 pub use world::World;
