--- a/crates/ctl/tests/ctl.rs
+++ b/crates/ctl/tests/ctl.rs
@@ -110,10 +110,10 @@
 async fn a_bad_file_is_not_published() {
     let store = Store::start(LOOPBACK.into()).await.unwrap();
     let (code, ..) = publish(&store, &File::new("operation"), "anna", &[]).await;
-    assert_eq!((code, store.end(TOPIC)), (2, 0));
+    assert_eq!((code, store.end_offset(TOPIC)), (2, 0));
     let long = "x".repeat(65);
     let (code, ..) = publish(&store, &File::new(RULES), &long, &[]).await;
-    assert_eq!((code, store.end(TOPIC)), (2, 0));
+    assert_eq!((code, store.end_offset(TOPIC)), (2, 0));
 }
 
 /// Two operators edit the same version and publish. Both must not believe that their rules are in
@@ -139,7 +139,7 @@
     let told =
         format!("rejected: published on top of version 1, but version 2 by {name} is in force\n");
     assert_eq!((lost.0, lost.2), (4, told));
-    assert_eq!(store.end(TOPIC), 2);
+    assert_eq!(store.end_offset(TOPIC), 2);
 
     let addr = store.addr.to_string();
     let (_, listed, _) = ctl(&["log", "--store", &addr]).await;
@@ -155,10 +155,10 @@
 #[actix_rt::test]
 async fn a_lost_answer_is_settled_by_reading() {
     let store = Store::start(LOOPBACK.into()).await.unwrap();
-    store.faults.lose_answers.set(1);
+    store.faults.drop_append_responses.set(1);
     let (code, out, _) = publish(&store, &File::new(RULES), "anna", &[]).await;
     assert_eq!((code, &*out), (0, "version 1 accepted\n"));
-    assert_eq!(store.end(TOPIC), 1);
+    assert_eq!(store.end_offset(TOPIC), 1);
 }
 
 /// The answer is lost and the store goes down, so that nobody can tell what became of the publication.
@@ -166,18 +166,18 @@
 #[actix_rt::test]
 async fn an_open_outcome_is_told_as_open() {
     let store = Store::start(LOOPBACK.into()).await.unwrap();
-    store.faults.lose_answers.set(1);
+    store.faults.drop_append_responses.set(1);
     let file = File::new(RULES);
     let goes_down = async {
-        while store.end(TOPIC) == 0 {
+        while store.end_offset(TOPIC) == 0 {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
-        store.faults.refusing.set(true);
+        store.faults.unavailable.set(true);
     };
     let ((code, _, err), ()) = tokio::join!(publish(&store, &file, "anna", &[]), goes_down);
     assert_eq!(code, 3);
     assert!(err.starts_with("outcome open: publication "), "{err}");
-    store.faults.refusing.set(false);
+    store.faults.unavailable.set(false);
     let (_, out, _) = ctl(&["log", "--store", &store.addr.to_string()]).await;
     assert!(out.starts_with("offset=0 version=1 operator=anna"), "{out}");
 }
@@ -185,7 +185,7 @@
 #[actix_rt::test]
 async fn a_store_that_is_down_is_told() {
     let store = Store::start(LOOPBACK.into()).await.unwrap();
-    store.faults.refusing.set(true);
+    store.faults.unavailable.set(true);
     let (code, _, err) = publish(&store, &File::new(RULES), "anna", &[]).await;
     assert_eq!((code, &*err), (3, "the store: status 503\n"));
     let addr = store.addr.to_string();
@@ -198,12 +198,12 @@
 #[actix_rt::test]
 async fn a_publication_that_is_taken_late_counts_once() {
     let store = Store::start(LOOPBACK.into()).await.unwrap();
-    store.faults.late_appends.set(1);
-    store.faults.late_by.set(Duration::from_millis(2200));
+    store.faults.delayed_appends.set(1);
+    store.faults.append_delay.set(Duration::from_millis(2200));
     let (code, out, _) = publish(&store, &File::new(RULES), "anna", &[]).await;
     assert_eq!((code, &*out), (0, "version 1 accepted\n"));
     tokio::time::sleep(Duration::from_millis(500)).await;
-    assert_eq!(store.end(TOPIC), 1);
+    assert_eq!(store.end_offset(TOPIC), 1);
 }
 
 /// The whole fleet was off for longer than the store keeps records. The rules are still there, and
@@ -213,10 +213,10 @@
     let store = Store::start(LOOPBACK.into()).await.unwrap();
     let file = File::new(RULES);
     assert_eq!(publish(&store, &file, "anna", &[]).await.0, 0);
-    store.expire();
+    store.expire_records();
     let (code, out, _) = publish(&store, &file, "ugo", &["--expect", "1"]).await;
     assert_eq!((code, &*out), (0, "version 2 accepted\n"));
-    store.expire();
+    store.expire_records();
 
     let node = start_node(&store).await;
     until(&node, "rules_version 2").await;
--- a/crates/node/tests/bad_input.rs
+++ b/crates/node/tests/bad_input.rs
@@ -10,8 +10,8 @@
 use common::NodeProcess;
 use common::LOOPBACK;
 use standin::Backend;
+use standin::BackendConfig;
 use standin::Store;
-use standin::Work;
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::io::AsyncReadExt;
@@ -27,7 +27,7 @@
 
 async fn start() -> (NodeProcess, Backend) {
     let store = Store::start(LOOPBACK.into()).await.unwrap();
-    let backend = Backend::start(LOOPBACK.into(), Work::default())
+    let backend = Backend::start(LOOPBACK.into(), BackendConfig::default())
         .await
         .unwrap();
     let node = NodeProcess::start_with("press", "milano-1", backend.addr, store.addr, BOUNDS);
@@ -181,7 +181,7 @@
 #[actix_rt::test]
 async fn bodies_in_flight_are_bounded_together() {
     let (node, backend) = start().await;
-    backend.work.borrow_mut().takes = Duration::from_secs(60);
+    backend.config.borrow_mut().service_time = Duration::from_secs(60);
     let body = "x".repeat(900);
     let mut first = TcpStream::connect(node.http).await.unwrap();
     first
@@ -202,7 +202,7 @@
     // When the first caller goes, its work is cancelled and its place is free again.
     drop(first);
     until_status(node.http, "runs", "0").await;
-    backend.work.borrow_mut().takes = Duration::ZERO;
+    backend.config.borrow_mut().service_time = Duration::ZERO;
     assert_eq!(
         call(node.http, "POST", "/press/free", "", &body).await.0,
         200
--- a/crates/node/tests/common/mod.rs
+++ b/crates/node/tests/common/mod.rs
@@ -5,9 +5,9 @@
 
 use indexmap::IndexMap;
 use standin::Backend;
-use standin::Child;
+use standin::BackendConfig;
+use standin::ChildCall;
 use standin::Store;
-use standin::Work;
 use std::io::BufRead;
 use std::io::BufReader;
 use std::net::SocketAddr;
@@ -124,14 +124,14 @@
 
 impl Server {
     pub async fn start(service: &str, domain: &str, store: &Store, children: &[&str]) -> Self {
-        let children = children.iter().map(|path| Child {
+        let children = children.iter().map(|path| ChildCall {
             method: awc::http::Method::POST,
             path: (*path).to_owned(),
         });
-        let work = Work {
-            takes: Duration::ZERO,
+        let work = BackendConfig {
+            service_time: Duration::ZERO,
             slots: 0,
-            children: children.collect(),
+            child_calls: children.collect(),
         };
         let backend = Backend::start(LOOPBACK.into(), work).await.unwrap();
         let node = NodeProcess::start(service, domain, backend.addr, store.addr);
--- a/crates/node/tests/links.rs
+++ b/crates/node/tests/links.rs
@@ -16,8 +16,8 @@
 use proto::PROTOCOL_VERSION;
 use relay::Relay;
 use standin::Backend;
+use standin::BackendConfig;
 use standin::Store;
-use standin::Work;
 use std::time::Duration;
 use tokio::io::AsyncReadExt;
 use tokio::io::AsyncWriteExt;
@@ -34,10 +34,10 @@
 async fn start_all(store: &Store, takes: Duration) -> (Server, Server, Relay) {
     let entry = Server::start("catalogue", "milano-1", store, &[]).await;
     let relay = Relay::start().await;
-    let work = Work {
-        takes,
+    let work = BackendConfig {
+        service_time: takes,
         slots: 0,
-        children: Vec::new(),
+        child_calls: Vec::new(),
     };
     let backend = Backend::start(LOOPBACK.into(), work).await.unwrap();
     let advertised = format!("advertised_addr = {}\n", relay.addr);
--- a/crates/node/tests/outage.rs
+++ b/crates/node/tests/outage.rs
@@ -11,8 +11,8 @@
 use common::Server;
 use common::LOOPBACK;
 use standin::Backend;
+use standin::BackendConfig;
 use standin::Store;
-use standin::Work;
 
 const RULES: &str = "operation press POST /slots class=booking deadline=20s # asked by Marco";
 
@@ -30,10 +30,10 @@
 async fn a_start_in_an_outage_passes_calls_on() {
     let store = Store::start(LOOPBACK.into()).await.unwrap();
     let server = listed_server(&store).await;
-    store.faults.refusing.set(true);
+    store.faults.unavailable.set(true);
 
     let contacts = format!("contacts = {}", server.node.peer);
-    let backend = Backend::start(LOOPBACK.into(), Work::default())
+    let backend = Backend::start(LOOPBACK.into(), BackendConfig::default())
         .await
         .unwrap();
     let late = NodeProcess::start_with("order", "milano-2", backend.addr, store.addr, &contacts);
@@ -43,7 +43,7 @@
     assert_eq!(status(late.http, "listed").await, "false");
     assert_eq!(status(late.http, "instances").await, "1");
 
-    store.faults.refusing.set(false);
+    store.faults.unavailable.set(false);
     until_status(late.http, "listed", "true").await;
 }
 
@@ -52,8 +52,8 @@
 #[actix_rt::test]
 async fn new_rules_reach_a_node_that_the_store_turns_away() {
     let store = Store::start(LOOPBACK.into()).await.unwrap();
-    let refused = store.another_listener().await.unwrap();
-    refused.faults.refusing.set(true);
+    let refused = store.add_listener().await.unwrap();
+    refused.faults.unavailable.set(true);
     let server = listed_server(&store).await;
     let contacts = format!("contacts = {}", server.node.peer);
     let cut_off = NodeProcess::start_with(
@@ -74,7 +74,7 @@
     let store = Store::start(LOOPBACK.into()).await.unwrap();
     let server = listed_server(&store).await;
     publish(&store, RULES).await;
-    store.expire();
+    store.expire_records();
 
     let late = Server::start("order", "milano-2", &store, &[]).await;
     until_status(late.node.http, "rules_version", "2").await;
--- a/crates/node/tests/pipelining.rs
+++ b/crates/node/tests/pipelining.rs
@@ -7,8 +7,8 @@
 use common::NodeProcess;
 use common::LOOPBACK;
 use standin::Backend;
+use standin::BackendConfig;
 use standin::Store;
-use standin::Work;
 use std::time::Duration;
 use tokio::io::AsyncReadExt;
 use tokio::io::AsyncWriteExt;
@@ -22,9 +22,9 @@
 
 async fn start(takes: Duration) -> (NodeProcess, Backend) {
     let store = Store::start(LOOPBACK.into()).await.unwrap();
-    let work = Work {
-        takes,
-        ..Work::default()
+    let work = BackendConfig {
+        service_time: takes,
+        ..BackendConfig::default()
     };
     let backend = Backend::start(LOOPBACK.into(), work).await.unwrap();
     let bounds = "max_body = 1000\nbody_timeout = 10s";
@@ -49,7 +49,7 @@
 }
 
 fn takes(backend: &Backend, takes: Duration) {
-    backend.work.borrow_mut().takes = takes;
+    backend.config.borrow_mut().service_time = takes;
 }
 
 /// One answer's head and body; an empty head at the connection's end.
--- a/crates/node/tests/platform.rs
+++ b/crates/node/tests/platform.rs
@@ -269,10 +269,10 @@
 #[actix_rt::test]
 async fn a_new_version_is_in_force_everywhere_once_the_store_is_back() {
     let (store, entry, press) = start().await;
-    store.faults.refusing.set(true);
+    store.faults.unavailable.set(true);
     publish(&store, 5, "/days/");
     tokio::time::sleep(Duration::from_millis(300)).await;
-    store.faults.refusing.set(false);
+    store.faults.unavailable.set(false);
     for machine in [&entry, &press] {
         while ask(machine.node.http, "GET", "/slots/7", "b", "").await.0 != 404 {
             tokio::time::sleep(Duration::from_millis(20)).await;
--- a/crates/node/tests/stop.rs
+++ b/crates/node/tests/stop.rs
@@ -41,7 +41,7 @@
     let store = Store::start(LOOPBACK.into()).await.unwrap();
     let [entry, mut leaving, staying] = start_all(&store).await;
     for server in [&leaving, &staying] {
-        server.backend.work.borrow_mut().takes = Duration::from_millis(400);
+        server.backend.config.borrow_mut().service_time = Duration::from_millis(400);
     }
     let mut calls = Vec::new();
     for n in 0..16 {
@@ -71,7 +71,7 @@
 async fn a_hangup_cuts_off_nothing() {
     let store = Store::start(LOOPBACK.into()).await.unwrap();
     let [mut entry, ..] = start_all(&store).await;
-    entry.backend.work.borrow_mut().takes = Duration::from_millis(300);
+    entry.backend.config.borrow_mut().service_time = Duration::from_millis(300);
     let http = entry.node.http;
     let lookup =
         actix_rt::spawn(async move { call(http, "GET", "/catalogue/patterns/1", "", "").await });
@@ -98,7 +98,7 @@
     }
     until_homes_are_ready(&nodes).await;
     for server in [&killed, &staying, &third] {
-        server.backend.work.borrow_mut().takes = Duration::from_millis(400);
+        server.backend.config.borrow_mut().service_time = Duration::from_millis(400);
     }
     let orders = |from: usize| {
         let http = entry.node.http;
@@ -153,7 +153,7 @@
 async fn the_last_answers_of_a_planned_stop_go_out() {
     let store = Store::start(LOOPBACK.into()).await.unwrap();
     let [mut leaving, other, _] = start_all(&store).await;
-    leaving.backend.work.borrow_mut().takes = Duration::from_millis(700);
+    leaving.backend.config.borrow_mut().service_time = Duration::from_millis(700);
     let lookups = [&leaving, &other].map(|server| {
         let http = server.node.http;
         let sent = (0..150).map(|n| {
--- a/crates/standin/examples/backend_server.rs
+++ b/crates/standin/examples/backend_server.rs
@@ -2,8 +2,8 @@
 //! where each `METHOD/PATH` is a call that it makes through its node.
 
 use bilberry_standin::Backend;
-use bilberry_standin::Child;
-use bilberry_standin::Work;
+use bilberry_standin::BackendConfig;
+use bilberry_standin::ChildCall;
 use std::time::Duration;
 
 #[actix_rt::main]
@@ -22,10 +22,10 @@
         .and_then(|arg| arg.parse().ok())
         .expect("TAKES_MS is a number");
     let children = args.map(|arg| child(&arg)).collect();
-    let work = Work {
-        takes: Duration::from_millis(takes),
+    let work = BackendConfig {
+        service_time: Duration::from_millis(takes),
         slots: 0,
-        children,
+        child_calls: children,
     };
     let backend = Backend::start(addr, work)
         .await
@@ -35,9 +35,9 @@
     std::future::pending::<()>().await;
 }
 
-fn child(arg: &str) -> Child {
+fn child(arg: &str) -> ChildCall {
     let (method, path) = arg.split_once('/').expect("a child is METHOD/PATH");
-    Child {
+    ChildCall {
         method: method.parse().expect("a method"),
         path: format!("/{path}"),
     }
--- a/crates/standin/examples/cpu.rs
+++ b/crates/standin/examples/cpu.rs
@@ -5,11 +5,11 @@
 
 use awc::http::Method;
 use bilberry_standin::run_load;
+use bilberry_standin::BackendConfig;
 use bilberry_standin::Deployment;
-use bilberry_standin::Kind;
-use bilberry_standin::Load;
-use bilberry_standin::Place;
-use bilberry_standin::Work;
+use bilberry_standin::InstanceConfig;
+use bilberry_standin::LoadConfig;
+use bilberry_standin::RequestKind;
 use std::time::Duration;
 
 const RULES: &str = "\
@@ -24,13 +24,13 @@
 async fn main() {
     let seconds = std::env::args().nth(1).and_then(|arg| arg.parse().ok());
     let seconds = seconds.unwrap_or(10);
-    let place = |service| Place {
+    let place = |service| InstanceConfig {
         service,
         failure_domain: "milano-1",
         region: "lombardia",
-        work: Work {
-            takes: Duration::from_millis(2),
-            ..Work::default()
+        backend: BackendConfig {
+            service_time: Duration::from_millis(2),
+            ..BackendConfig::default()
         },
     };
     let deployment = Deployment::start(&[place("counter"), place("catalogue")]);
@@ -55,7 +55,7 @@
         for rate in RATES {
             let mut measured = Vec::new();
             for base in [&direct, &through] {
-                let kind = Kind {
+                let kind = RequestKind {
                     method: method.clone(),
                     url: format!("{base}{path}"),
                     keyed,
@@ -63,7 +63,7 @@
                 let before = (counter.cpu_time(), catalogue.cpu_time());
                 let report = run_load(load(kind, rate, seconds)).await;
                 let after = (counter.cpu_time(), catalogue.cpu_time());
-                measured.push((report.whole[0], after.0 - before.0, after.1 - before.1));
+                measured.push((report.completed[0], after.0 - before.0, after.1 - before.1));
             }
             let micros = |time: Duration| time.as_micros() as f64 / f64::from(rate * seconds);
             let (whole, entry, server) = measured[1];
@@ -76,11 +76,11 @@
     }
 }
 
-fn load(kind: Kind, rate: u32, seconds: u32) -> Load {
-    Load {
+fn load(kind: RequestKind, rate: u32, seconds: u32) -> LoadConfig {
+    LoadConfig {
         kinds: vec![kind],
         interval: Duration::from_secs(1) / rate,
         count: rate * seconds,
-        patience: Duration::from_secs(5),
+        caller_timeout: Duration::from_secs(5),
     }
 }
--- a/crates/standin/examples/latency.rs
+++ b/crates/standin/examples/latency.rs
@@ -3,11 +3,11 @@
 
 use awc::http::Method;
 use bilberry_standin::run_load;
+use bilberry_standin::BackendConfig;
 use bilberry_standin::Deployment;
-use bilberry_standin::Kind;
-use bilberry_standin::Load;
-use bilberry_standin::Place;
-use bilberry_standin::Work;
+use bilberry_standin::InstanceConfig;
+use bilberry_standin::LoadConfig;
+use bilberry_standin::RequestKind;
 use std::time::Duration;
 
 const RULES: &str = "\
@@ -22,14 +22,14 @@
         .filter_map(|arg| arg.parse::<u32>().ok());
     let rate = args.next().unwrap_or(1_000);
     let seconds = args.next().unwrap_or(20);
-    let place = |service| Place {
+    let place = |service| InstanceConfig {
         service,
         failure_domain: "milano-1",
         region: "lombardia",
-        work: Work {
-            takes: Duration::from_millis(2),
+        backend: BackendConfig {
+            service_time: Duration::from_millis(2),
             slots: 0,
-            children: Vec::new(),
+            child_calls: Vec::new(),
         },
     };
     let deployment = Deployment::start(&[place("counter"), place("catalogue")]);
@@ -39,7 +39,7 @@
     };
     let through = format!("http://{}/catalogue", counter.http_addr);
     let direct = format!("http://{}", catalogue.backend_addr);
-    let kind = |method: &Method, url: String, keyed| Kind {
+    let kind = |method: &Method, url: String, keyed| RequestKind {
         method: method.clone(),
         url,
         keyed,
@@ -51,11 +51,11 @@
         kind(&Method::POST, format!("{through}/orders"), true),
     ];
     // Half of the rate goes through the nodes; the other half is the comparison.
-    let load = |seconds: u32| Load {
+    let load = |seconds: u32| LoadConfig {
         kinds: kinds.clone(),
         interval: Duration::from_secs(1) / (2 * rate),
         count: 2 * rate * seconds,
-        patience: Duration::from_secs(5),
+        caller_timeout: Duration::from_secs(5),
     };
     run_load(load(2)).await;
     let report = run_load(load(seconds)).await;
@@ -71,10 +71,10 @@
         "", "whole", "other", "p50", "p99"
     );
     for (index, name) in names.iter().enumerate() {
-        let micros = &report.micros[index];
+        let micros = &report.latencies_us[index];
         println!(
             "{name:<20}{:>8}{:>8}{:>8}{:>8}",
-            report.whole[index],
+            report.completed[index],
             report.not_run[index] + report.other[index],
             micros.value_at_quantile(0.5),
             micros.value_at_quantile(0.99),
@@ -82,8 +82,8 @@
     }
     for (name, direct, through) in [("lookup", 0, 1), ("order", 2, 3)] {
         let added = |quantile| {
-            let direct = report.micros[direct].value_at_quantile(quantile) as i64;
-            report.micros[through].value_at_quantile(quantile) as i64 - direct
+            let direct = report.latencies_us[direct].value_at_quantile(quantile) as i64;
+            report.latencies_us[through].value_at_quantile(quantile) as i64 - direct
         };
         println!(
             "added to a {name}: p50 {} us, p99 {} us",
--- a/crates/standin/examples/quickstart.rs
+++ b/crates/standin/examples/quickstart.rs
@@ -1,15 +1,15 @@
 //! A small deployment in one process, a load above its capacity, and a table of what became of it.
 
 use awc::http::Method;
+use bilberry_standin::fetch_status_page;
 use bilberry_standin::run_load;
-use bilberry_standin::status_page;
-use bilberry_standin::Child;
+use bilberry_standin::BackendConfig;
+use bilberry_standin::ChildCall;
 use bilberry_standin::Deployment;
-use bilberry_standin::Kind;
-use bilberry_standin::Load;
-use bilberry_standin::Place;
-use bilberry_standin::Report;
-use bilberry_standin::Work;
+use bilberry_standin::InstanceConfig;
+use bilberry_standin::LoadConfig;
+use bilberry_standin::LoadReport;
+use bilberry_standin::RequestKind;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -34,69 +34,70 @@
     println!("all nodes stopped gracefully");
 }
 
-fn places() -> Vec<Place> {
-    let call = |path: &str| Child {
+fn places() -> Vec<InstanceConfig> {
+    let call = |path: &str| ChildCall {
         method: Method::POST,
         path: path.to_owned(),
     };
-    let lookup = Work {
-        takes: Duration::from_millis(9),
+    let lookup = BackendConfig {
+        service_time: Duration::from_millis(9),
         slots: 4,
-        children: Vec::new(),
+        child_calls: Vec::new(),
     };
-    let order = Work {
-        children: vec![call("/press/slots")],
-        ..Work::default()
+    let order = BackendConfig {
+        child_calls: vec![call("/press/slots")],
+        ..BackendConfig::default()
     };
-    let press = Work {
-        takes: Duration::from_millis(4),
-        ..Work::default()
+    let press = BackendConfig {
+        service_time: Duration::from_millis(4),
+        ..BackendConfig::default()
     };
     let mut places = Vec::new();
     for (failure_domain, region) in [("milano-1", "lombardia"), ("verona-1", "veneto")] {
         for (service, work) in [("catalogue", &lookup), ("order", &order), ("press", &press)] {
-            places.push(Place {
+            places.push(InstanceConfig {
                 service,
                 failure_domain,
                 region,
-                work: work.clone(),
+                backend: work.clone(),
             });
         }
     }
     places
 }
 
-fn load(deployment: &Deployment) -> Load {
+fn load(deployment: &Deployment) -> LoadConfig {
     let entry = |n: usize| deployment.instances[n % deployment.instances.len()].http_addr;
-    let lookup = |n| Kind {
+    let lookup = |n| RequestKind {
         method: Method::GET,
         url: format!("http://{}/catalogue/patterns/{{n}}", entry(n)),
         keyed: false,
     };
-    let order = |n| Kind {
+    let order = |n| RequestKind {
         method: Method::POST,
         url: format!("http://{}/order/orders", entry(n)),
         keyed: true,
     };
-    Load {
+    LoadConfig {
         kinds: vec![lookup(0), lookup(2), lookup(3), order(5)],
         interval: Duration::from_secs(1) / RATE,
         count: RATE * SECONDS,
-        patience: Duration::from_secs(5),
+        caller_timeout: Duration::from_secs(5),
     }
 }
 
-fn print_report(report: &Report) {
+fn print_report(report: &LoadReport) {
     println!("\nwhat callers saw");
     println!(
         "{:<10}{:>8}{:>9}{:>8}{:>10}{:>10}",
         "", "whole", "not run", "other", "p50 ms", "p99 ms"
     );
     for (index, name) in ["lookup", "lookup", "lookup", "order"].iter().enumerate() {
-        let millis = |quantile| report.micros[index].value_at_quantile(quantile) as f64 / 1000.0;
+        let millis =
+            |quantile| report.latencies_us[index].value_at_quantile(quantile) as f64 / 1000.0;
         println!(
             "{name:<10}{:>8}{:>9}{:>8}{:>10.1}{:>10.1}",
-            report.whole[index],
+            report.completed[index],
             report.not_run[index],
             report.other[index],
             millis(0.5),
@@ -108,7 +109,7 @@
 async fn print_counters(deployment: &Deployment) {
     let mut totals = BTreeMap::new();
     for instance in &deployment.instances {
-        let page = status_page(instance.http_addr).await;
+        let page = fetch_status_page(instance.http_addr).await;
         let counters = page
             .lines()
             .filter_map(|line| line.strip_prefix("counter."));
--- a/crates/standin/src/backend.rs
+++ b/crates/standin/src/backend.rs
@@ -22,7 +22,7 @@
 
 /// A call that the server makes for each request that it serves.
 #[derive(Debug, Clone)]
-pub struct Child {
+pub struct ChildCall {
     /// The method.
     pub method: awc::http::Method,
     /// `/SERVICE/REST`.
@@ -31,13 +31,13 @@
 
 /// What the server does for a request.
 #[derive(Debug, Clone, Default)]
-pub struct Work {
+pub struct BackendConfig {
     /// How long it takes.
-    pub takes: Duration,
+    pub service_time: Duration,
     /// How many requests it works on at a time; the others wait inside it. 0: all at once.
     pub slots: usize,
     /// What it calls, one after another, before it answers.
-    pub children: Vec<Child>,
+    pub child_calls: Vec<ChildCall>,
 }
 
 /// A backend server's stand-in.
@@ -48,7 +48,7 @@
     /// Its own node; it calls others through it.
     pub node: Rc<Cell<Option<SocketAddr>>>,
     /// What it does.
-    pub work: Rc<RefCell<Work>>,
+    pub config: Rc<RefCell<BackendConfig>>,
     /// Runs begun, by `Idempotency-Key`, or by path without one.
     pub runs: Rc<RefCell<IndexMap<String, u32>>>,
     client: awc::Client,
@@ -57,17 +57,17 @@
 
 impl Backend {
     /// Starts a server on `addr`, for as long as the system runs.
-    pub async fn start(addr: SocketAddr, work: Work) -> std::io::Result<Self> {
+    pub async fn start(addr: SocketAddr, config: BackendConfig) -> std::io::Result<Self> {
         let listener = TcpListener::bind(addr).await?;
-        let slots = if work.slots == 0 {
+        let slots = if config.slots == 0 {
             Semaphore::MAX_PERMITS
         } else {
-            work.slots
+            config.slots
         };
         let backend = Self {
             addr: listener.local_addr()?,
             node: Rc::default(),
-            work: Rc::new(RefCell::new(work)),
+            config: Rc::new(RefCell::new(config)),
             runs: Rc::default(),
             slots: Rc::new(Semaphore::new(slots)),
             client: awc::Client::builder()
@@ -92,13 +92,13 @@
         let header = |name| req.headers().get(name)?.to_str().ok().map(str::to_owned);
         let key = header(KEY_HEADER).unwrap_or_else(|| req.path().to_owned());
         *self.runs.borrow_mut().entry(key).or_insert(0) += 1;
-        let work = self.work.borrow().clone();
+        let config = self.config.borrow().clone();
         let slot = self.slots.acquire().await;
-        tokio::time::sleep(work.takes).await;
+        tokio::time::sleep(config.service_time).await;
         drop(slot);
         let context = header(CONTEXT_HEADER).unwrap_or_default();
         let mut answer = body.to_vec();
-        for child in &work.children {
+        for child in &config.child_calls {
             match self.call(child, &context, body.clone()).await {
                 Ok(part) => answer.extend_from_slice(&part),
                 Err(status) => return Response::new(status),
@@ -108,7 +108,12 @@
         ok(answer)
     }
 
-    async fn call(&self, child: &Child, context: &str, body: Bytes) -> Result<Bytes, StatusCode> {
+    async fn call(
+        &self,
+        child: &ChildCall,
+        context: &str,
+        body: Bytes,
+    ) -> Result<Bytes, StatusCode> {
         let node = self.node.get().ok_or(StatusCode::INTERNAL_SERVER_ERROR)?;
         let url = format!("http://{node}{}", child.path);
         let req = self.client.request(child.method.clone(), url);
--- a/crates/standin/src/deployment.rs
+++ b/crates/standin/src/deployment.rs
@@ -2,8 +2,8 @@
 //! node and a backend server beside it.
 
 use crate::Backend;
+use crate::BackendConfig;
 use crate::Store;
-use crate::Work;
 use journal::Record;
 use node::Settings;
 use std::net::SocketAddr;
@@ -17,7 +17,7 @@
 
 /// Where an instance belongs and what its backend server does.
 #[derive(Debug, Clone)]
-pub struct Place {
+pub struct InstanceConfig {
     /// The service.
     pub service: &'static str,
     /// The failure domain.
@@ -25,11 +25,11 @@
     /// The region.
     pub region: &'static str,
     /// What the backend server does.
-    pub work: Work,
+    pub backend: BackendConfig,
 }
 
 /// An instance on a thread of its own.
-pub struct Running {
+pub struct InstanceHandle {
     /// Its service.
     pub service: &'static str,
     /// Where its node takes HTTP.
@@ -42,7 +42,7 @@
     thread: Option<std::thread::JoinHandle<()>>,
 }
 
-impl Running {
+impl InstanceHandle {
     /// Processor time of the instance's thread so far: its node and its backend server.
     pub fn cpu_time(&self) -> Duration {
         let page = std::fs::read_to_string(&self.schedstat).unwrap_or_default();
@@ -66,7 +66,7 @@
     /// Where the store listens.
     pub store_addr: SocketAddr,
     /// The instances, in the order of their places.
-    pub instances: Vec<Running>,
+    pub instances: Vec<InstanceHandle>,
 }
 
 impl Deployment {
@@ -75,7 +75,7 @@
     /// # Panics
     ///
     /// If a loopback port cannot be had.
-    pub fn start(places: &[Place]) -> Self {
+    pub fn start(places: &[InstanceConfig]) -> Self {
         let store_addr = start_store();
         let instances = places
             .iter()
@@ -105,8 +105,14 @@
         appended.expect("the store answers");
         let all = self.instances.len().to_string();
         for instance in &self.instances {
-            while status(instance.http_addr, "rules_version").await.as_deref() != Some("1")
-                || status(instance.http_addr, "instances").await.as_deref() != Some(&all)
+            while status_value(instance.http_addr, "rules_version")
+                .await
+                .as_deref()
+                != Some("1")
+                || status_value(instance.http_addr, "instances")
+                    .await
+                    .as_deref()
+                    != Some(&all)
             {
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
@@ -115,14 +121,14 @@
 }
 
 /// The value of a line of a node's status page.
-pub async fn status(node: SocketAddr, key: &str) -> Option<String> {
-    let page = status_page(node).await;
+pub async fn status_value(node: SocketAddr, key: &str) -> Option<String> {
+    let page = fetch_status_page(node).await;
     let value = |line: &str| Some(line.strip_prefix(key)?.strip_prefix(' ')?.to_owned());
     page.lines().find_map(value)
 }
 
 /// A node's whole status page; empty if it does not answer.
-pub async fn status_page(node: SocketAddr) -> String {
+pub async fn fetch_status_page(node: SocketAddr) -> String {
     let client = awc::Client::new();
     let Ok(mut response) = client.get(format!("http://{node}/-/status")).send().await else {
         return String::new();
@@ -145,13 +151,13 @@
     rx.recv().expect("the store's thread has started")
 }
 
-fn start_instance(place: Place, store: SocketAddr) -> Running {
+fn start_instance(place: InstanceConfig, store: SocketAddr) -> InstanceHandle {
     let service = place.service;
     let (tx, rx) = mpsc::channel();
     let (stop, stopped) = oneshot::channel();
     let thread = std::thread::spawn(move || {
         actix_rt::System::new().block_on(async {
-            let backend = Backend::start(LOOPBACK.into(), place.work.clone());
+            let backend = Backend::start(LOOPBACK.into(), place.backend.clone());
             let backend = backend.await.expect("a loopback port is free");
             let settings = settings(&place, backend.addr, store);
             let node = node::start(settings)
@@ -168,7 +174,7 @@
     });
     let (http_addr, backend_addr, schedstat) =
         rx.recv().expect("the instance's thread has started");
-    Running {
+    InstanceHandle {
         service,
         http_addr,
         backend_addr,
@@ -178,7 +184,7 @@
     }
 }
 
-fn settings(place: &Place, backend: SocketAddr, store: SocketAddr) -> Settings {
+fn settings(place: &InstanceConfig, backend: SocketAddr, store: SocketAddr) -> Settings {
     let text = format!(
         "[node]\nservice = {}\nfailure_domain = {}\nregion = {}\n\
          http_addr = 127.0.0.1:0\npeer_addr = 127.0.0.1:0\n\
--- a/crates/standin/src/load.rs
+++ b/crates/standin/src/load.rs
@@ -12,7 +12,7 @@
 
 /// One kind of request of the mix.
 #[derive(Debug, Clone)]
-pub struct Kind {
+pub struct RequestKind {
     /// The method.
     pub method: Method,
     /// The whole URL; `{n}` in it stands for the count of the request, so that no two are the same.
@@ -23,48 +23,48 @@
 
 /// A load: `count` requests, one every `interval`, over the kinds in turn.
 #[derive(Debug, Clone)]
-pub struct Load {
+pub struct LoadConfig {
     /// The mix.
-    pub kinds: Vec<Kind>,
+    pub kinds: Vec<RequestKind>,
     /// The time between two requests.
     pub interval: Duration,
     /// How many requests there are in all.
     pub count: u32,
     /// How long a caller waits.
-    pub patience: Duration,
+    pub caller_timeout: Duration,
 }
 
 /// What became of a load, one entry a kind.
-pub struct Report {
+pub struct LoadReport {
     /// Whole answers.
-    pub whole: Vec<u32>,
+    pub completed: Vec<u32>,
     /// Answers that say not run.
     pub not_run: Vec<u32>,
     /// Everything else.
     pub other: Vec<u32>,
     /// Times of whole answers, in microseconds.
-    pub micros: Vec<Histogram<u64>>,
+    pub latencies_us: Vec<Histogram<u64>>,
 }
 
-impl Report {
+impl LoadReport {
     fn new(kinds: usize) -> Self {
         let histogram = || Histogram::new_with_max(MAX_MICROS, 3).expect("the bounds are allowed");
         Self {
-            whole: vec![0; kinds],
+            completed: vec![0; kinds],
             not_run: vec![0; kinds],
             other: vec![0; kinds],
-            micros: (0..kinds).map(|_| histogram()).collect(),
+            latencies_us: (0..kinds).map(|_| histogram()).collect(),
         }
     }
 }
 
 /// Runs a load to its end.
-pub async fn run(load: Load) -> Report {
+pub async fn run(load: LoadConfig) -> LoadReport {
     let client = awc::Client::builder()
         .disable_redirects()
-        .timeout(load.patience)
+        .timeout(load.caller_timeout)
         .finish();
-    let report = Rc::new(RefCell::new(Report::new(load.kinds.len())));
+    let report = Rc::new(RefCell::new(LoadReport::new(load.kinds.len())));
     let start = Instant::now();
     let mut tasks = Vec::new();
     for n in 0..load.count {
@@ -78,10 +78,15 @@
     for task in tasks {
         let _ = task.await;
     }
-    report.replace(Report::new(0))
+    report.replace(LoadReport::new(0))
 }
 
-async fn send(client: awc::Client, kind: Kind, index: usize, report: Rc<RefCell<Report>>) {
+async fn send(
+    client: awc::Client,
+    kind: RequestKind,
+    index: usize,
+    report: Rc<RefCell<LoadReport>>,
+) {
     let mut req = client.request(kind.method, kind.url);
     if kind.keyed {
         req = req.insert_header(("idempotency-key", uuid::Uuid::new_v4().to_string()));
@@ -104,8 +109,8 @@
     let mut report = report.borrow_mut();
     match outcome.as_deref() {
         Some("whole") => {
-            report.whole[index] += 1;
-            report.micros[index].saturating_record(micros);
+            report.completed[index] += 1;
+            report.latencies_us[index].saturating_record(micros);
         }
         Some("not-run") => report.not_run[index] += 1,
         _ => report.other[index] += 1,
--- a/crates/standin/src/store.rs
+++ b/crates/standin/src/store.rs
@@ -40,18 +40,18 @@
 #[derive(Debug, Default)]
 pub struct StoreFaults {
     /// Nothing takes effect, and each call is answered with 503.
-    pub refusing: Cell<bool>,
+    pub unavailable: Cell<bool>,
     /// Nothing takes effect, and nothing is answered.
-    pub silent: Cell<bool>,
+    pub unresponsive: Cell<bool>,
     /// The answers of this many appends are lost after they took effect.
-    pub lose_answers: Cell<u32>,
+    pub drop_append_responses: Cell<u32>,
     /// This many appends are not answered, and take effect after `late_by` if their condition still
     /// holds then.
-    pub late_appends: Cell<u32>,
+    pub delayed_appends: Cell<u32>,
     /// How much later those take effect.
-    pub late_by: Cell<Duration>,
+    pub append_delay: Cell<Duration>,
     /// How much longer each answer takes; an append takes effect after it.
-    pub delay: Cell<Duration>,
+    pub response_delay: Cell<Duration>,
 }
 
 #[derive(Default)]
@@ -69,7 +69,7 @@
     /// What goes wrong here.
     pub faults: Rc<StoreFaults>,
     /// Calls answered here, by path.
-    pub calls: Rc<RefCell<IndexMap<String, u32>>>,
+    pub call_counts: Rc<RefCell<IndexMap<String, u32>>>,
     data: Rc<Data>,
 }
 
@@ -118,7 +118,7 @@
 
     /// Another listener on the same data, with faults of its own: how the store is met by machines that
     /// it turns away while it serves the others.
-    pub async fn another_listener(&self) -> std::io::Result<Self> {
+    pub async fn add_listener(&self) -> std::io::Result<Self> {
         let addr = SocketAddr::new(self.addr.ip(), 0);
         Self::open(addr, self.data.clone()).await
     }
@@ -128,7 +128,7 @@
         let store = Self {
             addr: listener.local_addr()?,
             faults: Rc::default(),
-            calls: Rc::default(),
+            call_counts: Rc::default(),
             data,
         };
         let serving = store.clone();
@@ -152,12 +152,12 @@
     }
 
     /// The offset that the next record of a topic's first partition gets.
-    pub fn end(&self, topic: &str) -> u64 {
+    pub fn end_offset(&self, topic: &str) -> u64 {
         self.with_partition(topic, 0, |partition| partition.end())
     }
 
     /// Forgets all records but the newest of each key.
-    pub fn expire(&self) {
+    pub fn expire_records(&self) {
         for partition in self.data.partitions.borrow_mut().values_mut() {
             partition.trim(partition.end());
         }
@@ -196,15 +196,19 @@
 
     async fn handle(&self, mut req: Request) -> Response<BoxBody> {
         let body = http::body(&mut req).await;
-        tokio::time::sleep(self.faults.delay.get()).await;
-        if self.faults.silent.get() {
+        tokio::time::sleep(self.faults.response_delay.get()).await;
+        if self.faults.unresponsive.get() {
             return std::future::pending().await;
         }
-        if self.faults.refusing.get() {
+        if self.faults.unavailable.get() {
             return Response::new(StatusCode::SERVICE_UNAVAILABLE);
         }
         let path = req.path().to_owned();
-        *self.calls.borrow_mut().entry(path.clone()).or_insert(0) += 1;
+        *self
+            .call_counts
+            .borrow_mut()
+            .entry(path.clone())
+            .or_insert(0) += 1;
         let topic: String = http::query(&req, "topic").unwrap_or_default();
         let part = http::query(&req, "part").unwrap_or(0);
         match &*path {
@@ -240,21 +244,21 @@
             at: http::query(req, "at"),
             producer,
         };
-        let late = self.faults.late_appends.get();
+        let late = self.faults.delayed_appends.get();
         if late > 0 {
-            self.faults.late_appends.set(late - 1);
+            self.faults.delayed_appends.set(late - 1);
             let (store, topic) = (self.clone(), topic.to_owned());
             actix_rt::spawn(async move {
-                tokio::time::sleep(store.faults.late_by.get()).await;
+                tokio::time::sleep(store.faults.append_delay.get()).await;
                 // Nobody waits for the answer.
                 let _ = store.apply(&topic, part, &conditions, body);
             });
             return std::future::pending().await;
         }
         let done = self.apply(topic, part, &conditions, body);
-        let lose = self.faults.lose_answers.get();
+        let lose = self.faults.drop_append_responses.get();
         if lose > 0 {
-            self.faults.lose_answers.set(lose - 1);
+            self.faults.drop_append_responses.set(lose - 1);
             return std::future::pending().await;
         }
         let refused = |why, expected| json(StatusCode::CONFLICT, &Refused { why, expected });
@@ -281,7 +285,7 @@
                 break;
             }
         }
-        if self.faults.refusing.get() {
+        if self.faults.unavailable.get() {
             return Response::new(StatusCode::SERVICE_UNAVAILABLE);
         }
         self.with_partition(topic, part, |partition| {
