--- a/crates/ctl/src/args.rs
+++ b/crates/ctl/src/args.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Command-line arguments.
 
 use gumdrop::Options;
 use std::net::SocketAddr;
@@ -15,7 +15,7 @@
     pub(crate) command: Option<Command>,
 }
 
-/// What to do.
+/// The command to run.
 #[derive(Debug, Options)]
 pub(crate) enum Command {
     #[options(help = "check a rules file")]
@@ -24,11 +24,13 @@
     Publish(Publish),
     #[options(help = "show the version, lag and refusals of nodes")]
     Status(Status),
-    #[options(help = "show which rules decide a call, and who asked for them")]
+    #[options(help = "show which rules apply to a call, and who requested them")]
     Explain(Explain),
-    #[options(help = "list the publications that the store still has")]
+    #[options(help = "list the publications retained in the store")]
     Log(Log),
-    #[options(help = "make a key for an organisation; prints it and its digest for the rules")]
+    #[options(
+        help = "generate an organisation's key; prints it and its digest for the rules file"
+    )]
     Key(Key),
 }
 
@@ -48,20 +50,25 @@
     help: bool,
     #[options(free, required, help = "the rules file")]
     pub(crate) file: PathBuf,
-    #[options(no_short, required, meta = "IP:PORT", help = "the store")]
+    #[options(no_short, required, meta = "IP:PORT", help = "address of the store")]
     pub(crate) store: Option<SocketAddr>,
-    #[options(no_short, default = "bilberrycove", meta = "NAME", help = "the stream")]
+    #[options(
+        no_short,
+        default = "bilberrycove",
+        meta = "NAME",
+        help = "name of the stream in the store"
+    )]
     pub(crate) stream: String,
     #[options(
         no_short,
         meta = "NAME",
-        help = "who publishes; $USER or `unknown` if not given"
+        help = "name of the operator; $USER or `unknown` if not given"
     )]
     pub(crate) operator: Option<String>,
     #[options(
         no_short,
         meta = "VERSION",
-        help = "publish only on top of this version; the newest one if not given"
+        help = "publish only if this version is in force; the newest one if not given"
     )]
     pub(crate) expect: Option<u64>,
 }
@@ -74,15 +81,20 @@
     #[options(
         no_short,
         meta = "IP:PORT",
-        help = "the store; names all nodes, and the version that they should have"
+        help = "address of the store; lists all nodes and the version they should have"
     )]
     pub(crate) store: Option<SocketAddr>,
-    #[options(no_short, default = "bilberrycove", meta = "NAME", help = "the stream")]
+    #[options(
+        no_short,
+        default = "bilberrycove",
+        meta = "NAME",
+        help = "name of the stream in the store"
+    )]
     pub(crate) stream: String,
     #[options(
         no_short,
         meta = "IP:PORT",
-        help = "the http_addr of a node; may be given several times"
+        help = "http_addr of a node; may be given several times"
     )]
     pub(crate) node: Vec<SocketAddr>,
 }
@@ -97,9 +109,14 @@
         help = "[FILE] METHOD /SERVICE/PATH; without a file, the rules in force"
     )]
     pub(crate) call: Vec<String>,
-    #[options(no_short, meta = "IP:PORT", help = "the store")]
+    #[options(no_short, meta = "IP:PORT", help = "address of the store")]
     pub(crate) store: Option<SocketAddr>,
-    #[options(no_short, default = "bilberrycove", meta = "NAME", help = "the stream")]
+    #[options(
+        no_short,
+        default = "bilberrycove",
+        meta = "NAME",
+        help = "name of the stream in the store"
+    )]
     pub(crate) stream: String,
 }
 
@@ -108,9 +125,14 @@
 pub(crate) struct Log {
     #[options(help = "print this help")]
     help: bool,
-    #[options(no_short, required, meta = "IP:PORT", help = "the store")]
+    #[options(no_short, required, meta = "IP:PORT", help = "address of the store")]
     pub(crate) store: Option<SocketAddr>,
-    #[options(no_short, default = "bilberrycove", meta = "NAME", help = "the stream")]
+    #[options(
+        no_short,
+        default = "bilberrycove",
+        meta = "NAME",
+        help = "name of the stream in the store"
+    )]
     pub(crate) stream: String,
 }
 
--- a/crates/ctl/src/commands.rs
+++ b/crates/ctl/src/commands.rs
@@ -1,4 +1,4 @@
-//! What each command does.
+//! Runs the commands of `bilberryctl`.
 
 use crate::args::Args;
 use crate::args::Check;
@@ -27,19 +27,20 @@
         Command::Explain(args) => explain(args).await,
         Command::Log(args) => log(args).await,
         Command::Key(_) => {
-            make_key();
+            generate_key();
             Ok(())
         }
     }
 }
 
-/// The key goes to the organisation and is kept nowhere else.
-fn make_key() {
-    let random = || Uuid::new_v4().simple().to_string();
-    let key = random() + &random();
+/// Prints a new random key and its digest. The key goes to the organisation and is not stored.
+fn generate_key() {
+    let random_half = || Uuid::new_v4().simple().to_string();
+    let key = random_half() + &random_half();
     println!("{key}\n{}", KeyDigest::of(&key));
 }
 
+/// Checks a rules file without contacting the store.
 fn check(args: &Check) -> Result<(), CommandError> {
     let (_, rules) = read_rules(&args.file)?;
     println!(
@@ -50,17 +51,18 @@
     Ok(())
 }
 
+/// Prints the rules that apply to a call, from a file or from the rules in force.
 async fn explain(args: Explain) -> Result<(), CommandError> {
-    let words: Vec<&str> = args.call.iter().map(String::as_str).collect();
-    let (file, method, target) = match (words.as_slice(), args.store) {
+    let call_args: Vec<&str> = args.call.iter().map(String::as_str).collect();
+    let (file, method, target) = match (call_args.as_slice(), args.store) {
         ([file, method, target], None) => (Some(file), method, target),
         ([method, target], Some(_)) => (None, method, target),
-        _ => return Err(CommandError::BadCall),
+        _ => return Err(CommandError::InvalidExplainArgs),
     };
     let (service, path) = target
         .strip_prefix('/')
         .and_then(|target| target.split_once('/'))
-        .ok_or(CommandError::BadCall)?;
+        .ok_or(CommandError::InvalidExplainArgs)?;
     let path = format!("/{path}");
     let rules = match (file, args.store) {
         (Some(file), _) => read_rules(Path::new(file))?.1.into(),
@@ -69,28 +71,29 @@
             println!("version {}", stream.state.version);
             stream.state.rules
         }
-        (None, None) => return Err(CommandError::BadCall),
+        (None, None) => return Err(CommandError::InvalidExplainArgs),
     };
     print!("{}", rules.explain(service, method, &path));
     Ok(())
 }
 
+/// Lists the publications retained in the store, and the one in force.
 async fn log(args: Log) -> Result<(), CommandError> {
-    let addr = args.store.ok_or(CommandError::NoAddress)?;
+    let addr = args.store.ok_or(CommandError::MissingAddress)?;
     let stream = Stream::open(addr, &args.stream).await?;
-    for item in stream.records().await? {
+    for record in stream.retained_records().await? {
         let Ok(Record::Publish {
             version,
             publication,
             operator,
             ..
-        }) = proto::decode(&item.value)
+        }) = proto::decode(&record.value)
         else {
             continue;
         };
         println!(
             "offset={} version={version} operator={operator} publication={publication:032x}",
-            item.offset
+            record.offset
         );
     }
     let state = stream.state;
--- a/crates/ctl/src/error.rs
+++ b/crates/ctl/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a command failed, and its exit code.
+//! Errors of commands and their exit codes.
 
 use platform::StoreError;
 use rules::RuleError;
@@ -7,49 +7,50 @@
 use std::process::ExitCode;
 use std::sync::Arc;
 
-/// Why a command failed.
+/// The error with which a command ended.
 #[derive(Debug)]
 pub(crate) enum CommandError {
     NoCommand,
-    /// The words after `explain` are not what it takes.
-    BadCall,
+    /// The arguments after `explain` do not have the form that it takes.
+    InvalidExplainArgs,
     /// Neither a store nor a node was given.
-    NoAddress,
-    OperatorName,
-    Unreadable(PathBuf),
-    Rules(PathBuf, Vec<RuleError>),
+    MissingAddress,
+    /// The operator's name is empty or too long.
+    InvalidOperatorName,
+    UnreadableFile(PathBuf),
+    InvalidRules(PathBuf, Vec<RuleError>),
     Store(StoreError),
-    /// Another publication came first.
-    Overtaken {
-        /// The version that the publication was to follow.
+    /// The version in force is not the expected one; another publication came first.
+    VersionConflict {
+        /// The version that the publication was based on.
         expected: u64,
         /// The version in force.
         version: u64,
-        /// Who published that.
+        /// The operator who published the version in force.
         operator: Arc<str>,
     },
-    /// The publication may still arrive.
-    Open {
+    /// The store did not confirm the publication, which may still take effect.
+    OutcomeUnknown {
         publication: u128,
         cause: StoreError,
     },
-    /// So many nodes did not answer.
-    Silent(usize),
+    /// The number of nodes that did not answer.
+    NoResponse(usize),
 }
 
 impl CommandError {
     /// The exit codes are listed in docs/OPERATIONS.md.
     pub(crate) fn exit_code(&self) -> ExitCode {
         ExitCode::from(match self {
-            CommandError::Silent(_) => 1,
+            CommandError::NoResponse(_) => 1,
             CommandError::NoCommand
-            | CommandError::BadCall
-            | CommandError::NoAddress
-            | CommandError::OperatorName
-            | CommandError::Unreadable(_)
-            | CommandError::Rules(..) => 2,
-            CommandError::Store(_) | CommandError::Open { .. } => 3,
-            CommandError::Overtaken { .. } => 4,
+            | CommandError::InvalidExplainArgs
+            | CommandError::MissingAddress
+            | CommandError::InvalidOperatorName
+            | CommandError::UnreadableFile(_)
+            | CommandError::InvalidRules(..) => 2,
+            CommandError::Store(_) | CommandError::OutcomeUnknown { .. } => 3,
+            CommandError::VersionConflict { .. } => 4,
         })
     }
 }
@@ -58,25 +59,25 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             CommandError::NoCommand => write!(f, "no command; see bilberryctl --help"),
-            CommandError::BadCall => {
+            CommandError::InvalidExplainArgs => {
                 write!(
                     f,
-                    "explain takes FILE METHOD /SERVICE/PATH, or --store without FILE"
+                    "explain takes FILE METHOD /SERVICE/PATH, or METHOD /SERVICE/PATH with --store"
                 )
             }
-            CommandError::NoAddress => write!(f, "neither --store nor --node is given"),
-            CommandError::OperatorName => write!(
+            CommandError::MissingAddress => write!(f, "neither --store nor --node is given"),
+            CommandError::InvalidOperatorName => write!(
                 f,
-                "the operator's name takes 1 to {} bytes; give it with --operator",
+                "the operator name must be 1 to {} bytes long; set it with --operator",
                 journal::MAX_NAME_LEN
             ),
-            CommandError::Unreadable(path) => write!(f, "{} cannot be read", path.display()),
-            CommandError::Rules(path, errors) => {
+            CommandError::UnreadableFile(path) => write!(f, "{} cannot be read", path.display()),
+            CommandError::InvalidRules(path, errors) => {
                 let lines = errors.iter().map(|e| format!("{}:{e}", path.display()));
                 write!(f, "{}", lines.collect::<Vec<_>>().join("\n"))
             }
-            CommandError::Store(e) => write!(f, "the store: {e}"),
-            CommandError::Overtaken {
+            CommandError::Store(e) => write!(f, "store request failed: {e}"),
+            CommandError::VersionConflict {
                 expected,
                 version,
                 operator,
@@ -85,12 +86,12 @@
                 "rejected: published on top of version {expected}, but version {version} by \
                  {operator} is in force"
             ),
-            CommandError::Open { publication, cause } => write!(
+            CommandError::OutcomeUnknown { publication, cause } => write!(
                 f,
-                "outcome open: publication {publication:032x} is not in the store yet ({cause}); \
-                 see bilberryctl log before publishing again"
+                "outcome unknown: publication {publication:032x} is not in the store yet \
+                 ({cause}); check bilberryctl log before publishing again"
             ),
-            CommandError::Silent(count) => write!(f, "{count} nodes did not answer"),
+            CommandError::NoResponse(count) => write!(f, "{count} nodes did not answer"),
         }
     }
 }
--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -1,4 +1,4 @@
-//! `bilberryctl`: the operator's tool.
+//! `bilberryctl`: checks and publishes rules and shows the status of nodes.
 
 mod args;
 mod commands;
--- a/crates/ctl/src/nodes.rs
+++ b/crates/ctl/src/nodes.rs
@@ -1,4 +1,4 @@
-//! Asks a node for its status page.
+//! Fetches the status page of a node.
 
 use bytes::Bytes;
 use futures_util::SinkExt;
@@ -13,42 +13,48 @@
 use tokio::time::timeout;
 use tokio_util::codec::LengthDelimitedCodec;
 
-/// How long a node may take for its answer.
-const PATIENCE: Duration = Duration::from_secs(3);
+/// How long to wait for a node's status page, including the connection.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// The lines of a status page.
-pub(crate) type Page = IndexMap<String, String>;
+/// The values of a status page by key, in the order of its lines.
+pub(crate) type StatusPage = IndexMap<String, String>;
 
-/// By HTTP, as any client may.
-pub(crate) async fn ask_http(addr: SocketAddr) -> Option<Page> {
+/// Fetches the page over HTTP from the node's `http_addr`, as any client may.
+pub(crate) async fn fetch_over_http(addr: SocketAddr) -> Option<StatusPage> {
     let client = awc::Client::builder().disable_redirects().finish();
-    let answer = async {
+    let body = async {
         let url = format!("http://{addr}/-/status");
         let mut response = client.get(url).send().await.ok()?;
         let ok = response.status() == awc::http::StatusCode::OK;
         response.body().await.ok().filter(|_| ok)
     };
-    parse(&timeout(PATIENCE, answer).await.ok()??)
+    parse(&timeout(RESPONSE_TIMEOUT, body).await.ok()??)
 }
 
-/// At the address that it announces to other nodes, which is the one that the log's views have.
-pub(crate) async fn ask_peer(addr: SocketAddr) -> Option<Page> {
-    parse(&timeout(PATIENCE, exchange(addr)).await.ok()??)
+/// Fetches the page over the peer protocol, from the address that the node announces to other
+/// nodes. The views in the stream contain this address and not the `http_addr`.
+pub(crate) async fn fetch_from_peer_addr(addr: SocketAddr) -> Option<StatusPage> {
+    parse(
+        &timeout(RESPONSE_TIMEOUT, request_status(addr))
+            .await
+            .ok()??,
+    )
 }
 
-async fn exchange(addr: SocketAddr) -> Option<Bytes> {
+/// Sends a status request to a peer address and waits for the page.
+async fn request_status(addr: SocketAddr) -> Option<Bytes> {
     let stream = TcpStream::connect(addr).await.ok()?;
-    let mut wire = LengthDelimitedCodec::builder().new_framed(stream);
+    let mut framed = LengthDelimitedCodec::builder().new_framed(stream);
     let hello = Frame::Hello {
         version: PROTOCOL_VERSION,
-        // The tool is no node, and gets no link.
+        // This tool is not a node and has no incarnation. Without `to`, the node sets up no link.
         from: Incarnation(0),
         to: None,
     };
     for frame in [hello, Frame::FetchStatus] {
-        wire.send(Bytes::from(proto::encode(&frame))).await.ok()?;
+        framed.send(Bytes::from(proto::encode(&frame))).await.ok()?;
     }
-    while let Some(Ok(bytes)) = wire.next().await {
+    while let Some(Ok(bytes)) = framed.next().await {
         if let Ok(Frame::Status(page)) = proto::decode(&bytes) {
             return Some(page);
         }
@@ -56,7 +62,8 @@
     None
 }
 
-fn parse(page: &[u8]) -> Option<Page> {
+/// Parses lines of `KEY VALUE`.
+fn parse(page: &[u8]) -> Option<StatusPage> {
     let text = std::str::from_utf8(page).ok()?;
     let pairs = text.lines().filter_map(|line| line.split_once(' '));
     Some(pairs.map(|(k, v)| (k.to_owned(), v.to_owned())).collect())
--- a/crates/ctl/src/publish.rs
+++ b/crates/ctl/src/publish.rs
@@ -1,4 +1,4 @@
-//! `publish`: one file, one verdict.
+//! The `publish` command: publishes a rules file and reports whether it was accepted.
 
 use crate::args::Publish;
 use crate::error::CommandError;
@@ -8,26 +8,30 @@
 use platform::StoreError;
 use std::time::Duration;
 
-/// The operator of a publication that names none.
-const NOBODY: &str = "unknown";
+/// Operator name of a publication if neither `--operator` nor `$USER` is set.
+const UNKNOWN_OPERATOR: &str = "unknown";
 
-/// How often a publication without an answer is sent again.
-const ATTEMPTS: u32 = 4;
+/// How many times a publication is sent if the store fails or does not answer.
+const MAX_ATTEMPTS: u32 = 4;
 
-/// How long to wait before it is sent again; doubled each time.
-const PAUSE: Duration = Duration::from_millis(500);
+/// Delay before the first retry; doubled for each further one.
+const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// How often a publication gives way to another record. Nodes that start write one record each.
+/// How many times a publication is appended again because another record took its offset. The
+/// limit is high because every node that starts appends one record.
 const MAX_CONFLICTS: u32 = 10_000;
 
 pub(crate) async fn publish(args: Publish) -> Result<(), CommandError> {
     let (file, _) = read_rules(&args.file)?;
     let user = std::env::var("USER").ok().filter(|user| !user.is_empty());
-    let operator = args.operator.or(user).unwrap_or_else(|| NOBODY.to_owned());
+    let operator = args
+        .operator
+        .or(user)
+        .unwrap_or_else(|| UNKNOWN_OPERATOR.to_owned());
     if !(1..=journal::MAX_NAME_LEN).contains(&operator.len()) {
-        return Err(CommandError::OperatorName);
+        return Err(CommandError::InvalidOperatorName);
     }
-    let store = args.store.ok_or(CommandError::NoAddress)?;
+    let store = args.store.ok_or(CommandError::MissingAddress)?;
     let mut stream = Stream::open(store, &args.stream).await?;
     let expected = args.expect.unwrap_or(stream.state.version);
     let publication = uuid::Uuid::new_v4().as_u128();
@@ -37,17 +41,18 @@
         operator: operator.into(),
         file: file.into(),
     };
-    settle(&mut stream, expected, publication, &record).await?;
+    append_until_resolved(&mut stream, expected, publication, &record).await?;
     println!("version {} accepted", expected + 1);
     Ok(())
 }
 
-/// Appends until the stream shows this publication, or another one in its place.
+/// Appends a publication until the stream contains either it or another publication in its place.
 ///
-/// Whether or not an answer comes, only the stream tells what became of a publication. Sending it
-/// once more is safe, because both are appended only at the same offset, so one of them at most;
-/// without that, the operator would have to guess whether the first one still arrives.
-async fn settle(
+/// An answer may be lost, so only the stream shows whether the publication was accepted. A retry is
+/// safe because each append is conditional on the offset: of two appends at the same offset, at
+/// most one takes effect. Without this condition, the operator would have to guess whether an
+/// unanswered publication will still take effect.
+async fn append_until_resolved(
     stream: &mut Stream,
     expected: u64,
     publication: u128,
@@ -60,14 +65,14 @@
             return Ok(());
         }
         if state.version != expected {
-            return Err(CommandError::Overtaken {
+            return Err(CommandError::VersionConflict {
                 expected,
                 version: state.version,
                 operator: state.operator.clone(),
             });
         }
         let appended = stream.append(record).await;
-        let cause = match (appended, stream.read().await) {
+        let cause = match (appended, stream.catch_up().await) {
             (Ok(_), Ok(())) => continue,
             (Err(StoreError::Conflict), Ok(())) if conflicts < MAX_CONFLICTS => {
                 conflicts += 1;
@@ -79,9 +84,9 @@
             return Ok(());
         }
         attempts += 1;
-        if attempts == ATTEMPTS {
-            return Err(CommandError::Open { publication, cause });
+        if attempts == MAX_ATTEMPTS {
+            return Err(CommandError::OutcomeUnknown { publication, cause });
         }
-        tokio::time::sleep(PAUSE * (1 << (attempts - 1))).await;
+        tokio::time::sleep(INITIAL_RETRY_DELAY * (1 << (attempts - 1))).await;
     }
 }
--- a/crates/ctl/src/status.rs
+++ b/crates/ctl/src/status.rs
@@ -1,31 +1,38 @@
-//! `status`: what the nodes say of themselves, held against the store.
+//! The `status` command: shows the status of nodes and how far they lag behind the store.
 
 use crate::args::Status;
 use crate::error::CommandError;
 use crate::nodes;
-use crate::nodes::Page;
+use crate::nodes::StatusPage;
 use crate::stream::Stream;
 use std::net::SocketAddr;
 
-/// How many nodes are asked at a time.
-const AT_ONCE: usize = 32;
+/// How many nodes are queried at the same time.
+const MAX_CONCURRENT_REQUESTS: usize = 32;
 
-/// Which counters are shown: everything that was refused, retried or left open.
-const SHOWN: [&str; 4] = ["not_run.", "unknown.", "retry.", "redirect."];
+/// Prefixes of the counters that are shown: calls that were refused, retried, redirected or ended
+/// with an unknown outcome.
+const SHOWN_COUNTERS: [&str; 4] = ["not_run.", "unknown.", "retry.", "redirect."];
 
-/// Where a node is asked.
+/// The address at which a node's status page is fetched.
 #[derive(Debug, Clone, Copy)]
-enum Door {
+enum StatusEndpoint {
     Http(SocketAddr),
     Peer(SocketAddr),
 }
 
+/// Prints one line for the store and one for each node.
 pub(crate) async fn status(args: Status) -> Result<(), CommandError> {
     let stream = match args.store {
         Some(store) => Some(Stream::open(store, &args.stream).await?),
         None => None,
     };
-    let mut doors: Vec<Door> = args.node.iter().copied().map(Door::Http).collect();
+    let mut endpoints: Vec<StatusEndpoint> = args
+        .node
+        .iter()
+        .copied()
+        .map(StatusEndpoint::Http)
+        .collect();
     let state = stream.as_ref().map(|stream| &stream.state);
     if let Some(state) = state {
         println!(
@@ -34,59 +41,69 @@
             state.next_offset,
             state.instances().count()
         );
-        if doors.is_empty() {
-            doors.extend(state.instances().map(|instance| Door::Peer(instance.addr)));
+        if endpoints.is_empty() {
+            endpoints.extend(
+                state
+                    .instances()
+                    .map(|instance| StatusEndpoint::Peer(instance.addr)),
+            );
         }
-    } else if doors.is_empty() {
-        return Err(CommandError::NoAddress);
+    } else if endpoints.is_empty() {
+        return Err(CommandError::MissingAddress);
     }
-    let next = state.map(|state| state.next_offset);
-    let mut silent = 0;
-    for chunk in doors.chunks(AT_ONCE) {
-        let asked: Vec<_> = chunk
+    let store_offset = state.map(|state| state.next_offset);
+    let mut unanswered = 0;
+    for chunk in endpoints.chunks(MAX_CONCURRENT_REQUESTS) {
+        let requests: Vec<_> = chunk
             .iter()
-            .map(|door| (*door, actix_rt::spawn(ask(*door))))
+            .map(|endpoint| (*endpoint, actix_rt::spawn(fetch_page(*endpoint))))
             .collect();
-        for (door, page) in asked {
+        for (endpoint, page) in requests {
             match page.await.ok().flatten() {
-                Some(page) => print(door, &page, next),
+                Some(page) => print_status(endpoint, &page, store_offset),
                 None => {
-                    silent += 1;
-                    println!("node={} no answer", addr(door));
+                    unanswered += 1;
+                    println!("node={} no answer", addr(endpoint));
                 }
             }
         }
     }
-    match silent {
+    match unanswered {
         0 => Ok(()),
-        silent => Err(CommandError::Silent(silent)),
+        count => Err(CommandError::NoResponse(count)),
     }
 }
 
-async fn ask(door: Door) -> Option<Page> {
-    match door {
-        Door::Http(addr) => nodes::ask_http(addr).await,
-        Door::Peer(addr) => nodes::ask_peer(addr).await,
+async fn fetch_page(endpoint: StatusEndpoint) -> Option<StatusPage> {
+    match endpoint {
+        StatusEndpoint::Http(addr) => nodes::fetch_over_http(addr).await,
+        StatusEndpoint::Peer(addr) => nodes::fetch_from_peer_addr(addr).await,
     }
 }
 
-fn addr(door: Door) -> SocketAddr {
-    match door {
-        Door::Http(addr) | Door::Peer(addr) => addr,
+fn addr(endpoint: StatusEndpoint) -> SocketAddr {
+    match endpoint {
+        StatusEndpoint::Http(addr) | StatusEndpoint::Peer(addr) => addr,
     }
 }
 
-fn print(door: Door, page: &Page, next: Option<u64>) {
+/// Prints one line for a node; `lag` only if the end of the store's stream is known.
+fn print_status(endpoint: StatusEndpoint, page: &StatusPage, store_offset: Option<u64>) {
     let value = |key: &str| page.get(key).map_or("?", String::as_str);
-    let mut line = format!("node={}", addr(door));
+    let mut line = format!("node={}", addr(endpoint));
     for key in ["service", "failure_domain", "incarnation"] {
         line.push_str(&format!(" {key}={}", value(key)));
     }
     line.push_str(&format!(" version={}", value("rules_version")));
-    // Records that the store has and the node has not folded.
-    let theirs = page.get("next_offset").and_then(|next| next.parse().ok());
-    if let (Some(next), Some(theirs)) = (next, theirs) {
-        line.push_str(&format!(" lag={}", next.saturating_sub(theirs)));
+    // The number of records in the store that the node has not applied.
+    let node_offset = page
+        .get("next_offset")
+        .and_then(|offset| offset.parse().ok());
+    if let (Some(store_offset), Some(node_offset)) = (store_offset, node_offset) {
+        line.push_str(&format!(
+            " lag={}",
+            store_offset.saturating_sub(node_offset)
+        ));
     }
     line.push_str(&format!(
         " listed={} runs={}",
@@ -95,7 +112,7 @@
     ));
     for (key, count) in page {
         let name = key.strip_prefix("counter.").unwrap_or("");
-        if SHOWN.iter().any(|prefix| name.starts_with(prefix)) {
+        if SHOWN_COUNTERS.iter().any(|prefix| name.starts_with(prefix)) {
             line.push_str(&format!(" {name}={count}"));
         }
     }
--- a/crates/ctl/src/stream.rs
+++ b/crates/ctl/src/stream.rs
@@ -1,4 +1,5 @@
-//! The stream of rules and views in the store, as every reader folds it.
+//! Reads and appends to the store's stream of rules and views, and computes the state from its
+//! records as every node does.
 
 use crate::error::CommandError;
 use journal::Record;
@@ -10,7 +11,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The stream and what it says so far.
+/// A stream in the store and the state after the records read so far.
 pub(crate) struct Stream {
     store: Store,
     topic: String,
@@ -18,18 +19,19 @@
 }
 
 impl Stream {
-    /// A stream that was read to its end.
+    /// Opens a stream and loads its newest state.
     pub(crate) async fn open(store: SocketAddr, name: &str) -> Result<Self, CommandError> {
         let mut stream = Self {
             store: Store::new(store),
             topic: platform::topic(name),
             state: State::default(),
         };
-        stream.restart().await?;
+        stream.load_newest().await?;
         Ok(stream)
     }
 
-    async fn restart(&mut self) -> Result<(), StoreError> {
+    /// Replaces the state by one loaded from the newest record of each key.
+    async fn load_newest(&mut self) -> Result<(), StoreError> {
         let newest = self.store.newest(&self.topic).await?;
         let end = newest.end;
         let values = newest.items.into_iter();
@@ -38,12 +40,13 @@
         Ok(())
     }
 
-    /// Reads to the end.
-    pub(crate) async fn read(&mut self) -> Result<(), StoreError> {
+    /// Applies the records up to the end of the stream. Starts over from the newest records if the
+    /// next one has expired.
+    pub(crate) async fn catch_up(&mut self) -> Result<(), StoreError> {
         loop {
             let next = self.state.next_offset;
             match self.store.read(&self.topic, next, Duration::ZERO).await? {
-                Records::Expired { .. } => self.restart().await?,
+                Records::Expired { .. } => self.load_newest().await?,
                 Records::Some { items, end, .. } => {
                     for item in &items {
                         self.state.apply(item.offset, &item.value);
@@ -56,25 +59,27 @@
         }
     }
 
-    /// Appends a record if nothing was appended since the stream was read.
+    /// Appends a record, provided that nothing was appended since the stream was last read.
     pub(crate) async fn append(&self, record: &Record) -> Result<u64, StoreError> {
-        let at = Some(self.state.next_offset);
-        self.store.append(&self.topic, at, &record.entries()).await
+        let expected_end = Some(self.state.next_offset);
+        self.store
+            .append(&self.topic, expected_end, &record.entries())
+            .await
     }
 
-    /// The records that the store still has.
-    pub(crate) async fn records(&self) -> Result<Vec<Item>, StoreError> {
-        let mut all = Vec::new();
+    /// All records that the store still retains.
+    pub(crate) async fn retained_records(&self) -> Result<Vec<Item>, StoreError> {
+        let mut retained = Vec::new();
         let mut from = 0;
         loop {
             match self.store.read(&self.topic, from, Duration::ZERO).await? {
                 Records::Expired { first } => from = first,
                 Records::Some { items, next, end } => {
-                    let done = next >= end || items.is_empty();
-                    all.extend(items);
+                    let at_end = next >= end || items.is_empty();
+                    retained.extend(items);
                     from = next;
-                    if done {
-                        return Ok(all);
+                    if at_end {
+                        return Ok(retained);
                     }
                 }
             }
--- a/crates/ctl/tests/ctl.rs
+++ b/crates/ctl/tests/ctl.rs
@@ -1,4 +1,5 @@
-//! The operator's tool as a process, with the store's stand-in and nodes in the test's own process.
+//! Tests that run `bilberryctl` as a process. The store is a stand-in; it and the nodes run in the
+//! test's own process.
 
 use node::Node;
 use node::Settings;
@@ -15,10 +16,10 @@
 keys press retention=1h # asked by the board
 ";
 
-/// A rules file; removed when dropped.
-struct File(PathBuf);
+/// A temporary rules file; removed when dropped.
+struct RulesFile(PathBuf);
 
-impl File {
+impl RulesFile {
     fn new(text: &str) -> Self {
         let path = std::env::temp_dir().join(format!("ctl-{}.rules", uuid::Uuid::new_v4()));
         std::fs::write(&path, text).unwrap();
@@ -30,13 +31,13 @@
     }
 }
 
-impl Drop for File {
+impl Drop for RulesFile {
     fn drop(&mut self) {
         let _ = std::fs::remove_file(&self.0);
     }
 }
 
-/// Exit code, what was printed, what was complained of.
+/// Runs `bilberryctl`. Returns its exit code, standard output and standard error.
 async fn ctl(args: &[&str]) -> (i32, String, String) {
     let output = tokio::process::Command::new(env!("CARGO_BIN_EXE_bilberryctl"))
         .args(args)
@@ -51,26 +52,29 @@
     )
 }
 
+/// Publishes a file with additional arguments.
 async fn publish(
     store: &Store,
-    file: &File,
+    file: &RulesFile,
     operator: &str,
-    more: &[&str],
+    extra_args: &[&str],
 ) -> (i32, String, String) {
     let addr = store.addr.to_string();
     let mut args = vec!["publish", file.path(), "--store", &addr];
     args.extend(["--operator", operator]);
-    args.extend(more);
+    args.extend(extra_args);
     ctl(&args).await
 }
 
-/// Exit code and output, publications' ids left out.
-async fn check(args: &[&str], code: i32, expected: &str) {
-    let (got, out, err) = ctl(args).await;
-    let said = out + &err;
-    let lines = said.lines().map(|line| line.split(" publication=").next());
-    let said: Vec<&str> = lines.map(Option::unwrap).collect();
-    assert_eq!((got, &*said.join("\n")), (code, expected));
+/// Checks the exit code and the output, without the ids of publications.
+async fn assert_output(args: &[&str], expected_code: i32, expected: &str) {
+    let (code, out, err) = ctl(args).await;
+    let output = out + &err;
+    let lines = output
+        .lines()
+        .map(|line| line.split(" publication=").next());
+    let lines: Vec<&str> = lines.map(Option::unwrap).collect();
+    assert_eq!((code, &*lines.join("\n")), (expected_code, expected));
 }
 
 async fn start_node(store: &Store) -> Node {
@@ -84,134 +88,136 @@
 }
 
 #[actix_rt::test]
-async fn a_file_is_checked_without_a_store() {
-    let good = File::new(RULES);
-    check(
+async fn check_needs_no_store() {
+    let good = RulesFile::new(RULES);
+    assert_output(
         &["check", good.path()],
         0,
         "1 operations, 1 services with limits",
     )
     .await;
-    let bad = File::new("operation press POST /slots class=gift # asked by Anna\nx\n");
+    let bad = RulesFile::new("operation press POST /slots class=gift # asked by Anna\nx\n");
     let expected = format!(
         "{0}:1:29: `class` takes lookup, order, booking, payment or print-job\n\
          {0}:2:2: missing comment that names the requester: end the line with `# asked by NAME`",
         bad.path()
     );
-    check(&["check", bad.path()], 2, &expected).await;
-    check(&["check", "/nowhere"], 2, "/nowhere cannot be read").await;
-    check(&[], 2, "no command; see bilberryctl --help").await;
+    assert_output(&["check", bad.path()], 2, &expected).await;
+    assert_output(&["check", "/nowhere"], 2, "/nowhere cannot be read").await;
+    assert_output(&[], 2, "no command; see bilberryctl --help").await;
     assert_eq!(ctl(&["publish", good.path()]).await.0, 2);
     assert_eq!(ctl(&["--help"]).await.0, 0);
 }
 
-/// A file with faults must never reach the store, where every node would have to refuse it.
+/// Invalid rules must not reach the store, where every node would have to refuse them. An operator
+/// name that is too long is not sent either.
 #[actix_rt::test]
-async fn a_bad_file_is_not_published() {
+async fn invalid_publication_is_not_sent() {
     let store = Store::start(LOOPBACK.into()).await.unwrap();
-    let (code, ..) = publish(&store, &File::new("operation"), "anna", &[]).await;
+    let (code, ..) = publish(&store, &RulesFile::new("operation"), "anna", &[]).await;
     assert_eq!((code, store.end_offset(TOPIC)), (2, 0));
-    let long = "x".repeat(65);
-    let (code, ..) = publish(&store, &File::new(RULES), &long, &[]).await;
+    let long_name = "x".repeat(65);
+    let (code, ..) = publish(&store, &RulesFile::new(RULES), &long_name, &[]).await;
     assert_eq!((code, store.end_offset(TOPIC)), (2, 0));
 }
 
-/// Two operators edit the same version and publish. Both must not believe that their rules are in
-/// force; the second is told who came first.
+/// Two operators publish on top of the same version. Both must not believe that their rules are in
+/// force: one publication is rejected, with the name of the other operator.
 #[actix_rt::test]
-async fn of_two_operators_one_wins_and_the_other_is_told() {
+async fn concurrent_publications_have_one_winner() {
     let store = Store::start(LOOPBACK.into()).await.unwrap();
-    let file = File::new(RULES);
+    let file = RulesFile::new(RULES);
     assert_eq!(publish(&store, &file, "anna", &[]).await.0, 0);
 
     let expect = ["--expect", "1"];
-    let race = [("ugo", &expect[..]), ("marco", &expect[..])];
-    let [(ugo, _), (marco, _)] = race;
+    let publishers = [("ugo", &expect[..]), ("marco", &expect[..])];
+    let [(ugo, _), (marco, _)] = publishers;
     let (first, second) = tokio::join!(
         publish(&store, &file, ugo, &expect),
         publish(&store, &file, marco, &expect)
     );
-    let (won, lost, name) = match first.0 {
+    let (accepted, rejected, winner) = match first.0 {
         0 => (first, second, ugo),
         _ => (second, first, marco),
     };
-    assert_eq!((won.0, &*won.1), (0, "version 2 accepted\n"));
-    let told =
-        format!("rejected: published on top of version 1, but version 2 by {name} is in force\n");
-    assert_eq!((lost.0, lost.2), (4, told));
+    assert_eq!((accepted.0, &*accepted.1), (0, "version 2 accepted\n"));
+    let error =
+        format!("rejected: published on top of version 1, but version 2 by {winner} is in force\n");
+    assert_eq!((rejected.0, rejected.2), (4, error));
     assert_eq!(store.end_offset(TOPIC), 2);
 
     let addr = store.addr.to_string();
     let (_, listed, _) = ctl(&["log", "--store", &addr]).await;
     let lines: Vec<&str> = listed.lines().collect();
     assert!(lines[0].starts_with("offset=0 version=1 operator=anna publication="));
-    assert!(lines[1].starts_with(&format!("offset=1 version=2 operator={name} ")));
-    let in_force = format!("in force: version=2 operator={name} publication=");
+    assert!(lines[1].starts_with(&format!("offset=1 version=2 operator={winner} ")));
+    let in_force = format!("in force: version=2 operator={winner} publication=");
     assert!(lines[2].starts_with(&in_force) && lines[2].ends_with(" next_offset=2"));
 }
 
-/// The store takes the record, and its answer is lost. An operator who was told of a failure would
-/// publish again, and be rejected by their own publication.
+/// The store appends the record, but its answer is lost. If this were reported as a failure, the
+/// operator would publish again and be rejected because of their own publication.
 #[actix_rt::test]
-async fn a_lost_answer_is_settled_by_reading() {
+async fn lost_answer_is_resolved_by_reading_the_stream() {
     let store = Store::start(LOOPBACK.into()).await.unwrap();
     store.faults.drop_append_responses.set(1);
-    let (code, out, _) = publish(&store, &File::new(RULES), "anna", &[]).await;
+    let (code, out, _) = publish(&store, &RulesFile::new(RULES), "anna", &[]).await;
     assert_eq!((code, &*out), (0, "version 1 accepted\n"));
     assert_eq!(store.end_offset(TOPIC), 1);
 }
 
-/// The answer is lost and the store goes down, so that nobody can tell what became of the publication.
-/// Told of a failure, the operator would believe the old rules to be in force.
+/// The answer is lost and the store becomes unavailable, so the outcome cannot be determined. If
+/// this were reported as a failure, the operator would believe that the old rules are in force.
 #[actix_rt::test]
-async fn an_open_outcome_is_told_as_open() {
+async fn unknown_outcome_is_reported() {
     let store = Store::start(LOOPBACK.into()).await.unwrap();
     store.faults.drop_append_responses.set(1);
-    let file = File::new(RULES);
-    let goes_down = async {
+    let file = RulesFile::new(RULES);
+    let becomes_unavailable = async {
         while store.end_offset(TOPIC) == 0 {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
         store.faults.unavailable.set(true);
     };
-    let ((code, _, err), ()) = tokio::join!(publish(&store, &file, "anna", &[]), goes_down);
+    let ((code, _, err), ()) =
+        tokio::join!(publish(&store, &file, "anna", &[]), becomes_unavailable);
     assert_eq!(code, 3);
-    assert!(err.starts_with("outcome open: publication "), "{err}");
+    assert!(err.starts_with("outcome unknown: publication "), "{err}");
     store.faults.unavailable.set(false);
     let (_, out, _) = ctl(&["log", "--store", &store.addr.to_string()]).await;
     assert!(out.starts_with("offset=0 version=1 operator=anna"), "{out}");
 }
 
 #[actix_rt::test]
-async fn a_store_that_is_down_is_told() {
+async fn unavailable_store_is_reported() {
     let store = Store::start(LOOPBACK.into()).await.unwrap();
     store.faults.unavailable.set(true);
-    let (code, _, err) = publish(&store, &File::new(RULES), "anna", &[]).await;
-    assert_eq!((code, &*err), (3, "the store: status 503\n"));
+    let (code, _, err) = publish(&store, &RulesFile::new(RULES), "anna", &[]).await;
+    assert_eq!((code, &*err), (3, "store request failed: status 503\n"));
     let addr = store.addr.to_string();
     assert_eq!(ctl(&["log", "--store", &addr]).await.0, 3);
     assert_eq!(ctl(&["status", "--store", &addr]).await.0, 3);
 }
 
-/// The store takes the record only after the operator's tool has asked again. Were both taken, the
-/// operator's own second try would be on top of their first, and versions would skip one.
+/// The store appends the record only after the tool has sent it again. If both appends took effect,
+/// the stream would contain the publication twice, and a version would be skipped.
 #[actix_rt::test]
-async fn a_publication_that_is_taken_late_counts_once() {
+async fn delayed_append_takes_effect_once() {
     let store = Store::start(LOOPBACK.into()).await.unwrap();
     store.faults.delayed_appends.set(1);
     store.faults.append_delay.set(Duration::from_millis(2200));
-    let (code, out, _) = publish(&store, &File::new(RULES), "anna", &[]).await;
+    let (code, out, _) = publish(&store, &RulesFile::new(RULES), "anna", &[]).await;
     assert_eq!((code, &*out), (0, "version 1 accepted\n"));
     tokio::time::sleep(Duration::from_millis(500)).await;
     assert_eq!(store.end_offset(TOPIC), 1);
 }
 
-/// The whole fleet was off for longer than the store keeps records. The rules are still there, and
-/// the next publication follows them.
+/// All nodes were stopped for longer than the store retains records. The newest record of each key
+/// still holds the rules, and the next publication follows them.
 #[actix_rt::test]
-async fn rules_outlive_their_records() {
+async fn rules_survive_the_expiry_of_their_records() {
     let store = Store::start(LOOPBACK.into()).await.unwrap();
-    let file = File::new(RULES);
+    let file = RulesFile::new(RULES);
     assert_eq!(publish(&store, &file, "anna", &[]).await.0, 0);
     store.expire_records();
     let (code, out, _) = publish(&store, &file, "ugo", &["--expect", "1"]).await;
@@ -219,7 +225,7 @@
     store.expire_records();
 
     let node = start_node(&store).await;
-    until(&node, "rules_version 2").await;
+    until_status_line(&node, "rules_version 2").await;
     let addr = store.addr.to_string();
     let (_, listed, _) = ctl(&["log", "--store", &addr]).await;
     assert!(
@@ -228,14 +234,14 @@
     );
 }
 
-/// Asks until the status page has the line.
-async fn until(node: &Node, line: &str) {
+/// Polls the status page of a node until it contains the line.
+async fn until_status_line(node: &Node, line: &str) {
     let url = format!("http://{}/-/status", node.http_addr);
     loop {
         let mut response = awc::Client::default().get(&url).send().await.unwrap();
         let page = response.body().await.unwrap();
         let page = String::from_utf8_lossy(&page).into_owned();
-        if page.lines().any(|found| found == line) {
+        if page.lines().any(|candidate| candidate == line) {
             return;
         }
         tokio::time::sleep(Duration::from_millis(10)).await;
@@ -243,14 +249,18 @@
 }
 
 #[actix_rt::test]
-async fn status_finds_the_nodes_in_the_store() {
+async fn status_lists_the_nodes_in_the_store() {
     let store = Store::start(LOOPBACK.into()).await.unwrap();
     let node = start_node(&store).await;
-    publish(&store, &File::new(RULES), "anna", &[]).await;
-    until(&node, "rules_version 1").await;
-    until(&node, "listed true").await;
-    let refused = format!("http://{}/nobody/x", node.http_addr);
-    awc::Client::default().get(refused).send().await.unwrap();
+    publish(&store, &RulesFile::new(RULES), "anna", &[]).await;
+    until_status_line(&node, "rules_version 1").await;
+    until_status_line(&node, "listed true").await;
+    let unknown_service = format!("http://{}/nobody/x", node.http_addr);
+    awc::Client::default()
+        .get(unknown_service)
+        .send()
+        .await
+        .unwrap();
 
     let addr = store.addr.to_string();
     let (code, out, _) = ctl(&["status", "--store", &addr]).await;
@@ -272,13 +282,13 @@
     assert_eq!(code, 1);
     assert!(out.contains("version=1 listed=true"), "{out}");
     assert!(out.ends_with("node=127.0.0.1:1 no answer\n"), "{out}");
-    check(&["status"], 2, "neither --store nor --node is given").await;
+    assert_output(&["status"], 2, "neither --store nor --node is given").await;
 }
 
 #[actix_rt::test]
-async fn explain_reads_a_file_or_what_is_in_force() {
+async fn explain_uses_a_file_or_the_rules_in_force() {
     let store = Store::start(LOOPBACK.into()).await.unwrap();
-    let file = File::new(RULES);
+    let file = RulesFile::new(RULES);
     publish(&store, &file, "anna", &[]).await;
     let expected = "\
 line 1: operation press POST /slots class=booking deadline=2s retries=0, asked by Anna
@@ -286,7 +296,7 @@
 default: queue=100ms
 line 2: retention=1h, asked by the board
 default: percent=20";
-    check(
+    assert_output(
         &["explain", file.path(), "POST", "/press/slots"],
         0,
         expected,
@@ -294,23 +304,28 @@
     .await;
     let addr = store.addr.to_string();
     let in_force = format!("version 1\n{expected}");
-    check(
+    assert_output(
         &["explain", "--store", &addr, "POST", "/press/slots"],
         0,
         &in_force,
     )
     .await;
-    let none = "no operation matches: refused as no-such-operation";
-    check(&["explain", file.path(), "GET", "/press/slots"], 0, none).await;
+    let no_match = "no operation matches: refused as no-such-operation";
+    assert_output(
+        &["explain", file.path(), "GET", "/press/slots"],
+        0,
+        no_match,
+    )
+    .await;
     assert_eq!(ctl(&["explain", "GET", "/press/slots"]).await.0, 2);
 }
 
 #[actix_rt::test]
-async fn a_key_comes_with_the_digest_that_the_rules_take() {
+async fn generated_key_has_the_digest_used_in_rules() {
     let (code, out, _) = ctl(&["key"]).await;
     let (key, digest) = out.trim().split_once('\n').unwrap();
     assert_eq!((code, digest), (0, &*rules::KeyDigest::of(key).to_string()));
-    let file = File::new(&format!(
+    let file = RulesFile::new(&format!(
         "{RULES}organisation anna keys={digest} # asked by Anna\n"
     ));
     assert_eq!(ctl(&["check", file.path()]).await.0, 0);
