--- a/crates/standin/examples/backend_server.rs
+++ b/crates/standin/examples/backend_server.rs
@@ -1,5 +1,8 @@
-//! A backend server's stand-in as a process: `backend_server ADDR NODE TAKES_MS [METHOD/PATH]...`,
-//! where each `METHOD/PATH` is a call that it makes through its node.
+//! Runs the stand-in for a backend server as a process:
+//! `backend_server ADDR NODE TAKES_MS [METHOD/PATH]...`.
+//!
+//! `TAKES_MS` is the service time, and each `METHOD/PATH` a call that the server makes through its
+//! node for each request.
 
 use bilberry_standin::Backend;
 use bilberry_standin::BackendConfig;
@@ -17,17 +20,17 @@
         .next()
         .and_then(|arg| arg.parse().ok())
         .expect("NODE is IP:PORT");
-    let takes = args
+    let service_time_ms = args
         .next()
         .and_then(|arg| arg.parse().ok())
         .expect("TAKES_MS is a number");
-    let children = args.map(|arg| child(&arg)).collect();
-    let work = BackendConfig {
-        service_time: Duration::from_millis(takes),
+    let child_calls = args.map(|arg| parse_child_call(&arg)).collect();
+    let config = BackendConfig {
+        service_time: Duration::from_millis(service_time_ms),
         slots: 0,
-        child_calls: children,
+        child_calls,
     };
-    let backend = Backend::start(addr, work)
+    let backend = Backend::start(addr, config)
         .await
         .expect("the address is free");
     backend.node.set(Some(node));
@@ -35,10 +38,10 @@
     std::future::pending::<()>().await;
 }
 
-fn child(arg: &str) -> ChildCall {
-    let (method, path) = arg.split_once('/').expect("a child is METHOD/PATH");
+fn parse_child_call(arg: &str) -> ChildCall {
+    let (method, path) = arg.split_once('/').expect("a call is METHOD/PATH");
     ChildCall {
-        method: method.parse().expect("a method"),
+        method: method.parse().expect("METHOD is an HTTP method"),
         path: format!("/{path}"),
     }
 }
--- a/crates/standin/examples/cpu.rs
+++ b/crates/standin/examples/cpu.rs
@@ -1,7 +1,9 @@
-//! Processor time of a call at each node on its way, by rate and kind: `cpu [SECONDS]`.
+//! Measures the CPU time of a call at each of the two nodes on its path, by rate and kind:
+//! `cpu [SECONDS]`.
 //!
-//! Each instance has a thread of its own, so the entry's thread has its node alone; the server's
-//! thread has its node and the backend server, whose share is taken from calls straight to it.
+//! Each instance runs on its own thread. The backend server of the ingress node receives no calls,
+//! so the thread's CPU time is that of the node. The other thread runs its node and the backend
+//! server that is called; the share of the latter is measured by direct calls and subtracted.
 
 use awc::http::Method;
 use bilberry_standin::run_load;
@@ -24,7 +26,7 @@
 async fn main() {
     let seconds = std::env::args().nth(1).and_then(|arg| arg.parse().ok());
     let seconds = seconds.unwrap_or(10);
-    let place = |service| InstanceConfig {
+    let instance = |service| InstanceConfig {
         service,
         failure_domain: "milano-1",
         region: "lombardia",
@@ -33,20 +35,20 @@
             ..BackendConfig::default()
         },
     };
-    let deployment = Deployment::start(&[place("counter"), place("catalogue")]);
+    let deployment = Deployment::start(&[instance("counter"), instance("catalogue")]);
     deployment.publish(RULES).await;
-    // Leases are won and limits have settled.
+    // Wait until leases are acquired and limits have converged.
     tokio::time::sleep(Duration::from_secs(5)).await;
     let [counter, catalogue] = &deployment.instances[..] else {
         return;
     };
-    let through = format!("http://{}/catalogue", counter.http_addr);
+    let via_nodes = format!("http://{}/catalogue", counter.http_addr);
     let direct = format!("http://{}", catalogue.backend_addr);
     let kinds = [
         ("lookup", Method::GET, "/patterns/{n}", false),
         ("order", Method::POST, "/orders", true),
     ];
-    println!("microseconds of processor time a call, {seconds} s each");
+    println!("CPU time per call in microseconds, {seconds} s each");
     println!(
         "{:<8}{:>8}{:>8}{:>8}{:>8}",
         "", "rate", "whole", "entry", "server"
@@ -54,7 +56,7 @@
     for (name, method, path, keyed) in kinds {
         for rate in RATES {
             let mut measured = Vec::new();
-            for base in [&direct, &through] {
+            for base in [&direct, &via_nodes] {
                 let kind = RequestKind {
                     method: method.clone(),
                     url: format!("{base}{path}"),
@@ -66,11 +68,11 @@
                 measured.push((report.completed[0], after.0 - before.0, after.1 - before.1));
             }
             let micros = |time: Duration| time.as_micros() as f64 / f64::from(rate * seconds);
-            let (whole, entry, server) = measured[1];
+            let (completed, ingress, server) = measured[1];
             let server = micros(server) - micros(measured[0].2);
             println!(
-                "{name:<8}{rate:>8}{whole:>8}{:>8.0}{server:>8.0}",
-                micros(entry)
+                "{name:<8}{rate:>8}{completed:>8}{:>8.0}{server:>8.0}",
+                micros(ingress)
             );
         }
     }
--- a/crates/standin/examples/latency.rs
+++ b/crates/standin/examples/latency.rs
@@ -1,5 +1,5 @@
-//! The latency that two nodes add to a call, against calls straight to the backend server in the
-//! same run: `latency [CALLS_PER_SECOND] [SECONDS]`.
+//! Measures the latency that two nodes add to a call, compared with direct calls to the backend
+//! server in the same run: `latency [CALLS_PER_SECOND] [SECONDS]`.
 
 use awc::http::Method;
 use bilberry_standin::run_load;
@@ -22,7 +22,7 @@
         .filter_map(|arg| arg.parse::<u32>().ok());
     let rate = args.next().unwrap_or(1_000);
     let seconds = args.next().unwrap_or(20);
-    let place = |service| InstanceConfig {
+    let instance = |service| InstanceConfig {
         service,
         failure_domain: "milano-1",
         region: "lombardia",
@@ -32,12 +32,12 @@
             child_calls: Vec::new(),
         },
     };
-    let deployment = Deployment::start(&[place("counter"), place("catalogue")]);
+    let deployment = Deployment::start(&[instance("counter"), instance("catalogue")]);
     deployment.publish(RULES).await;
     let [counter, catalogue] = &deployment.instances[..] else {
         return;
     };
-    let through = format!("http://{}/catalogue", counter.http_addr);
+    let via_nodes = format!("http://{}/catalogue", counter.http_addr);
     let direct = format!("http://{}", catalogue.backend_addr);
     let kind = |method: &Method, url: String, keyed| RequestKind {
         method: method.clone(),
@@ -46,11 +46,11 @@
     };
     let kinds = vec![
         kind(&Method::GET, format!("{direct}/patterns/{{n}}"), false),
-        kind(&Method::GET, format!("{through}/patterns/{{n}}"), false),
+        kind(&Method::GET, format!("{via_nodes}/patterns/{{n}}"), false),
         kind(&Method::POST, format!("{direct}/orders"), true),
-        kind(&Method::POST, format!("{through}/orders"), true),
+        kind(&Method::POST, format!("{via_nodes}/orders"), true),
     ];
-    // Half of the rate goes through the nodes; the other half is the comparison.
+    // Half of the calls go through the nodes; the other half are direct, for comparison.
     let load = |seconds: u32| LoadConfig {
         kinds: kinds.clone(),
         interval: Duration::from_secs(1) / (2 * rate),
@@ -65,30 +65,30 @@
         "order, direct",
         "order, two nodes",
     ];
-    println!("{rate} calls a second through the nodes for {seconds} s; microseconds");
+    println!("{rate} calls per second through the nodes for {seconds} s; times in microseconds");
     println!(
         "{:<20}{:>8}{:>8}{:>8}{:>8}",
         "", "whole", "other", "p50", "p99"
     );
     for (index, name) in names.iter().enumerate() {
-        let micros = &report.latencies_us[index];
+        let latencies_us = &report.latencies_us[index];
         println!(
             "{name:<20}{:>8}{:>8}{:>8}{:>8}",
             report.completed[index],
             report.not_run[index] + report.other[index],
-            micros.value_at_quantile(0.5),
-            micros.value_at_quantile(0.99),
+            latencies_us.value_at_quantile(0.5),
+            latencies_us.value_at_quantile(0.99),
         );
     }
-    for (name, direct, through) in [("lookup", 0, 1), ("order", 2, 3)] {
-        let added = |quantile| {
-            let direct = report.latencies_us[direct].value_at_quantile(quantile) as i64;
-            report.latencies_us[through].value_at_quantile(quantile) as i64 - direct
+    for (name, direct_kind, via_nodes_kind) in [("lookup", 0, 1), ("order", 2, 3)] {
+        let added_us = |quantile| {
+            let direct_us = report.latencies_us[direct_kind].value_at_quantile(quantile) as i64;
+            report.latencies_us[via_nodes_kind].value_at_quantile(quantile) as i64 - direct_us
         };
         println!(
             "added to a {name}: p50 {} us, p99 {} us",
-            added(0.5),
-            added(0.99)
+            added_us(0.5),
+            added_us(0.99)
         );
     }
 }
--- a/crates/standin/examples/quickstart.rs
+++ b/crates/standin/examples/quickstart.rs
@@ -1,4 +1,5 @@
-//! A small deployment in one process, a load above its capacity, and a table of what became of it.
+//! Runs a small deployment in one process under a load above its capacity, and prints the outcomes
+//! of the requests and the counters of the nodes.
 
 use awc::http::Method;
 use bilberry_standin::fetch_status_page;
@@ -15,17 +16,19 @@
 
 const RULES: &str = include_str!("quickstart.rules");
 
-/// Requests a second, and for how long. The catalogue has room for about 800 a second.
+/// Requests per second. Of them, 1,200 go to the catalogue, which can serve about 800 per second.
 const RATE: u32 = 1_600;
+
+/// How long the load lasts.
 const SECONDS: u32 = 8;
 
 #[actix_rt::main]
 async fn main() {
-    let deployment = Deployment::start(&places());
+    let deployment = Deployment::start(&instance_configs());
     println!("{} nodes; publishing the rules", deployment.instances.len());
     deployment.publish(RULES).await;
-    println!("{RATE} requests a second for {SECONDS} s: three lookups for each order");
-    let report = run_load(load(&deployment)).await;
+    println!("{RATE} requests per second for {SECONDS} s: three lookups for each order");
+    let report = run_load(load_config(&deployment)).await;
     print_report(&report);
     print_counters(&deployment).await;
     for mut instance in deployment.instances {
@@ -34,8 +37,8 @@
     println!("all nodes stopped gracefully");
 }
 
-fn places() -> Vec<InstanceConfig> {
-    let call = |path: &str| ChildCall {
+fn instance_configs() -> Vec<InstanceConfig> {
+    let child_call = |path: &str| ChildCall {
         method: Method::POST,
         path: path.to_owned(),
     };
@@ -45,37 +48,37 @@
         child_calls: Vec::new(),
     };
     let order = BackendConfig {
-        child_calls: vec![call("/press/slots")],
+        child_calls: vec![child_call("/press/slots")],
         ..BackendConfig::default()
     };
     let press = BackendConfig {
         service_time: Duration::from_millis(4),
         ..BackendConfig::default()
     };
-    let mut places = Vec::new();
+    let mut configs = Vec::new();
     for (failure_domain, region) in [("milano-1", "lombardia"), ("verona-1", "veneto")] {
-        for (service, work) in [("catalogue", &lookup), ("order", &order), ("press", &press)] {
-            places.push(InstanceConfig {
+        for (service, backend) in [("catalogue", &lookup), ("order", &order), ("press", &press)] {
+            configs.push(InstanceConfig {
                 service,
                 failure_domain,
                 region,
-                backend: work.clone(),
+                backend: backend.clone(),
             });
         }
     }
-    places
+    configs
 }
 
-fn load(deployment: &Deployment) -> LoadConfig {
-    let entry = |n: usize| deployment.instances[n % deployment.instances.len()].http_addr;
+fn load_config(deployment: &Deployment) -> LoadConfig {
+    let ingress = |n: usize| deployment.instances[n % deployment.instances.len()].http_addr;
     let lookup = |n| RequestKind {
         method: Method::GET,
-        url: format!("http://{}/catalogue/patterns/{{n}}", entry(n)),
+        url: format!("http://{}/catalogue/patterns/{{n}}", ingress(n)),
         keyed: false,
     };
     let order = |n| RequestKind {
         method: Method::POST,
-        url: format!("http://{}/order/orders", entry(n)),
+        url: format!("http://{}/order/orders", ingress(n)),
         keyed: true,
     };
     LoadConfig {
@@ -87,7 +90,7 @@
 }
 
 fn print_report(report: &LoadReport) {
-    println!("\nwhat callers saw");
+    println!("\noutcomes of the requests");
     println!(
         "{:<10}{:>8}{:>9}{:>8}{:>10}{:>10}",
         "", "whole", "not run", "other", "p50 ms", "p99 ms"
@@ -117,7 +120,7 @@
             *totals.entry(name.to_owned()).or_insert(0) += count.parse::<u64>().unwrap_or(0);
         }
     }
-    println!("\nwhat the nodes counted");
+    println!("\ncounters of the nodes");
     for (name, count) in totals {
         println!("{name:<30}{count:>8}");
     }
--- a/crates/standin/examples/store.rs
+++ b/crates/standin/examples/store.rs
@@ -1,4 +1,5 @@
-//! The store's stand-in as a process: `store ADDR`.
+//! Runs the stand-in for the store as a process: `store ADDR`. Without `ADDR`, it listens on a free
+//! loopback port.
 
 use std::net::SocketAddr;
 
--- a/crates/standin/src/backend.rs
+++ b/crates/standin/src/backend.rs
@@ -1,5 +1,5 @@
-//! A backend server's stand-in: takes a while, calls other services through its own node, and
-//! counts its runs by key.
+//! A stand-in for a backend server. It answers after a set service time, calls other services
+//! through its own node, and counts its runs by idempotency key.
 
 use crate::http;
 use actix_http::body::BoxBody;
@@ -20,43 +20,44 @@
 const CONTEXT_HEADER: &str = "bilberry-context";
 const KEY_HEADER: &str = "idempotency-key";
 
-/// A call that the server makes for each request that it serves.
+/// A call that the server makes for each request it serves.
 #[derive(Debug, Clone)]
 pub struct ChildCall {
-    /// The method.
+    /// The HTTP method.
     pub method: awc::http::Method,
-    /// `/SERVICE/REST`.
+    /// The request target, `/SERVICE/PATH`.
     pub path: String,
 }
 
-/// What the server does for a request.
+/// How the server handles a request.
 #[derive(Debug, Clone, Default)]
 pub struct BackendConfig {
-    /// How long it takes.
+    /// How long a request occupies a slot; child calls come after it.
     pub service_time: Duration,
-    /// How many requests it works on at a time; the others wait inside it. 0: all at once.
+    /// How many requests are served at the same time; further ones wait inside the server. With 0,
+    /// there is no limit.
     pub slots: usize,
-    /// What it calls, one after another, before it answers.
+    /// Calls made one after another before the response.
     pub child_calls: Vec<ChildCall>,
 }
 
-/// A backend server's stand-in.
+/// A stand-in for a backend server.
 #[derive(Clone)]
 pub struct Backend {
-    /// Where it listens.
+    /// The address on which it listens.
     pub addr: SocketAddr,
-    /// Its own node; it calls others through it.
+    /// The address of its own node, through which it makes its calls; `None` until the node runs.
     pub node: Rc<Cell<Option<SocketAddr>>>,
-    /// What it does.
+    /// How it handles requests. May be changed at any time, except for `slots`.
     pub config: Rc<RefCell<BackendConfig>>,
-    /// Runs begun, by `Idempotency-Key`, or by path without one.
+    /// The number of runs started, by `Idempotency-Key`, or by path if a request has none.
     pub runs: Rc<RefCell<IndexMap<String, u32>>>,
     client: awc::Client,
     slots: Rc<Semaphore>,
 }
 
 impl Backend {
-    /// Starts a server on `addr`, for as long as the system runs.
+    /// Starts a server on `addr` that serves until the Actix system stops.
     pub async fn start(addr: SocketAddr, config: BackendConfig) -> std::io::Result<Self> {
         let listener = TcpListener::bind(addr).await?;
         let slots = if config.slots == 0 {
@@ -75,9 +76,9 @@
                 .disable_timeout()
                 .finish(),
         };
-        let serving = backend.clone();
+        let handler_backend = backend.clone();
         let handler = move |req| {
-            let backend = serving.clone();
+            let backend = handler_backend.clone();
             async move { backend.handle(req).await }
         };
         actix_rt::spawn(http::serve(listener, handler));
@@ -85,7 +86,7 @@
     }
 
     async fn handle(&self, mut req: Request) -> Response<BoxBody> {
-        let body = http::body(&mut req).await;
+        let body = http::read_body(&mut req).await;
         if req.path() == "/-/runs" {
             return ok(self.runs_page());
         }
@@ -93,19 +94,19 @@
         let key = header(KEY_HEADER).unwrap_or_else(|| req.path().to_owned());
         *self.runs.borrow_mut().entry(key).or_insert(0) += 1;
         let config = self.config.borrow().clone();
-        let slot = self.slots.acquire().await;
+        let permit = self.slots.acquire().await;
         tokio::time::sleep(config.service_time).await;
-        drop(slot);
+        drop(permit);
         let context = header(CONTEXT_HEADER).unwrap_or_default();
-        let mut answer = body.to_vec();
+        let mut response = body.to_vec();
         for child in &config.child_calls {
             match self.call(child, &context, body.clone()).await {
-                Ok(part) => answer.extend_from_slice(&part),
+                Ok(child_body) => response.extend_from_slice(&child_body),
                 Err(status) => return Response::new(status),
             }
         }
-        answer.extend_from_slice(req.path().as_bytes());
-        ok(answer)
+        response.extend_from_slice(req.path().as_bytes());
+        ok(response)
     }
 
     async fn call(
@@ -128,6 +129,7 @@
         response.body().await.map_err(|_| StatusCode::BAD_GATEWAY)
     }
 
+    /// One line of `COUNT KEY` for each key.
     fn runs_page(&self) -> String {
         let runs = self.runs.borrow();
         runs.iter()
--- a/crates/standin/src/deployment.rs
+++ b/crates/standin/src/deployment.rs
@@ -1,5 +1,5 @@
-//! A whole small deployment in one process: the store, and for each instance a thread with a real
-//! node and a backend server beside it.
+//! A small deployment in one process: the store's stand-in, and for each instance a thread with a
+//! real node and a stand-in for its backend server.
 
 use crate::Backend;
 use crate::BackendConfig;
@@ -13,44 +13,48 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
+/// The loopback address, with a port that the system chooses.
 const LOOPBACK: ([u8; 4], u16) = ([127, 0, 0, 1], 0);
 
-/// Where an instance belongs and what its backend server does.
+/// The location of an instance and the configuration of its backend server.
 #[derive(Debug, Clone)]
 pub struct InstanceConfig {
-    /// The service.
+    /// The service that the instance belongs to.
     pub service: &'static str,
-    /// The failure domain.
+    /// The failure domain in which it runs.
     pub failure_domain: &'static str,
-    /// The region.
+    /// The region of the failure domain.
     pub region: &'static str,
-    /// What the backend server does.
+    /// The configuration of its backend server.
     pub backend: BackendConfig,
 }
 
-/// An instance on a thread of its own.
+/// An instance that runs on its own thread.
 pub struct InstanceHandle {
-    /// Its service.
+    /// The service that the instance belongs to.
     pub service: &'static str,
-    /// Where its node takes HTTP.
+    /// The address on which its node accepts HTTP requests.
     pub http_addr: SocketAddr,
-    /// Where its backend server listens.
+    /// The address on which its backend server listens.
     pub backend_addr: SocketAddr,
-    /// The kernel's page on the processor time of its thread; empty off Linux.
+    /// The kernel's file with the CPU time of the thread; empty on systems other than Linux.
     schedstat: PathBuf,
     stop: Option<oneshot::Sender<()>>,
     thread: Option<std::thread::JoinHandle<()>>,
 }
 
 impl InstanceHandle {
-    /// Processor time of the instance's thread so far: its node and its backend server.
+    /// CPU time used so far by the instance's thread, which runs its node and its backend server.
     pub fn cpu_time(&self) -> Duration {
-        let page = std::fs::read_to_string(&self.schedstat).unwrap_or_default();
-        let nanos = page.split_whitespace().next().and_then(|n| n.parse().ok());
+        let schedstat = std::fs::read_to_string(&self.schedstat).unwrap_or_default();
+        let nanos = schedstat
+            .split_whitespace()
+            .next()
+            .and_then(|n| n.parse().ok());
         Duration::from_nanos(nanos.unwrap_or(0))
     }
 
-    /// Asks the node for a graceful shutdown and waits for its end.
+    /// Requests a graceful shutdown of the node and waits until its thread has ended.
     pub fn stop(&mut self) {
         if let Some(stop) = self.stop.take() {
             let _ = stop.send(());
@@ -61,36 +65,36 @@
     }
 }
 
-/// The store and all instances.
+/// The store's stand-in and all instances.
 pub struct Deployment {
-    /// Where the store listens.
+    /// The address on which the store listens.
     pub store_addr: SocketAddr,
-    /// The instances, in the order of their places.
+    /// The instances, in the order of their configurations.
     pub instances: Vec<InstanceHandle>,
 }
 
 impl Deployment {
-    /// Starts everything.
+    /// Starts the store and one instance for each configuration.
     ///
     /// # Panics
     ///
-    /// If a loopback port cannot be had.
-    pub fn start(places: &[InstanceConfig]) -> Self {
+    /// If no loopback port is free.
+    pub fn start(configs: &[InstanceConfig]) -> Self {
         let store_addr = start_store();
-        let instances = places
+        let instances = configs
             .iter()
-            .map(|place| start_instance(place.clone(), store_addr));
+            .map(|config| start_instance(config.clone(), store_addr));
         Self {
             store_addr,
             instances: instances.collect(),
         }
     }
 
-    /// Publishes rules, and waits until every node has them and knows every instance.
+    /// Publishes rules, and waits until every node has applied them and knows every instance.
     ///
     /// # Panics
     ///
-    /// If the store's stand-in or a node does not answer.
+    /// If the store does not answer.
     pub async fn publish(&self, rules: &str) {
         let record = Record::Publish {
             version: 1,
@@ -100,7 +104,7 @@
         };
         let store = platform::Store::new(self.store_addr);
         let topic = platform::topic("bilberrycove");
-        // Nobody else publishes, so this needs no condition.
+        // There is no other publisher, so the append needs no condition on the offset.
         let appended = store.append(&topic, None, &record.entries()).await;
         appended.expect("the store answers");
         let all = self.instances.len().to_string();
@@ -120,14 +124,14 @@
     }
 }
 
-/// The value of a line of a node's status page.
+/// The value of a key on a node's status page; `None` if the node does not answer.
 pub async fn status_value(node: SocketAddr, key: &str) -> Option<String> {
     let page = fetch_status_page(node).await;
     let value = |line: &str| Some(line.strip_prefix(key)?.strip_prefix(' ')?.to_owned());
     page.lines().find_map(value)
 }
 
-/// A node's whole status page; empty if it does not answer.
+/// A node's full status page; empty if the node does not answer.
 pub async fn fetch_status_page(node: SocketAddr) -> String {
     let client = awc::Client::new();
     let Ok(mut response) = client.get(format!("http://{node}/-/status")).send().await else {
@@ -148,18 +152,18 @@
             std::future::pending::<()>().await;
         });
     });
-    rx.recv().expect("the store's thread has started")
+    rx.recv().expect("the store's thread reports its address")
 }
 
-fn start_instance(place: InstanceConfig, store: SocketAddr) -> InstanceHandle {
-    let service = place.service;
+fn start_instance(config: InstanceConfig, store: SocketAddr) -> InstanceHandle {
+    let service = config.service;
     let (tx, rx) = mpsc::channel();
-    let (stop, stopped) = oneshot::channel();
+    let (stop, stop_requested) = oneshot::channel();
     let thread = std::thread::spawn(move || {
         actix_rt::System::new().block_on(async {
-            let backend = Backend::start(LOOPBACK.into(), place.backend.clone());
+            let backend = Backend::start(LOOPBACK.into(), config.backend.clone());
             let backend = backend.await.expect("a loopback port is free");
-            let settings = settings(&place, backend.addr, store);
+            let settings = node_settings(&config, backend.addr, store);
             let node = node::start(settings)
                 .await
                 .expect("a loopback port is free");
@@ -167,13 +171,14 @@
             let thread = std::fs::read_link("/proc/thread-self").unwrap_or_default();
             let schedstat = Path::new("/proc").join(thread).join("schedstat");
             let _ = tx.send((node.http_addr, backend.addr, schedstat));
-            let _ = stopped.await;
+            let _ = stop_requested.await;
             node.stop();
             node.stopped().await;
         });
     });
-    let (http_addr, backend_addr, schedstat) =
-        rx.recv().expect("the instance's thread has started");
+    let (http_addr, backend_addr, schedstat) = rx
+        .recv()
+        .expect("the instance's thread reports its addresses");
     InstanceHandle {
         service,
         http_addr,
@@ -184,12 +189,12 @@
     }
 }
 
-fn settings(place: &InstanceConfig, backend: SocketAddr, store: SocketAddr) -> Settings {
+fn node_settings(config: &InstanceConfig, backend: SocketAddr, store: SocketAddr) -> Settings {
     let text = format!(
         "[node]\nservice = {}\nfailure_domain = {}\nregion = {}\n\
          http_addr = 127.0.0.1:0\npeer_addr = 127.0.0.1:0\n\
          [backend_server]\naddr = {backend}\n[store]\naddr = {store}\n",
-        place.service, place.failure_domain, place.region
+        config.service, config.failure_domain, config.region
     );
-    Settings::parse(&text).expect("these settings are good")
+    Settings::parse(&text).expect("the settings are valid")
 }
--- a/crates/standin/src/http.rs
+++ b/crates/standin/src/http.rs
@@ -1,7 +1,6 @@
-//! One HTTP/1.1 server on one listener, on the calling thread.
+//! A minimal HTTP/1.1 server on the calling thread, and access to parts of its requests.
 
 use actix_http::body::BoxBody;
-
 use actix_http::HttpService;
 use actix_http::Request;
 use actix_http::Response;
@@ -17,22 +16,22 @@
 use std::rc::Rc;
 use tokio::net::TcpListener;
 
-/// Serves for as long as the returned task lives.
+/// Accepts connections and answers requests by `handler`; never returns.
 pub(crate) async fn serve<F, R>(listener: TcpListener, handler: F)
 where
     F: Fn(Request) -> R + 'static,
     R: Future<Output = Response<BoxBody>> + 'static,
 {
     let handler = Rc::new(handler);
-    let answer = fn_service(move |req: Request| {
+    let http_service = fn_service(move |req: Request| {
         let handler = handler.clone();
         async move { Ok::<_, Infallible>(handler(req).await) }
     });
-    let factory = HttpService::build().h1(answer.into_factory());
+    let factory = HttpService::build().h1(http_service.into_factory());
     let service = factory
         .new_service(())
         .await
-        .expect("the service has nothing to fail with");
+        .expect("this service factory cannot fail");
     let service = Rc::new(service);
     loop {
         let Ok((stream, peer)) = listener.accept().await else {
@@ -44,8 +43,8 @@
     }
 }
 
-/// The whole body of a request; what came of it if it broke off.
-pub(crate) async fn body(req: &mut Request) -> Bytes {
+/// Reads the body of a request. If the connection breaks, returns the part received until then.
+pub(crate) async fn read_body(req: &mut Request) -> Bytes {
     let mut payload = actix_http::HttpMessage::take_payload(req);
     let mut body = BytesMut::new();
     while let Some(Ok(chunk)) = payload.next().await {
@@ -54,8 +53,8 @@
     body.freeze()
 }
 
-/// The value of a query parameter.
-pub(crate) fn query<T: std::str::FromStr>(req: &Request, name: &str) -> Option<T> {
+/// The value of a query parameter; `None` if it is missing or cannot be parsed.
+pub(crate) fn query_param<T: std::str::FromStr>(req: &Request, name: &str) -> Option<T> {
     let pairs = req.uri().query()?.split('&');
     pairs
         .filter_map(|pair| pair.split_once('='))
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,5 +1,5 @@
-//! Stand-ins for what surrounds the system: the store, backend servers and callers. They run
-//! inside a test's process or as examples, and ship in no binary.
+//! Stand-ins for the systems around a node: the store, backend servers and callers. They run in the
+//! process of a test or as examples, and are not part of any released binary.
 
 mod backend;
 mod deployment;
--- a/crates/standin/src/load.rs
+++ b/crates/standin/src/load.rs
@@ -1,4 +1,4 @@
-//! Callers: a bounded load at a set rate, open loop.
+//! An open-loop load generator that sends a set number of requests at a set rate.
 
 use awc::http::Method;
 use hdrhistogram::Histogram;
@@ -7,48 +7,50 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The longest time that is told apart from longer ones: a minute.
-const MAX_MICROS: u64 = 60_000_000;
+/// The longest latency that the histograms can represent, a minute. Longer ones are recorded as
+/// this value.
+const MAX_LATENCY_US: u64 = 60_000_000;
 
-/// One kind of request of the mix.
+/// One kind of request in the load.
 #[derive(Debug, Clone)]
 pub struct RequestKind {
-    /// The method.
+    /// The HTTP method.
     pub method: Method,
-    /// The whole URL; `{n}` in it stands for the count of the request, so that no two are the same.
+    /// The full URL. `{n}` is replaced by the number of the request, which makes each URL unique.
     pub url: String,
-    /// Whether each request gets a key of its own.
+    /// Whether each request gets its own idempotency key.
     pub keyed: bool,
 }
 
-/// A load: `count` requests, one every `interval`, over the kinds in turn.
+/// A load of `count` requests, one every `interval`, with the kinds in turn.
 #[derive(Debug, Clone)]
 pub struct LoadConfig {
-    /// The mix.
+    /// The kinds of request, each sent equally often.
     pub kinds: Vec<RequestKind>,
-    /// The time between two requests.
+    /// The time between the starts of two requests.
     pub interval: Duration,
-    /// How many requests there are in all.
+    /// The total number of requests.
     pub count: u32,
-    /// How long a caller waits.
+    /// How long a caller waits for the response.
     pub caller_timeout: Duration,
 }
 
-/// What became of a load, one entry a kind.
+/// The outcomes of a load, with one entry for each kind.
 pub struct LoadReport {
-    /// Whole answers.
+    /// Complete responses.
     pub completed: Vec<u32>,
-    /// Answers that say not run.
+    /// Responses which say that the request was not run.
     pub not_run: Vec<u32>,
-    /// Everything else.
+    /// All other outcomes, time-outs included.
     pub other: Vec<u32>,
-    /// Times of whole answers, in microseconds.
+    /// Latencies of complete responses, in microseconds.
     pub latencies_us: Vec<Histogram<u64>>,
 }
 
 impl LoadReport {
     fn new(kinds: usize) -> Self {
-        let histogram = || Histogram::new_with_max(MAX_MICROS, 3).expect("the bounds are allowed");
+        let histogram =
+            || Histogram::new_with_max(MAX_LATENCY_US, 3).expect("the bounds are allowed");
         Self {
             completed: vec![0; kinds],
             not_run: vec![0; kinds],
@@ -58,7 +60,7 @@
     }
 }
 
-/// Runs a load to its end.
+/// Sends all requests of a load and waits for their outcomes.
 pub async fn run(load: LoadConfig) -> LoadReport {
     let client = awc::Client::builder()
         .disable_redirects()
@@ -72,8 +74,8 @@
         let index = n as usize % load.kinds.len();
         let mut kind = load.kinds[index].clone();
         kind.url = kind.url.replace("{n}", &n.to_string());
-        let one = send(client.clone(), kind, index, report.clone());
-        tasks.push(actix_rt::spawn(one));
+        let request = send(client.clone(), kind, index, report.clone());
+        tasks.push(actix_rt::spawn(request));
     }
     for task in tasks {
         let _ = task.await;
@@ -81,6 +83,7 @@
     report.replace(LoadReport::new(0))
 }
 
+/// Sends one request and adds its outcome to the report.
 async fn send(
     client: awc::Client,
     kind: RequestKind,
@@ -91,26 +94,26 @@
     if kind.keyed {
         req = req.insert_header(("idempotency-key", uuid::Uuid::new_v4().to_string()));
     }
-    let sent = Instant::now();
+    let sent_at = Instant::now();
     let response = req.send().await;
     let outcome = match response {
         Ok(mut response) => {
-            let outcome = response.headers().get("bilberry-outcome").cloned();
+            let header = response.headers().get("bilberry-outcome").cloned();
             let ok = response.status() == awc::http::StatusCode::OK;
-            match (response.body().await, outcome) {
+            match (response.body().await, header) {
                 (Ok(_), None) if ok => Some("whole".to_owned()),
-                (Ok(_), outcome) => outcome.and_then(|o| o.to_str().ok().map(str::to_owned)),
+                (Ok(_), header) => header.and_then(|value| value.to_str().ok().map(str::to_owned)),
                 (Err(_), _) => None,
             }
         }
         Err(_) => None,
     };
-    let micros = sent.elapsed().as_micros() as u64;
+    let latency_us = sent_at.elapsed().as_micros() as u64;
     let mut report = report.borrow_mut();
     match outcome.as_deref() {
         Some("whole") => {
             report.completed[index] += 1;
-            report.latencies_us[index].saturating_record(micros);
+            report.latencies_us[index].saturating_record(latency_us);
         }
         Some("not-run") => report.not_run[index] += 1,
         _ => report.other[index] += 1,
--- a/crates/standin/src/store.rs
+++ b/crates/standin/src/store.rs
@@ -1,7 +1,8 @@
-//! The stand-in of the users' platform's store: topics in memory, with the faults of the real one.
+//! A stand-in for the platform's store: an HTTP server with topics in memory, which can simulate
+//! the faults of the real store.
 
 mod groups;
-mod topic;
+mod partition;
 
 use crate::http;
 use actix_http::body::BoxBody;
@@ -14,9 +15,12 @@
 use bytes::Bytes;
 use bytes::BytesMut;
 use groups::Group;
-use groups::Join;
-use groups::Progress;
+use groups::JoinRequest;
+use groups::MemberRequest;
 use indexmap::IndexMap;
+use partition::AppendConditions;
+use partition::AppendError;
+use partition::Partition;
 use serde::Serialize;
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -26,104 +30,104 @@
 use tokio::net::TcpListener;
 use tokio::sync::Notify;
 use tokio::time::Instant;
-use topic::AppendError;
-use topic::Conditions;
-use topic::Partition;
 
-/// The most records on a page of newest records.
-const PAGE: usize = 500;
+/// The maximum number of records in one response to `log-newest`.
+const NEWEST_PAGE_LEN: usize = 500;
 
-/// Partitions of each topic.
-const PARTITIONS: u32 = 12;
+/// The number of partitions of each topic.
+const PARTITION_COUNT: u32 = 12;
 
-/// What may go wrong at one listener, switched at any time.
+/// Faults simulated by one listener. They may be changed at any time.
 #[derive(Debug, Default)]
 pub struct StoreFaults {
-    /// Nothing takes effect, and each call is answered with 503.
+    /// Calls have no effect and are answered with status 503.
     pub unavailable: Cell<bool>,
-    /// Nothing takes effect, and nothing is answered.
+    /// Calls have no effect and are not answered.
     pub unresponsive: Cell<bool>,
-    /// The answers of this many appends are lost after they took effect.
+    /// The number of appends that take effect without being answered.
     pub drop_append_responses: Cell<u32>,
-    /// This many appends are not answered, and take effect after `late_by` if their condition still
-    /// holds then.
+    /// The number of appends that are not answered and take effect only after `append_delay`, if
+    /// their condition still holds then.
     pub delayed_appends: Cell<u32>,
-    /// How much later those take effect.
+    /// The delay of each of `delayed_appends`.
     pub append_delay: Cell<Duration>,
-    /// How much longer each answer takes; an append takes effect after it.
+    /// The delay of each call. Appends take effect after it.
     pub response_delay: Cell<Duration>,
 }
 
+/// The records and groups, which all listeners share.
 #[derive(Default)]
-struct Data {
+struct StoreData {
+    /// Partitions by topic and number.
     partitions: RefCell<IndexMap<(String, u32), Partition>>,
     groups: RefCell<IndexMap<String, Group>>,
+    /// Notified of each append to any partition.
     appended: Notify,
 }
 
-/// One listener of the store's stand-in.
+/// One listener of a store's stand-in.
 #[derive(Clone)]
 pub struct Store {
-    /// Where it listens.
+    /// The address on which it listens.
     pub addr: SocketAddr,
-    /// What goes wrong here.
+    /// The faults that this listener simulates.
     pub faults: Rc<StoreFaults>,
-    /// Calls answered here, by path.
+    /// The number of calls that this listener processed, by path.
     pub call_counts: Rc<RefCell<IndexMap<String, u32>>>,
-    data: Rc<Data>,
+    data: Rc<StoreData>,
 }
 
 #[derive(Serialize)]
-struct Appended {
+struct AppendResponse {
     offset: u64,
     end: u64,
 }
 
 #[derive(Serialize)]
-struct End {
+struct EndMismatchResponse {
     end: u64,
 }
 
 #[derive(Serialize)]
-struct Expired {
+struct ExpiredResponse {
     first: u64,
 }
 
 #[derive(Serialize)]
-struct Refused {
+struct AppendRefusedResponse {
     why: &'static str,
     #[serde(skip_serializing_if = "Option::is_none")]
     expected: Option<u64>,
 }
 
 #[derive(Serialize)]
-struct Newest {
-    items: Vec<Item>,
+struct NewestResponse {
+    items: Vec<NewestItem>,
     more: bool,
     end: u64,
 }
 
 #[derive(Serialize)]
-struct Item {
+struct NewestItem {
     key: String,
     value: String,
     offset: u64,
 }
 
 impl Store {
-    /// Starts a store on `addr`, for as long as the system runs.
+    /// Starts a store on `addr` that serves until the Actix system stops.
     pub async fn start(addr: SocketAddr) -> std::io::Result<Self> {
-        Self::open(addr, Rc::default()).await
+        Self::listen(addr, Rc::default()).await
     }
 
-    /// Another listener on the same data, with faults of its own: how the store is met by machines that
-    /// it turns away while it serves the others.
+    /// Adds a listener for the same data with its own faults. This simulates a store that refuses
+    /// some machines while it serves others.
     pub async fn add_listener(&self) -> std::io::Result<Self> {
         let addr = SocketAddr::new(self.addr.ip(), 0);
-        Self::open(addr, self.data.clone()).await
+        Self::listen(addr, self.data.clone()).await
     }
 
-    async fn open(addr: SocketAddr, data: Rc<Data>) -> std::io::Result<Self> {
+    async fn listen(addr: SocketAddr, data: Rc<StoreData>) -> std::io::Result<Self> {
         let listener = TcpListener::bind(addr).await?;
         let store = Self {
             addr: listener.local_addr()?,
@@ -131,71 +135,74 @@
             call_counts: Rc::default(),
             data,
         };
-        let serving = store.clone();
+        let handler_store = store.clone();
         let handler = move |req| {
-            let store = serving.clone();
+            let store = handler_store.clone();
             async move { store.handle(req).await }
         };
         actix_rt::spawn(http::serve(listener, handler));
         Ok(store)
     }
 
-    /// Writes a record, as the operator does.
+    /// Appends a record with a key to the first partition of a topic, without any condition.
     pub fn put(&self, topic: &str, key: &str, value: &str) {
         let mut body = BytesMut::new();
         body.put_u32((1 + key.len() + value.len()) as u32);
         body.put_u8(key.len() as u8);
         body.put_slice(key.as_bytes());
         body.put_slice(value.as_bytes());
-        let done = self.apply(topic, 0, &Conditions::default(), body.freeze());
-        debug_assert!(done.is_ok(), "{done:?}");
+        let result =
+            self.append_to_partition(topic, 0, &AppendConditions::default(), body.freeze());
+        debug_assert!(result.is_ok(), "{result:?}");
     }
 
-    /// The offset that the next record of a topic's first partition gets.
+    /// The offset that the next record in the first partition of a topic will get.
     pub fn end_offset(&self, topic: &str) -> u64 {
-        self.with_partition(topic, 0, |partition| partition.end())
+        self.with_partition(topic, 0, |partition| partition.end_offset())
     }
 
-    /// Forgets all records but the newest of each key.
+    /// Expires all records. The newest record of each key remains available to `log-newest`.
     pub fn expire_records(&self) {
         for partition in self.data.partitions.borrow_mut().values_mut() {
-            partition.trim(partition.end());
+            partition.trim(partition.end_offset());
         }
     }
 
-    /// Deals all partitions of all groups anew.
+    /// Reassigns the partitions of all groups, which starts a new generation of each.
     pub fn rebalance(&self) {
         for group in self.data.groups.borrow_mut().values_mut() {
-            group.deal();
+            group.rebalance();
         }
     }
 
+    /// Calls a function with a partition, which is created if it does not exist.
     fn with_partition<T>(
         &self,
         topic: &str,
         part: u32,
-        then: impl FnOnce(&mut Partition) -> T,
+        access: impl FnOnce(&mut Partition) -> T,
     ) -> T {
         let mut partitions = self.data.partitions.borrow_mut();
         let partition = partitions.entry((topic.to_owned(), part));
         let partition = partition.or_insert_with(|| Partition::new(topic.starts_with("keyed.")));
-        then(partition)
+        access(partition)
     }
 
-    fn apply(
+    /// Appends records and wakes waiting reads.
+    fn append_to_partition(
         &self,
         topic: &str,
         part: u32,
-        conditions: &Conditions,
+        conditions: &AppendConditions,
         body: Bytes,
-    ) -> Result<topic::Appended, AppendError> {
-        let done = self.with_partition(topic, part, |p| p.append(conditions, body));
+    ) -> Result<partition::Appended, AppendError> {
+        let result = self.with_partition(topic, part, |p| p.append(conditions, body));
         self.data.appended.notify_waiters();
-        done
+        result
     }
 
     async fn handle(&self, mut req: Request) -> Response<BoxBody> {
-        let body = http::body(&mut req).await;
+        let body = http::read_body(&mut req).await;
         tokio::time::sleep(self.faults.response_delay.get()).await;
         if self.faults.unresponsive.get() {
             return std::future::pending().await;
@@ -209,14 +216,14 @@
             .borrow_mut()
             .entry(path.clone())
             .or_insert(0) += 1;
-        let topic: String = http::query(&req, "topic").unwrap_or_default();
-        let part = http::query(&req, "part").unwrap_or(0);
+        let topic: String = http::query_param(&req, "topic").unwrap_or_default();
+        let part = http::query_param(&req, "part").unwrap_or(0);
         match &*path {
             "/bilberrycove/log-append" => self.append(&req, &topic, part, body).await,
             "/bilberrycove/log-read" => self.read(&req, &topic, part).await,
             "/bilberrycove/log-newest" => self.newest(&req, &topic, part),
             "/bilberrycove/log-trim" => {
-                let before = http::query(&req, "before").unwrap_or(0);
+                let before = http::query_param(&req, "before").unwrap_or(0);
                 self.with_partition(&topic, part, |partition| partition.trim(before));
                 Response::new(StatusCode::OK)
             }
@@ -235,53 +242,62 @@
         part: u32,
         body: Bytes,
     ) -> Response<BoxBody> {
-        let producer = http::query(req, "producer").zip(http::query(req, "epoch"));
+        let producer = http::query_param(req, "producer").zip(http::query_param(req, "epoch"));
         let producer = producer.map(|(name, epoch)| {
-            let sequence = http::query(req, "sequence").unwrap_or(0);
+            let sequence = http::query_param(req, "sequence").unwrap_or(0);
             (name, epoch, sequence)
         });
-        let conditions = Conditions {
-            at: http::query(req, "at"),
+        let conditions = AppendConditions {
+            expected_end: http::query_param(req, "at"),
             producer,
         };
-        let late = self.faults.delayed_appends.get();
-        if late > 0 {
-            self.faults.delayed_appends.set(late - 1);
+        let delayed = self.faults.delayed_appends.get();
+        if delayed > 0 {
+            self.faults.delayed_appends.set(delayed - 1);
             let (store, topic) = (self.clone(), topic.to_owned());
             actix_rt::spawn(async move {
                 tokio::time::sleep(store.faults.append_delay.get()).await;
-                // Nobody waits for the answer.
-                let _ = store.apply(&topic, part, &conditions, body);
+                // The result is not reported: the append is never answered.
+                let _ = store.append_to_partition(&topic, part, &conditions, body);
             });
             return std::future::pending().await;
         }
-        let done = self.apply(topic, part, &conditions, body);
-        let lose = self.faults.drop_append_responses.get();
-        if lose > 0 {
-            self.faults.drop_append_responses.set(lose - 1);
+        let result = self.append_to_partition(topic, part, &conditions, body);
+        let to_drop = self.faults.drop_append_responses.get();
+        if to_drop > 0 {
+            self.faults.drop_append_responses.set(to_drop - 1);
             return std::future::pending().await;
         }
-        let refused = |why, expected| json(StatusCode::CONFLICT, &Refused { why, expected });
-        match done {
-            Ok(topic::Appended { offset, end }) => json(StatusCode::OK, &Appended { offset, end }),
-            Err(AppendError::Malformed) => Response::new(StatusCode::BAD_REQUEST),
-            Err(AppendError::Elsewhere { end }) => {
-                json(StatusCode::PRECONDITION_FAILED, &End { end })
+        let refused_response = |why, expected| {
+            json(
+                StatusCode::CONFLICT,
+                &AppendRefusedResponse { why, expected },
+            )
+        };
+        match result {
+            Ok(partition::Appended { offset, end }) => {
+                json(StatusCode::OK, &AppendResponse { offset, end })
             }
-            Err(AppendError::Fenced) => refused("fenced", None),
-            Err(AppendError::Sequence { expected }) => refused("seq", Some(expected)),
+            Err(AppendError::Malformed) => Response::new(StatusCode::BAD_REQUEST),
+            Err(AppendError::EndMismatch { end }) => json(
+                StatusCode::PRECONDITION_FAILED,
+                &EndMismatchResponse { end },
+            ),
+            Err(AppendError::Fenced) => refused_response("fenced", None),
+            Err(AppendError::OutOfSequence { expected }) => refused_response("seq", Some(expected)),
         }
     }
 
     async fn read(&self, req: &Request, topic: &str, part: u32) -> Response<BoxBody> {
-        let from: u64 = http::query(req, "from").unwrap_or(0);
-        let wait = Duration::from_millis(http::query(req, "wait_ms").unwrap_or(0));
-        let until = Instant::now() + wait;
+        let from: u64 = http::query_param(req, "from").unwrap_or(0);
+        let wait = Duration::from_millis(http::query_param(req, "wait_ms").unwrap_or(0));
+        let deadline = Instant::now() + wait;
         loop {
             let appended = self.data.appended.notified();
-            let at_end = self.with_partition(topic, part, |partition| partition.end() <= from);
-            // Any topic's record wakes this read.
-            if !at_end || tokio::time::timeout_at(until, appended).await.is_err() {
+            let at_end =
+                self.with_partition(topic, part, |partition| partition.end_offset() <= from);
+            // An append to any partition wakes this read, which then checks its own again.
+            if !at_end || tokio::time::timeout_at(deadline, appended).await.is_err() {
                 break;
             }
         }
@@ -289,9 +305,9 @@
             return Response::new(StatusCode::SERVICE_UNAVAILABLE);
         }
         self.with_partition(topic, part, |partition| {
-            let (first, end) = (partition.first, partition.end());
-            let Some(records) = partition.read(from) else {
-                return json(StatusCode::GONE, &Expired { first });
+            let (first, end) = (partition.first_offset, partition.end_offset());
+            let Some(records) = partition.records_from(from) else {
+                return json(StatusCode::GONE, &ExpiredResponse { first });
             };
             let mut body = BytesMut::new();
             body.put_u64(end);
@@ -307,66 +323,70 @@
     }
 
     fn newest(&self, req: &Request, topic: &str, part: u32) -> Response<BoxBody> {
-        let after: String = http::query(req, "after").unwrap_or_default();
+        let after: String = http::query_param(req, "after").unwrap_or_default();
         let newest = self.with_partition(topic, part, |partition| {
-            let all = partition.newest(&after);
-            let items = all.iter().take(PAGE).map(|(key, value, offset)| Item {
-                key: (*key).to_owned(),
-                value: BASE64_STANDARD.encode(value),
-                offset: *offset,
-            });
-            Newest {
+            let all = partition.newest_after(&after);
+            let items = all
+                .iter()
+                .take(NEWEST_PAGE_LEN)
+                .map(|(key, value, offset)| NewestItem {
+                    key: (*key).to_owned(),
+                    value: BASE64_STANDARD.encode(value),
+                    offset: *offset,
+                });
+            NewestResponse {
                 items: items.collect(),
-                more: all.len() > PAGE,
-                end: partition.end(),
+                more: all.len() > NEWEST_PAGE_LEN,
+                end: partition.end_offset(),
             }
         });
         json(StatusCode::OK, &newest)
     }
 
     fn join(&self, body: &[u8]) -> Response<BoxBody> {
-        let Ok(join) = serde_json::from_slice::<Join>(body) else {
+        let Ok(request) = serde_json::from_slice::<JoinRequest>(body) else {
             return Response::new(StatusCode::BAD_REQUEST);
         };
         let mut groups = self.data.groups.borrow_mut();
-        let group = groups.entry(join.group.clone()).or_default();
+        let group = groups.entry(request.group.clone()).or_default();
         json(
             StatusCode::OK,
-            &group.join(Instant::now(), &join, PARTITIONS),
+            &group.join(Instant::now(), &request, PARTITION_COUNT),
         )
     }
 
     fn leave(&self, body: &[u8]) -> Response<BoxBody> {
-        let Ok(leave) = serde_json::from_slice::<Progress>(body) else {
+        let Ok(request) = serde_json::from_slice::<MemberRequest>(body) else {
             return Response::new(StatusCode::BAD_REQUEST);
         };
-        if let Some(group) = self.data.groups.borrow_mut().get_mut(&leave.group) {
-            group.leave(Instant::now(), &leave.member);
+        if let Some(group) = self.data.groups.borrow_mut().get_mut(&request.group) {
+            group.leave(Instant::now(), &request.member);
         }
         Response::new(StatusCode::OK)
     }
 
     fn commit(&self, body: &[u8]) -> Response<BoxBody> {
-        let Ok(commit) = serde_json::from_slice::<Progress>(body) else {
+        let Ok(request) = serde_json::from_slice::<MemberRequest>(body) else {
             return Response::new(StatusCode::BAD_REQUEST);
         };
         let mut groups = self.data.groups.borrow_mut();
-        let group = groups.get_mut(&commit.group);
-        match group.is_some_and(|group| group.commit(Instant::now(), &commit)) {
+        let group = groups.get_mut(&request.group);
+        match group.is_some_and(|group| group.commit(Instant::now(), &request)) {
             true => Response::new(StatusCode::OK),
             false => Response::new(StatusCode::CONFLICT),
         }
     }
 
     fn owners(&self, req: &Request) -> Response<BoxBody> {
-        let group: String = http::query(req, "group").unwrap_or_default();
+        let group: String = http::query_param(req, "group").unwrap_or_default();
         let mut groups = self.data.groups.borrow_mut();
-        let owners = groups.get_mut(&group);
-        let owners = owners.map_or(Vec::new(), |group| group.owners(Instant::now()));
+        let group = groups.get_mut(&group);
+        let owners = group.map_or(Vec::new(), |group| group.owners(Instant::now()));
         json(StatusCode::OK, &owners)
     }
 }
 
+/// A response with a JSON body.
 fn json(status: StatusCode, body: &impl Serialize) -> Response<BoxBody> {
     let body = serde_json::to_vec(body).unwrap_or_default();
     let mut response = Response::build(status);
--- a/crates/standin/tests/store.rs
+++ b/crates/standin/tests/store.rs
@@ -1,4 +1,4 @@
-//! What the store's stand-in shares with the real one beyond what nodes use of it.
+//! Features of the real store that the stand-in implements although nodes do not use them.
 
 use awc::http::StatusCode;
 use bilberry_standin::Store;
@@ -13,7 +13,8 @@
     Store::start(([127, 0, 0, 1], 0).into()).await.unwrap()
 }
 
-fn records(texts: &[&str]) -> Bytes {
+/// The body of an append: each record after its 4-byte length.
+fn encode_records(texts: &[&str]) -> Bytes {
     let mut body = BytesMut::new();
     for text in texts {
         body.put_u32(text.len() as u32);
@@ -22,7 +23,7 @@
     body.freeze()
 }
 
-/// Status and body of an answer; nothing where the body is no JSON.
+/// Sends a POST request. Returns the status and the JSON body, or null if the body is not JSON.
 async fn send(url: String, body: impl awc::body::MessageBody + 'static) -> (u16, Value) {
     let mut response = awc::Client::new().post(url).send_body(body).await.unwrap();
     let status = response.status().as_u16();
@@ -35,7 +36,7 @@
         "http://{}/bilberrycove/log-append?topic=work&part=3{query}",
         store.addr
     );
-    send(url, records(texts)).await
+    send(url, encode_records(texts)).await
 }
 
 async fn post(store: &Store, call: &str, body: Value) -> (u16, Value) {
@@ -49,22 +50,25 @@
     (response.status().as_u16(), response.body().await.unwrap())
 }
 
-/// The generation, and how many partitions the member has.
+/// Joins a member with a long time to live. Returns the generation and the number of partitions
+/// that the member owns.
 async fn join(store: &Store, member: &str, generation: u64) -> (u64, usize) {
     join_for(store, member, generation, 3600.0).await
 }
 
+/// Like [`join`], with a time to live in seconds.
 async fn join_for(store: &Store, member: &str, generation: u64, ttl: f64) -> (u64, usize) {
     let body = json!({
         "group": "g", "member": member, "topics": ["work"], "ttl_s_time": ttl,
         "generation": generation,
     });
-    let (status, share) = post(store, "log-join", body).await;
+    let (status, assignment) = post(store, "log-join", body).await;
     assert_eq!(status, 200);
-    let generation = share["generation"].as_u64().unwrap();
-    (generation, share["parts"].as_array().unwrap().len())
+    let generation = assignment["generation"].as_u64().unwrap();
+    (generation, assignment["parts"].as_array().unwrap().len())
 }
 
+/// Commits an offset in the first partition and returns the status.
 async fn commit(store: &Store, member: &str, generation: u64) -> u16 {
     let body = json!({
         "group": "g", "member": member, "generation": generation, "topic": "work",
@@ -73,7 +77,7 @@
     post(store, "log-commit", body).await.0
 }
 
-/// The holder of the first partition, and how far it is.
+/// The owner of the first partition and the committed offset.
 async fn owner(store: &Store) -> (Option<String>, u64) {
     let (_, body) = get(store, "log-owners?group=g").await;
     let owners: Vec<(String, u32, Option<String>, u64)> = serde_json::from_slice(&body).unwrap();
@@ -82,7 +86,7 @@
 }
 
 #[actix_rt::test]
-async fn a_lower_epoch_is_fenced_and_a_repeat_is_answered_again() {
+async fn lower_epoch_is_fenced_and_repeated_append_gets_the_same_answer() {
     let store = start().await;
     let first = append(&store, "&producer=w&epoch=7&sequence=12", &["ab", "c"]).await;
     assert_eq!(first, (200, json!({"offset": 0, "end": 2})));
@@ -90,9 +94,9 @@
     assert_eq!(again, first);
     let skipped = append(&store, "&producer=w&epoch=7&sequence=14", &["d"]).await;
     assert_eq!(skipped, (409, json!({"why": "seq", "expected": 13})));
-    // A call without records sets the epoch.
-    let epoch = append(&store, "&producer=w&epoch=8&sequence=0", &[]).await;
-    assert_eq!(epoch.0, 200);
+    // An append without records sets the epoch.
+    let new_epoch = append(&store, "&producer=w&epoch=8&sequence=0", &[]).await;
+    assert_eq!(new_epoch.0, 200);
     let fenced = append(&store, "&producer=w&epoch=7&sequence=13", &["d"]).await;
     assert_eq!(fenced, (409, json!({"why": "fenced"})));
     let next = append(&store, "&producer=w&epoch=8&sequence=3", &["d"]).await;
@@ -100,7 +104,7 @@
 }
 
 #[actix_rt::test]
-async fn records_are_trimmed() {
+async fn trimmed_records_are_gone() {
     let store = start().await;
     append(&store, "", &["a", "b", "c"]).await;
     let trim = "log-trim?topic=work&part=3&before=2";
@@ -113,32 +117,32 @@
     assert_eq!((status, body.len()), (200, 16 + 5));
 }
 
-/// A partition goes to another member only once its holder has heard of it, has left, or has been
-/// silent for its time. With two holders at once, both would do the same work.
+/// A partition gets a new owner only after the old one has learned of the new generation, has left,
+/// or has let its membership expire. With two owners at once, both would do the same work.
 #[actix_rt::test]
-async fn a_partition_has_one_holder() {
+async fn partition_has_one_owner() {
     let store = start().await;
-    let (one, parts) = join(&store, "a", 0).await;
+    let (first, parts) = join(&store, "a", 0).await;
     assert_eq!(parts, 12);
-    let (two, parts) = join(&store, "b", 0).await;
-    assert!(two > one);
-    assert_eq!(parts, 0, "a has not heard yet");
-    // By an older generation, a has not heard either.
-    assert_eq!(join(&store, "a", one).await, (two, 6));
-    assert_eq!(join(&store, "b", two).await, (two, 0));
-    assert_eq!(join(&store, "a", two).await, (two, 6));
-    assert_eq!(join(&store, "b", two).await, (two, 6));
-    assert_eq!(commit(&store, "a", two).await, 200);
-    assert_eq!(commit(&store, "b", two).await, 409);
+    let (second, parts) = join(&store, "b", 0).await;
+    assert!(second > first);
+    assert_eq!(parts, 0, "a does not know the new generation yet");
+    // A join with the old generation does not release the partitions either.
+    assert_eq!(join(&store, "a", first).await, (second, 6));
+    assert_eq!(join(&store, "b", second).await, (second, 0));
+    assert_eq!(join(&store, "a", second).await, (second, 6));
+    assert_eq!(join(&store, "b", second).await, (second, 6));
+    assert_eq!(commit(&store, "a", second).await, 200);
+    assert_eq!(commit(&store, "b", second).await, 409);
     post(&store, "log-leave", json!({"group": "g", "member": "a"})).await;
-    let (three, parts) = join(&store, "b", two).await;
-    assert!(three > two);
+    let (third, parts) = join(&store, "b", second).await;
+    assert!(third > second);
     assert_eq!(parts, 12);
     assert_eq!(owner(&store).await, (Some("b".to_owned()), 5));
 }
 
 #[actix_rt::test]
-async fn a_silent_member_loses_its_partitions() {
+async fn expired_member_loses_its_partitions() {
     let store = start().await;
     join_for(&store, "a", 0, 0.01).await;
     while owner(&store).await.0.is_some() {
@@ -147,13 +151,13 @@
     assert_eq!(join(&store, "b", 0).await.1, 12);
 }
 
-/// All partitions are dealt anew without any request; a holder hears of it with its next call.
+/// A rebalance that no member caused. The owner learns of it with its next join.
 #[actix_rt::test]
-async fn partitions_may_be_dealt_anew() {
+async fn rebalance_starts_a_new_generation() {
     let store = start().await;
-    let (one, _) = join(&store, "a", 0).await;
+    let (first, _) = join(&store, "a", 0).await;
     store.rebalance();
-    let (two, parts) = join(&store, "a", one).await;
-    assert!(two > one);
+    let (second, parts) = join(&store, "a", first).await;
+    assert!(second > first);
     assert_eq!(parts, 12);
 }
