--- a/crates/experiment/src/graph.rs
+++ b/crates/experiment/src/graph.rs
@@ -1,26 +1,27 @@
-//! The call graph under test: four services in a chain, three instances each, after the gift wrap
-//! shops of the brief, scaled down.
+//! The call graph of the experiments: a chain of four services with three instances each. It is a
+//! scaled-down model of the users' gift wrap shops.
 
 use std::time::Duration;
 use trial::Layout;
 use trial::Operation;
 use trial::Place;
 
-/// The service at the end of the chain, which is the narrowest.
-pub const DEEPEST: &str = "royalty";
+/// The service at the end of the chain, which is the bottleneck.
+pub const DEEPEST_SERVICE: &str = "royalty";
 
-/// What the deepest service can do, in calls a second: three servers of 10 slots, 100 ms a call.
-pub const CAPACITY: f64 = 300.0;
+/// The capacity of the deepest service in calls per second: three servers with 10 slots each, and
+/// 100 ms for a call.
+pub const CAPACITY_PER_S: f64 = 300.0;
 
-/// The indices of the two things that callers ask for.
+/// The index of the lookup operation, which callers send to the first service.
 pub const LOOKUP: usize = 0;
-/// See [`LOOKUP`].
+/// The index of the order operation, which callers send to the first service.
 pub const ORDER: usize = 1;
 
-const SERVICES: [&str; 4] = ["catalogue", "order", "press", DEEPEST];
+const SERVICES: [&str; 4] = ["catalogue", "order", "press", DEEPEST_SERVICE];
 
-/// Failure domains and their regions.
-const DOMAINS: [(&str, &str); 3] = [
+/// Failure domains and their regions. Each service has one instance in each.
+const FAILURE_DOMAINS: [(&str, &str); 3] = [
     ("milano-1", "lombardia"),
     ("milano-2", "lombardia"),
     ("padova-1", "veneto"),
@@ -28,22 +29,23 @@
 
 const DEADLINE: Duration = Duration::from_secs(2);
 
-/// The layout: lookups and orders both go through all four services.
-pub fn layout(policy: engine::Switches) -> Layout {
-    let mut layout = Layout::small();
-    layout.operations.clear();
-    layout.places.clear();
+/// The configuration of the simulated cluster. Lookups and orders both go through all four
+/// services.
+pub fn cluster_config(policy: engine::Switches) -> Layout {
+    let mut cluster = Layout::small();
+    cluster.operations.clear();
+    cluster.places.clear();
     let mut rules = String::new();
     for (depth, service) in SERVICES.into_iter().enumerate() {
-        let takes = if service == DEEPEST { 100 } else { 5 };
-        for (nth, method) in ["GET", "POST"].into_iter().enumerate() {
-            let children = (depth + 1 < SERVICES.len()).then_some(2 * (depth + 1) + nth);
-            layout.operations.push(Operation {
+        let service_time_ms = if service == DEEPEST_SERVICE { 100 } else { 5 };
+        for (operation_index, method) in ["GET", "POST"].into_iter().enumerate() {
+            let child = (depth + 1 < SERVICES.len()).then_some(2 * (depth + 1) + operation_index);
+            cluster.operations.push(Operation {
                 service: service.into(),
                 method: method.into(),
                 path: "/x".into(),
-                takes: Duration::from_millis(takes),
-                children: children.into_iter().collect(),
+                takes: Duration::from_millis(service_time_ms),
+                children: child.into_iter().collect(),
                 parallel: false,
                 retries: 2,
                 deadline: DEADLINE,
@@ -54,19 +56,19 @@
             "operation {service} GET /x class=lookup idempotent deadline=2s retries=2 # asked by Giulia\n\
              operation {service} POST /x class=order deadline=2s retries=2 # asked by Marco\n\
              limit {service} concurrency=2..{} queue=100ms # asked by Marco\n",
-            if service == DEEPEST { 170 } else { 400 }
+            if service == DEEPEST_SERVICE { 170 } else { 400 }
         );
-        for (failure_domain, region) in DOMAINS {
-            layout.places.push(Place {
+        for (failure_domain, region) in FAILURE_DOMAINS {
+            cluster.places.push(Place {
                 service: service.into(),
                 failure_domain: failure_domain.into(),
                 region: region.into(),
             });
         }
     }
-    layout.rules = rules;
-    layout.slots = 50;
-    layout.backlog = 350;
-    layout.policy = policy;
-    layout
+    cluster.rules = rules;
+    cluster.slots = 50;
+    cluster.backlog = 350;
+    cluster.policy = policy;
+    cluster
 }
--- a/crates/experiment/src/lib.rs
+++ b/crates/experiment/src/lib.rs
@@ -1,5 +1,6 @@
-//! Experiments on the policy under load: the real engines on a virtual clock, through the fakes of
-//! the random runs, beside baselines and with each mechanism switched off in turn.
+//! Load experiments on the overload policy, on the real engines with a virtual clock and the
+//! simulated network, store and backend servers of the trial package. Each experiment compares the
+//! policy with baselines and with variants that have one mechanism switched off.
 
 pub mod graph;
 pub mod load;
--- a/crates/experiment/src/load.rs
+++ b/crates/experiment/src/load.rs
@@ -1,4 +1,5 @@
-//! Callers: open loop, four lookups to one order, most of whom come back hard.
+//! Simulated callers: an open-loop load with four lookups for each order. Most callers retry
+//! shortly after a failure even if they were told to wait longer.
 
 use crate::graph::LOOKUP;
 use crate::graph::ORDER;
@@ -10,49 +11,49 @@
 use trial::Action;
 use trial::World;
 
-/// The share of orders.
-const ORDERS: f64 = 0.2;
+/// The share of orders among the actions.
+const ORDER_SHARE: f64 = 0.2;
 
-/// How long a caller waits for an attempt.
-const PATIENCE: Duration = Duration::from_secs(2);
+/// How long a caller waits for the response to an attempt.
+const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Attempts that a caller makes after the first.
-const RESENDS: u32 = 3;
+/// How many times a caller retries an action.
+const MAX_RESENDS: u32 = 3;
 
-/// The share of callers that come back a moment after each failure, whatever they were told. The
-/// others come back when they were told to.
-const HARD: f64 = 0.7;
+/// The share of callers that retry after a short delay of their own, regardless of the delay that
+/// the response asked for. The others wait as long as they were told to.
+const IMPATIENT_SHARE: f64 = 0.7;
 
-/// Makes a world's callers.
-pub struct Load {
+/// Generates the actions of the callers.
+pub struct LoadGenerator {
     rng: StdRng,
-    next: u64,
+    last_id: u64,
 }
 
-impl Load {
-    /// Callers of a seed.
+impl LoadGenerator {
+    /// A generator whose actions are determined by the seed.
     pub fn new(seed: u64) -> Self {
         Self {
             rng: StdRng::seed_from_u64(seed ^ 0x6c6f_6164),
-            next: 0,
+            last_id: 0,
         }
     }
 
-    /// Has `per_second` actions sent in each second from now on, for a while, and lets that while
-    /// pass.
-    pub fn run(&mut self, world: &mut World, per_second: f64, time: Duration) {
-        let end = world.now + time;
+    /// Sends actions at an average rate of `per_second` for the given time, and advances the world
+    /// by that time.
+    pub fn run(&mut self, world: &mut World, per_second: f64, duration: Duration) {
+        let end = world.now + duration;
         let mut at = world.now;
         while at < end {
             let step = Duration::from_secs(1).min(at.until(end));
-            self.send(world, at, at + step, per_second);
+            self.schedule_arrivals(world, at, at + step, per_second);
             at = at + step;
             world.run_until(at);
         }
     }
 
-    /// Poisson arrivals.
-    fn send(&mut self, world: &mut World, from: Time, to: Time, per_second: f64) {
+    /// Schedules Poisson arrivals between two times.
+    fn schedule_arrivals(&mut self, world: &mut World, from: Time, to: Time, per_second: f64) {
         let mut at = from;
         loop {
             let gap = -(1.0 - self.rng.random::<f64>()).ln() / per_second;
@@ -60,21 +61,24 @@
             if at >= to {
                 return;
             }
-            let action = self.action();
+            let action = self.next_action();
             world.submit(at, action, None);
         }
     }
 
-    fn action(&mut self) -> Action {
-        self.next += 1;
-        let order = self.rng.random_bool(ORDERS);
-        let operation = if order { ORDER } else { LOOKUP };
-        let mut action = Action::new(operation, &format!("a{}", self.next));
-        action.caller = format!("shop{}", self.next).into();
-        action.patience = PATIENCE;
-        action.resends = RESENDS;
-        let wait = Duration::from_millis(self.rng.random_range(50..300));
-        action.comes_back = self.rng.random_bool(HARD).then_some(wait);
+    fn next_action(&mut self) -> Action {
+        self.last_id += 1;
+        let is_order = self.rng.random_bool(ORDER_SHARE);
+        let operation = if is_order { ORDER } else { LOOKUP };
+        let mut action = Action::new(operation, &format!("a{}", self.last_id));
+        action.caller = format!("shop{}", self.last_id).into();
+        action.patience = ATTEMPT_TIMEOUT;
+        action.resends = MAX_RESENDS;
+        let resend_delay = Duration::from_millis(self.rng.random_range(50..300));
+        action.comes_back = self
+            .rng
+            .random_bool(IMPATIENT_SHARE)
+            .then_some(resend_delay);
         action
     }
 }
--- a/crates/experiment/src/main.rs
+++ b/crates/experiment/src/main.rs
@@ -1,9 +1,9 @@
-//! Experiments on the policy under load: the real engines on a virtual clock, through the fakes of
-//! the random runs, beside baselines and with each mechanism switched off in turn.
+//! `bilberry-experiment`: runs one load experiment for all variants, prints a table of the results,
+//! and optionally plots the goodput.
 
 use bilberry_experiment::report;
 use bilberry_experiment::scenario;
-use bilberry_experiment::scenario::Outcome;
+use bilberry_experiment::scenario::ExperimentResult;
 use bilberry_experiment::trigger;
 use bilberry_experiment::variant;
 use bilberry_experiment::variant::Variant;
@@ -13,10 +13,10 @@
 use std::sync::atomic::Ordering;
 use std::sync::Mutex;
 
-/// Variants that are run at the same time.
+/// How many variants run at the same time.
 const THREADS: usize = 3;
 
-/// Demand as multiples of capacity.
+/// The demand levels of the `demand` experiment, as multiples of capacity.
 const DEMANDS: [f64; 5] = [0.5, 0.9, 1.2, 2.0, 4.0];
 
 /// Runs one experiment.
@@ -28,13 +28,13 @@
     /// `demand`, `slow`, `cold`, `crash`, `domain`, `regions`, `log`, `log-slow` or `rolling`.
     #[options(free, required)]
     name: String,
-    /// Seed of all chance.
+    /// Seed of the random number generators.
     #[options(default = "1")]
     seed: u64,
-    /// Only the variants whose names have this in them.
+    /// Run only the variants whose names contain this text.
     #[options(default = "")]
     only: String,
-    /// Where to write the plot; none if it is left out.
+    /// Path of the SVG plot to write; none if it is left out.
     #[options()]
     plot: Option<String>,
 }
@@ -46,16 +46,16 @@
         .filter(|variant| variant.name.contains(&args.only))
         .collect();
     println!("experiment {}, seed {}", args.name, args.seed);
-    let outcomes = match &*args.name {
-        "demand" => demand(&args, &variants),
+    let results = match &*args.name {
+        "demand" => run_demand_levels(&args, &variants),
         name if trigger::ALL.iter().any(|trigger| trigger.name == name) => {
-            let mut outcomes = Vec::new();
+            let mut results = Vec::new();
             for trigger in trigger::ALL.iter().filter(|trigger| trigger.name == name) {
-                let run = |variant: &Variant| scenario::trigger(args.seed, variant, trigger);
-                outcomes = in_parallel(&variants, run);
-                report::table(trigger.title, &outcomes);
+                let run = |variant: &Variant| scenario::run_trigger(args.seed, variant, trigger);
+                results = run_in_parallel(&variants, run);
+                report::print_table(trigger.title, &results);
             }
-            outcomes
+            results
         }
         _ => {
             eprintln!("{}", Args::usage());
@@ -66,46 +66,51 @@
         return ExitCode::SUCCESS;
     };
     let title = format!("{}, seed {}", args.name, args.seed);
-    match report::plot(&path, &title, &outcomes) {
+    match report::plot_goodput(&path, &title, &results) {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
-            eprintln!("no plot: {e}");
+            eprintln!("cannot write the plot: {e}");
             ExitCode::FAILURE
         }
     }
 }
 
-/// Gives the outcomes at the highest demand.
-fn demand(args: &Args, variants: &[Variant]) -> Vec<Outcome> {
-    let mut outcomes = Vec::new();
-    for times in DEMANDS {
-        let run = |variant: &Variant| scenario::demand(args.seed, variant, times);
-        outcomes = in_parallel(variants, run);
-        report::table(&format!("demand at {times} times capacity"), &outcomes);
+/// Runs all demand levels and returns the results at the highest one.
+fn run_demand_levels(args: &Args, variants: &[Variant]) -> Vec<ExperimentResult> {
+    let mut results = Vec::new();
+    for demand in DEMANDS {
+        let run = |variant: &Variant| scenario::run_steady_demand(args.seed, variant, demand);
+        results = run_in_parallel(variants, run);
+        report::print_table(&format!("demand at {demand} times capacity"), &results);
     }
-    outcomes
+    results
 }
 
-/// Runs all variants, a few at a time, and gives the outcomes in their order.
-fn in_parallel(variants: &[Variant], run: impl Fn(&Variant) -> Outcome + Sync) -> Vec<Outcome> {
-    let next = AtomicUsize::new(0);
-    let outcomes = Mutex::new(Vec::new());
+/// Runs all variants, [`THREADS`] at a time, and returns the results in the order of the variants.
+fn run_in_parallel(
+    variants: &[Variant],
+    run: impl Fn(&Variant) -> ExperimentResult + Sync,
+) -> Vec<ExperimentResult> {
+    let next_index = AtomicUsize::new(0);
+    let results = Mutex::new(Vec::new());
     std::thread::scope(|scope| {
         for _ in 0..THREADS {
             scope.spawn(|| loop {
-                let index = next.fetch_add(1, Ordering::Relaxed);
+                let index = next_index.fetch_add(1, Ordering::Relaxed);
                 let Some(variant) = variants.get(index) else {
                     return;
                 };
-                let outcome = run(variant);
-                let mut outcomes = outcomes.lock().expect("no run panics while it holds this");
-                outcomes.push((index, outcome));
+                let result = run(variant);
+                let mut results = results
+                    .lock()
+                    .expect("no thread panics while it holds the lock");
+                results.push((index, result));
             });
         }
     });
-    let mut outcomes = outcomes
+    let mut results = results
         .into_inner()
-        .expect("no run panics while it holds this");
-    outcomes.sort_by_key(|(index, _)| *index);
-    outcomes.into_iter().map(|(_, outcome)| outcome).collect()
+        .expect("no thread panics while it holds the lock");
+    results.sort_by_key(|(index, _)| *index);
+    results.into_iter().map(|(_, result)| result).collect()
 }
--- a/crates/experiment/src/measure.rs
+++ b/crates/experiment/src/measure.rs
@@ -1,4 +1,4 @@
-//! What a run comes to.
+//! Computes the metrics of a run.
 
 use crate::graph::LOOKUP;
 use crate::graph::ORDER;
@@ -9,104 +9,120 @@
 use trial::End;
 use trial::World;
 
-/// The figures of one run, over the actions that began in a window.
+/// The metrics of one run over a time window.
 #[derive(Debug, Clone)]
-pub struct Figures {
-    /// Whole answers to lookups that came in the window, a second.
-    pub lookups: f64,
-    /// The same for orders.
-    pub orders: f64,
-    /// Orders that were whole, of those that were asked for.
-    pub orders_share: f64,
-    /// The share of service time that went into no whole answer.
-    pub wasted: f64,
-    /// Attempts of callers, for each action.
-    pub attempts: f64,
-    /// Times of whole answers from the first attempt on, in milliseconds.
-    pub p50: f64,
-    /// See `p50`.
-    pub p99: f64,
-    /// Kilobytes a second between regions.
-    pub region_kb: f64,
+pub struct Metrics {
+    /// Lookups that succeeded within the window, per second.
+    pub lookups_per_s: f64,
+    /// Orders that succeeded within the window, per second.
+    pub orders_per_s: f64,
+    /// The share of the orders started in the window that succeeded at any time.
+    pub order_success_ratio: f64,
+    /// The share of service time since the start of the window that did not contribute to a
+    /// successful action.
+    pub wasted_work_ratio: f64,
+    /// The average number of attempts that callers made for an action started in the window.
+    pub attempts_per_action: f64,
+    /// The median time from the first attempt to success of actions started in the window, in
+    /// milliseconds.
+    pub p50_ms: f64,
+    /// The 99th percentile of the same times.
+    pub p99_ms: f64,
+    /// Traffic between regions since the start of the window, in kilobytes per second.
+    pub cross_region_kb_per_s: f64,
 }
 
-/// What the totals were at the start of a window.
+/// The totals of a world at the start of a window.
 #[derive(Debug, Clone, Copy)]
-pub struct Mark {
+pub struct WindowStart {
     at: Time,
     work: Duration,
-    bytes: u64,
+    region_bytes: u64,
 }
 
-impl Mark {
-    /// The totals now.
+impl WindowStart {
+    /// A window that starts now.
     pub fn new(world: &World) -> Self {
         Self {
             at: world.now,
             work: world.work_begun,
-            bytes: world.net.region_bytes,
+            region_bytes: world.net.region_bytes,
         }
     }
 }
 
-/// The figures from a mark until `end`; the world has run on until all of them have ended.
-pub fn figures(world: &World, from: Mark, end: Time) -> Figures {
-    let secs = end.since(from.at).as_secs_f64();
-    let inside = |action: &&Action| action.began >= from.at && action.began < end;
-    let actions: Vec<&Action> = world.actions.iter().filter(inside).collect();
-    let whole: Vec<&&Action> = actions.iter().filter(|a| is_whole(a)).collect();
-    let count = |operation: usize| whole.iter().filter(|a| a.operation == operation).count() as f64;
-    let came = |operation: usize| {
-        let mine = world.actions.iter().filter(|a| a.operation == operation);
-        let inside = |a: &&Action| a.end.is_some_and(|(at, _)| at >= from.at && at < end);
-        mine.filter(|a| is_whole(a)).filter(inside).count() as f64 / secs
+/// Computes the metrics of the window from `start` to `end`. The world must have run on until all
+/// actions of the window have ended.
+pub fn metrics(world: &World, start: WindowStart, end: Time) -> Metrics {
+    let secs = end.since(start.at).as_secs_f64();
+    let started_inside = |action: &&Action| action.began >= start.at && action.began < end;
+    let actions: Vec<&Action> = world.actions.iter().filter(started_inside).collect();
+    let succeeded: Vec<&&Action> = actions.iter().filter(|a| has_succeeded(a)).collect();
+    let success_count = |operation: usize| {
+        succeeded
+            .iter()
+            .filter(|a| a.operation == operation)
+            .count() as f64
     };
-    let asked = actions.iter().filter(|a| a.operation == ORDER).count() as f64;
-    let mut millis = Histogram::<u64>::new_with_max(600_000, 3).expect("the bounds are allowed");
-    for action in &whole {
-        let (at, _) = action.end.expect("a whole action has ended");
-        millis.saturating_record(at.since(action.began).as_millis() as u64);
+    let successes_per_s = |operation: usize| {
+        let of_operation = world.actions.iter().filter(|a| a.operation == operation);
+        let ended_inside = |a: &&Action| a.end.is_some_and(|(at, _)| at >= start.at && at < end);
+        of_operation
+            .filter(|a| has_succeeded(a))
+            .filter(ended_inside)
+            .count() as f64
+            / secs
+    };
+    let order_count = actions.iter().filter(|a| a.operation == ORDER).count() as f64;
+    let mut latencies_ms =
+        Histogram::<u64>::new_with_max(600_000, 3).expect("the bounds are allowed");
+    for action in &succeeded {
+        let (at, _) = action.end.expect("a succeeded action has ended");
+        latencies_ms.saturating_record(at.since(action.began).as_millis() as u64);
     }
-    let work = (world.work_begun - from.work).as_secs_f64();
+    let work = (world.work_begun - start.work).as_secs_f64();
     let useful: f64 = world
         .actions
         .iter()
-        .filter(|action| is_whole(action) && action.end.is_some_and(|(at, _)| at >= from.at))
-        .map(|action| chain_time(world, action.operation))
+        .filter(|action| has_succeeded(action) && action.end.is_some_and(|(at, _)| at >= start.at))
+        .map(|action| chain_service_time(world, action.operation))
         .sum();
     let attempts: f64 = actions.iter().map(|a| f64::from(a.attempts)).sum();
-    let waited = world.now.since(from.at).as_secs_f64();
-    Figures {
-        lookups: came(LOOKUP),
-        orders: came(ORDER),
-        orders_share: count(ORDER) / asked.max(1.0),
-        wasted: (1.0 - useful / work.max(1e-9)).max(0.0),
-        attempts: attempts / (actions.len() as f64).max(1.0),
-        p50: millis.value_at_quantile(0.5) as f64,
-        p99: millis.value_at_quantile(0.99) as f64,
-        region_kb: (world.net.region_bytes - from.bytes) as f64 / 1000.0 / waited,
+    let elapsed_secs = world.now.since(start.at).as_secs_f64();
+    Metrics {
+        lookups_per_s: successes_per_s(LOOKUP),
+        orders_per_s: successes_per_s(ORDER),
+        order_success_ratio: success_count(ORDER) / order_count.max(1.0),
+        wasted_work_ratio: (1.0 - useful / work.max(1e-9)).max(0.0),
+        attempts_per_action: attempts / (actions.len() as f64).max(1.0),
+        p50_ms: latencies_ms.value_at_quantile(0.5) as f64,
+        p99_ms: latencies_ms.value_at_quantile(0.99) as f64,
+        cross_region_kb_per_s: (world.net.region_bytes - start.region_bytes) as f64
+            / 1000.0
+            / elapsed_secs,
     }
 }
 
-/// The share of actions that ended whole, by the second in which they began.
-pub fn whole_share(world: &World, from: usize, to: usize) -> f64 {
-    let second = |action: &&Action| (action.began.as_micros() / 1_000_000) as usize;
-    let inside = |action: &&Action| (from..to).contains(&second(action));
-    let (whole, all) = world
+/// The share of successful actions among those that were started from second `from` up to, but not
+/// including, second `to`. The ratio is 0 if there were none.
+pub fn success_ratio(world: &World, from: usize, to: usize) -> f64 {
+    let start_second = |action: &&Action| (action.began.as_micros() / 1_000_000) as usize;
+    let started_inside = |action: &&Action| (from..to).contains(&start_second(action));
+    let (succeeded, all) = world
         .actions
         .iter()
-        .filter(inside)
-        .fold((0_u32, 0_u32), |(whole, all), action| {
-            (whole + u32::from(is_whole(action)), all + 1)
+        .filter(started_inside)
+        .fold((0_u32, 0_u32), |(succeeded, all), action| {
+            (succeeded + u32::from(has_succeeded(action)), all + 1)
         });
-    f64::from(whole) / f64::from(all.max(1))
+    f64::from(succeeded) / f64::from(all.max(1))
 }
 
-/// Whole answers in each second, by when they came.
+/// The number of actions that succeeded in each second of the run.
 pub fn goodput(world: &World) -> Vec<f64> {
     let secs = (world.now.as_micros() / 1_000_000) as usize + 1;
     let mut goodput = vec![0.0; secs];
-    for action in world.actions.iter().filter(|action| is_whole(action)) {
+    for action in world.actions.iter().filter(|action| has_succeeded(action)) {
         if let Some((at, _)) = action.end {
             goodput[(at.as_micros() / 1_000_000) as usize] += 1.0;
         }
@@ -114,16 +130,17 @@
     goodput
 }
 
-fn is_whole(action: &Action) -> bool {
+fn has_succeeded(action: &Action) -> bool {
     matches!(action.end, Some((_, End::Whole)))
 }
 
-fn chain_time(world: &World, operation: usize) -> f64 {
+/// The service time of an operation at its own service and at all services below.
+fn chain_service_time(world: &World, operation: usize) -> f64 {
     let operation = &world.layout.operations[operation];
-    let below: f64 = operation
+    let children_time: f64 = operation
         .children
         .iter()
-        .map(|child| chain_time(world, *child))
+        .map(|child| chain_service_time(world, *child))
         .sum();
-    operation.takes.as_secs_f64() + below
+    operation.takes.as_secs_f64() + children_time
 }
--- a/crates/experiment/src/report.rs
+++ b/crates/experiment/src/report.rs
@@ -1,10 +1,10 @@
-//! Text tables and a plot.
+//! Prints result tables and draws plots.
 
-use crate::scenario::Outcome;
+use crate::scenario::ExperimentResult;
 use plotters::prelude::*;
 
-/// Prints one experiment's table.
-pub fn table(title: &str, outcomes: &[Outcome]) {
+/// Prints a table with one row for each variant.
+pub fn print_table(title: &str, results: &[ExperimentResult]) {
     println!("\n{title}");
     println!(
         "{:<18} {:>8} {:>8} {:>8} {:>7} {:>8} {:>7} {:>7} {:>8} {:>8}",
@@ -23,34 +23,42 @@
         "{:<18} {:>8} {:>8} {:>8} {:>7} {:>8} {:>7} {:>7} {:>8} {:>8}",
         "", "/s", "/s", "% asked", "%", "/action", "ms", "ms", "kB/s", "s"
     );
-    for outcome in outcomes {
-        let figures = &outcome.during;
-        let recovery = outcome.recovery;
+    for result in results {
+        let metrics = &result.metrics;
+        let recovery = result.recovery_s;
         let recovery = recovery.map_or("-".to_owned(), |secs| format!("{secs:.0}"));
         println!(
             "{:<18} {:>8.1} {:>8.1} {:>8.1} {:>7.1} {:>8.2} {:>7.0} {:>7.0} {:>8.1} {:>8}",
-            outcome.name,
-            figures.lookups,
-            figures.orders,
-            figures.orders_share * 100.0,
-            figures.wasted * 100.0,
-            figures.attempts,
-            figures.p50,
-            figures.p99,
-            figures.region_kb,
+            result.name,
+            metrics.lookups_per_s,
+            metrics.orders_per_s,
+            metrics.order_success_ratio * 100.0,
+            metrics.wasted_work_ratio * 100.0,
+            metrics.attempts_per_action,
+            metrics.p50_ms,
+            metrics.p99_ms,
+            metrics.cross_region_kb_per_s,
             recovery,
         );
     }
 }
 
-/// Why there is no plot.
+/// The error with which drawing a plot failed.
 pub type PlotError = Box<dyn std::error::Error>;
 
-/// Draws goodput over time, one line a variant.
-pub fn plot(path: &str, title: &str, outcomes: &[Outcome]) -> Result<(), PlotError> {
-    let secs = outcomes.iter().map(|o| o.goodput.len()).max().unwrap_or(1);
-    let most = outcomes.iter().flat_map(|o| &o.goodput).copied();
-    let most = most.fold(1.0, f64::max) * 1.1;
+/// Writes an SVG plot of the goodput over time, with one line for each variant.
+pub fn plot_goodput(
+    path: &str,
+    title: &str,
+    results: &[ExperimentResult],
+) -> Result<(), PlotError> {
+    let secs = results
+        .iter()
+        .map(|r| r.goodput_per_s.len())
+        .max()
+        .unwrap_or(1);
+    let goodput = results.iter().flat_map(|r| &r.goodput_per_s).copied();
+    let max_goodput = goodput.fold(1.0, f64::max) * 1.1;
     let root = SVGBackend::new(path, (900, 500)).into_drawing_area();
     root.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&root)
@@ -58,19 +66,19 @@
         .margin(10)
         .x_label_area_size(35)
         .y_label_area_size(45)
-        .build_cartesian_2d(0.0..secs as f64, 0.0..most)?;
+        .build_cartesian_2d(0.0..secs as f64, 0.0..max_goodput)?;
     chart
         .configure_mesh()
         .x_desc("s")
-        .y_desc("whole answers a second")
+        .y_desc("successful actions per second")
         .draw()?;
-    for (nth, outcome) in outcomes.iter().enumerate() {
-        let color = Palette99::pick(nth).to_rgba();
-        let points = outcome.goodput.iter().enumerate();
-        let points = points.map(|(at, goodput)| (at as f64, *goodput));
+    for (index, result) in results.iter().enumerate() {
+        let color = Palette99::pick(index).to_rgba();
+        let points = result.goodput_per_s.iter().enumerate();
+        let points = points.map(|(second, goodput)| (second as f64, *goodput));
         chart
             .draw_series(LineSeries::new(points, color))?
-            .label(outcome.name)
+            .label(result.name)
             .legend(move |(x, y)| PathElement::new([(x, y), (x + 15, y)], color));
     }
     chart
--- a/crates/experiment/src/scenario.rs
+++ b/crates/experiment/src/scenario.rs
@@ -1,127 +1,137 @@
-//! The experiments.
+//! Runs an experiment for one variant and computes its result.
 
 use crate::graph;
-use crate::graph::CAPACITY;
-use crate::graph::DEEPEST;
-use crate::load::Load;
-use crate::measure::figures;
+use crate::graph::CAPACITY_PER_S;
+use crate::graph::DEEPEST_SERVICE;
+use crate::load::LoadGenerator;
 use crate::measure::goodput;
-use crate::measure::whole_share;
-use crate::measure::Figures;
-use crate::measure::Mark;
+use crate::measure::metrics;
+use crate::measure::success_ratio;
+use crate::measure::Metrics;
+use crate::measure::WindowStart;
 use crate::trigger::Trigger;
 use crate::variant::Variant;
 use std::time::Duration;
 use trial::World;
 
-/// Nodes find each other in this time, before anything is asked.
-const START: Duration = Duration::from_secs(5);
+/// How long nodes get to discover each other before the load starts.
+const DISCOVERY_TIME: Duration = Duration::from_secs(5);
 
-/// Limits and levels settle in this time, before anything is measured.
-const SETTLE: Duration = Duration::from_secs(10);
+/// How long limits and admission levels get to converge before the measurement starts.
+const WARM_UP: Duration = Duration::from_secs(10);
 
-/// What an experiment gives for one variant.
+/// The demand before and after a disturbance or trigger, as a multiple of capacity.
+const BASE_DEMAND: f64 = 0.7;
+
+/// The result of an experiment for one variant.
 #[derive(Debug, Clone)]
-pub struct Outcome {
+pub struct ExperimentResult {
     /// The variant's name.
     pub name: &'static str,
-    /// While it lasts.
-    pub during: Figures,
-    /// Seconds from the trigger's end until goodput is back for good; `None` if it never was, or
-    /// there was no trigger.
-    pub recovery: Option<f64>,
-    /// Whole answers in each second.
-    pub goodput: Vec<f64>,
+    /// The metrics of the measured window, which in a trigger experiment is the trigger's duration.
+    pub metrics: Metrics,
+    /// Seconds from the end of the trigger until the success ratio has recovered for good. `None`
+    /// if it did not recover, or if there was no trigger.
+    pub recovery_s: Option<f64>,
+    /// The number of successful actions in each second.
+    pub goodput_per_s: Vec<f64>,
 }
 
-/// A world whose nodes have found each other.
-fn world(seed: u64, variant: &Variant) -> World {
-    let mut world = World::new(seed, graph::layout(variant.switches));
+/// Starts a world and runs it until its nodes have discovered each other.
+fn start_world(seed: u64, variant: &Variant) -> World {
+    let mut world = World::new(seed, graph::cluster_config(variant.switches));
     world.go_on = true;
     for node in &mut world.nodes {
-        if &*node.me.service == DEEPEST {
+        if &*node.me.service == DEEPEST_SERVICE {
             node.server.set_slots(10);
         }
     }
-    world.run_for(START);
+    world.run_for(DISCOVERY_TIME);
     world
 }
 
-/// Steady demand at a multiple of capacity, for 20 s.
-pub fn demand(seed: u64, variant: &Variant, times: f64) -> Outcome {
-    let mut world = world(seed, variant);
-    let mut load = Load::new(seed);
-    load.run(&mut world, CAPACITY * times, SETTLE);
-    let mark = Mark::new(&world);
-    load.run(&mut world, CAPACITY * times, Duration::from_secs(20));
+/// Measures 20 s of steady demand, given as a multiple of capacity.
+pub fn run_steady_demand(seed: u64, variant: &Variant, demand: f64) -> ExperimentResult {
+    let mut world = start_world(seed, variant);
+    let mut load = LoadGenerator::new(seed);
+    load.run(&mut world, CAPACITY_PER_S * demand, WARM_UP);
+    let window_start = WindowStart::new(&world);
+    load.run(&mut world, CAPACITY_PER_S * demand, Duration::from_secs(20));
     let end = world.now;
     world.run_for(Duration::from_secs(10));
-    Outcome {
+    ExperimentResult {
         name: variant.name,
-        during: figures(&world, mark, end),
-        recovery: None,
-        goodput: goodput(&world),
+        metrics: metrics(&world, window_start, end),
+        recovery_s: None,
+        goodput_per_s: goodput(&world),
     }
 }
 
-/// Usual demand, then a short time of another demand while something goes on.
-pub fn short(
+/// Measures a short time of changed demand with a disturbance, after a warm-up at `BASE_DEMAND`.
+pub fn run_disturbance(
     seed: u64,
     variant: &Variant,
-    times: f64,
-    lasts: Duration,
+    demand: f64,
+    duration: Duration,
     disturb: impl FnOnce(&mut World),
-) -> Outcome {
-    let mut world = world(seed, variant);
-    let mut load = Load::new(seed);
-    load.run(&mut world, CAPACITY * USUAL, SETTLE / 2);
-    let mark = Mark::new(&world);
+) -> ExperimentResult {
+    let mut world = start_world(seed, variant);
+    let mut load = LoadGenerator::new(seed);
+    load.run(&mut world, CAPACITY_PER_S * BASE_DEMAND, WARM_UP / 2);
+    let window_start = WindowStart::new(&world);
     disturb(&mut world);
-    load.run(&mut world, CAPACITY * times, lasts);
+    load.run(&mut world, CAPACITY_PER_S * demand, duration);
     let end = world.now;
-    world.run_for(SETTLE / 2);
-    Outcome {
+    world.run_for(WARM_UP / 2);
+    ExperimentResult {
         name: variant.name,
-        during: figures(&world, mark, end),
-        recovery: None,
-        goodput: goodput(&world),
+        metrics: metrics(&world, window_start, end),
+        recovery_s: None,
+        goodput_per_s: goodput(&world),
     }
 }
 
-/// The demand before and after a trigger.
-const USUAL: f64 = 0.7;
-
-/// A trigger, and the time after it.
-pub fn trigger(seed: u64, variant: &Variant, trigger: &Trigger) -> Outcome {
-    let mut world = world(seed, variant);
-    let mut load = Load::new(seed);
-    load.run(&mut world, CAPACITY * USUAL, SETTLE * 2);
-    let mark = Mark::new(&world);
-    for (after, fault) in (trigger.faults)(&world) {
-        world.after(after, move |world| world.strike(fault));
+/// Measures the time of a trigger at the demand that it sets, and the recovery in the 40 s after it
+/// at `BASE_DEMAND`.
+pub fn run_trigger(seed: u64, variant: &Variant, trigger: &Trigger) -> ExperimentResult {
+    let mut world = start_world(seed, variant);
+    let mut load = LoadGenerator::new(seed);
+    load.run(&mut world, CAPACITY_PER_S * BASE_DEMAND, WARM_UP * 2);
+    let window_start = WindowStart::new(&world);
+    for (delay, fault) in (trigger.faults)(&world) {
+        world.after(delay, move |world| world.strike(fault));
     }
-    load.run(&mut world, CAPACITY * trigger.demand, trigger.lasts);
+    load.run(
+        &mut world,
+        CAPACITY_PER_S * trigger.demand,
+        trigger.duration,
+    );
     let end = world.now;
-    load.run(&mut world, CAPACITY * USUAL, Duration::from_secs(40));
-    let during = figures(&world, mark, end);
-    let after = (end.as_micros() / 1_000_000) as usize;
-    Outcome {
+    load.run(
+        &mut world,
+        CAPACITY_PER_S * BASE_DEMAND,
+        Duration::from_secs(40),
+    );
+    let metrics = metrics(&world, window_start, end);
+    let end_second = (end.as_micros() / 1_000_000) as usize;
+    ExperimentResult {
         name: variant.name,
-        during,
-        recovery: recovery(&world, after),
-        goodput: goodput(&world),
+        metrics,
+        recovery_s: recovery_time(&world, end_second),
+        goodput_per_s: goodput(&world),
     }
 }
 
-/// Seconds after `from` until, for good, at least 95% of what is asked within two seconds ends
-/// whole; all of it did before the trigger.
-fn recovery(world: &World, from: usize) -> Option<f64> {
-    // The last actions have not ended.
-    let last = (world.now.as_micros() / 1_000_000) as usize - 8;
-    let bad = |at: &usize| whole_share(world, *at, at + 2) < 0.95;
-    match (from..last).rev().find(bad) {
+/// The number of seconds after `from` until, in any two seconds from then on, at least 95% of the
+/// actions started in them succeed. Before the trigger, all of them did. `None` if the ratio is not
+/// reached for good.
+fn recovery_time(world: &World, from: usize) -> Option<f64> {
+    // The actions of the last 8 s may not have ended yet, so they are not considered.
+    let last_second = (world.now.as_micros() / 1_000_000) as usize - 8;
+    let is_degraded = |at: &usize| success_ratio(world, *at, at + 2) < 0.95;
+    match (from..last_second).rev().find(is_degraded) {
         None => Some(0.0),
-        Some(at) if at + 2 < last => Some((at + 1 - from) as f64),
+        Some(at) if at + 2 < last_second => Some((at + 1 - from) as f64),
         Some(_) => None,
     }
 }
--- a/crates/experiment/src/trigger.rs
+++ b/crates/experiment/src/trigger.rs
@@ -1,34 +1,35 @@
-//! What goes wrong, and when.
+//! The triggers: faults and surges whose effects the experiments measure.
 
-use crate::graph::DEEPEST;
+use crate::graph::DEEPEST_SERVICE;
 use std::time::Duration;
 use trial::Fault;
 use trial::World;
 
-/// Something that goes wrong for a while.
+/// A disturbance of limited duration.
 pub struct Trigger {
     /// The experiment's name on the command line.
     pub name: &'static str,
-    /// What happens, in words.
+    /// A description, printed above the table.
     pub title: &'static str,
     /// How long it lasts.
-    pub lasts: Duration,
-    /// Demand meanwhile, as a multiple of capacity.
+    pub duration: Duration,
+    /// The demand while it lasts, as a multiple of capacity.
     pub demand: f64,
-    /// Faults, and how long after the start they come.
+    /// The faults, each with its delay after the start of the trigger.
     pub faults: fn(&World) -> Vec<(Duration, Fault)>,
 }
 
 const MINUTE: Duration = Duration::from_secs(60);
 
-/// How often a backend server of the deepest service crashes, in `crash`.
-const CRASH_EVERY: u32 = 15;
+/// Seconds between two crashes of a backend server of the deepest service in `crash`.
+const CRASH_INTERVAL_S: u32 = 15;
 
-/// The time between two replacements, in `rolling`.
-const REPLACE_EVERY: u64 = 5;
+/// Seconds between the restarts of two instances in `rolling`.
+const RESTART_INTERVAL_S: u64 = 5;
 
-/// When a stopped process is started again; in vain while it still finishes what it has.
-const START_AFTER: [Duration; 3] = [
+/// Delays after which the start of a stopped process is attempted. A start has no effect while the
+/// old process still completes its work, so there are several attempts.
+const START_DELAYS: [Duration; 3] = [
     Duration::from_secs(2),
     Duration::from_secs(6),
     Duration::from_secs(14),
@@ -39,103 +40,106 @@
     Trigger {
         name: "slow",
         title: "the deepest service ten times slower for 60 s, demand doubled",
-        lasts: MINUTE,
+        duration: MINUTE,
         demand: 1.4,
         faults: |_| {
-            lasting(
-                Fault::Slow(DEEPEST.into(), 10),
-                Fault::Slow(DEEPEST.into(), 1),
+            for_a_minute(
+                Fault::Slow(DEEPEST_SERVICE.into(), 10),
+                Fault::Slow(DEEPEST_SERVICE.into(), 1),
             )
         },
     },
     Trigger {
         name: "cold",
-        title: "one instance of the deepest service lost without a word, a cold one in its place",
-        lasts: MINUTE,
+        title: "one instance of the deepest service killed and replaced by a cold one",
+        duration: MINUTE,
         demand: 0.7,
-        faults: |world| vec![(Duration::ZERO, Fault::Replace(deepest(world)))],
+        faults: |world| vec![(Duration::ZERO, Fault::Replace(first_deepest_node(world)))],
     },
     Trigger {
         name: "crash",
         title: "one backend server of the deepest service crashes every 15 s",
-        lasts: MINUTE,
+        duration: MINUTE,
         demand: 0.7,
         faults: |world| {
-            let crash = Fault::Crash(deepest(world));
-            let at = (0..4).map(|n| Duration::from_secs(u64::from(n * CRASH_EVERY)));
+            let crash = Fault::Crash(first_deepest_node(world));
+            let at = (0..4).map(|n| Duration::from_secs(u64::from(n * CRASH_INTERVAL_S)));
             at.map(|at| (at, crash.clone())).collect()
         },
     },
     Trigger {
         name: "domain",
-        title: "the failure domain milano-2 lost for 60 s",
-        lasts: MINUTE,
+        title: "the failure domain milano-2 down for 60 s",
+        duration: MINUTE,
         demand: 0.7,
         faults: |world| {
-            let lost = of_domain(world, "milano-2");
-            let begin = lost.iter().map(|node| (Duration::ZERO, Fault::Kill(*node)));
-            let end = lost.iter().map(|node| (MINUTE, Fault::Start(*node)));
+            let lost_nodes = nodes_in_domain(world, "milano-2");
+            let begin = lost_nodes
+                .iter()
+                .map(|node| (Duration::ZERO, Fault::Kill(*node)));
+            let end = lost_nodes.iter().map(|node| (MINUTE, Fault::Start(*node)));
             begin.chain(end).collect()
         },
     },
     Trigger {
         name: "regions",
-        title: "regions apart for 60 s",
-        lasts: MINUTE,
+        title: "the regions partitioned from each other for 60 s",
+        duration: MINUTE,
         demand: 0.7,
-        faults: |_| lasting(Fault::CutRegion("veneto".into()), Fault::Heal),
+        faults: |_| for_a_minute(Fault::CutRegion("veneto".into()), Fault::Heal),
     },
     Trigger {
         name: "log",
         title: "the log down for 60 s",
-        lasts: MINUTE,
+        duration: MINUTE,
         demand: 0.7,
-        faults: |_| lasting(Fault::LogDown(true), Fault::LogDown(false)),
+        faults: |_| for_a_minute(Fault::LogDown(true), Fault::LogDown(false)),
     },
     Trigger {
         name: "log-slow",
         title: "the log down and the deepest service ten times slower for 60 s",
-        lasts: MINUTE,
+        duration: MINUTE,
         demand: 0.7,
         faults: |_| {
-            let log = lasting(Fault::LogDown(true), Fault::LogDown(false));
-            let slow = Fault::Slow(DEEPEST.into(), 10);
-            let slow = lasting(slow, Fault::Slow(DEEPEST.into(), 1));
+            let log = for_a_minute(Fault::LogDown(true), Fault::LogDown(false));
+            let slow = Fault::Slow(DEEPEST_SERVICE.into(), 10);
+            let slow = for_a_minute(slow, Fault::Slow(DEEPEST_SERVICE.into(), 1));
             log.into_iter().chain(slow).collect()
         },
     },
     Trigger {
         name: "rolling",
-        title: "every instance stopped as planned and started again, one every 5 s",
-        lasts: MINUTE,
+        title: "every instance stopped gracefully and started again, one every 5 s",
+        duration: MINUTE,
         demand: 0.7,
         faults: |world| {
             let nodes = (0..world.nodes.len()).zip(0..);
-            let replaced = nodes.flat_map(|(node, nth)| {
-                let at = Duration::from_secs(nth * REPLACE_EVERY);
-                let again = START_AFTER.map(|after| (at + after, Fault::Start(node)));
-                [(at, Fault::Stop(node))].into_iter().chain(again)
+            let faults = nodes.flat_map(|(node, index)| {
+                let at = Duration::from_secs(index * RESTART_INTERVAL_S);
+                let starts = START_DELAYS.map(|delay| (at + delay, Fault::Start(node)));
+                [(at, Fault::Stop(node))].into_iter().chain(starts)
             });
-            replaced.collect()
+            faults.collect()
         },
     },
 ];
 
-/// A fault that is mended after a minute.
-fn lasting(begin: Fault, end: Fault) -> Vec<(Duration, Fault)> {
+/// A fault that begins with the trigger and ends after a minute.
+fn for_a_minute(begin: Fault, end: Fault) -> Vec<(Duration, Fault)> {
     vec![(Duration::ZERO, begin), (MINUTE, end)]
 }
 
-/// The first instance of the deepest service.
-fn deepest(world: &World) -> usize {
+/// The node of the first instance of the deepest service.
+fn first_deepest_node(world: &World) -> usize {
     let mut nodes = world.nodes.iter();
     nodes
-        .position(|node| &*node.me.service == DEEPEST)
+        .position(|node| &*node.me.service == DEEPEST_SERVICE)
         .unwrap_or(0)
 }
 
-fn of_domain(world: &World, failure_domain: &str) -> Vec<usize> {
+/// The nodes of all instances in a failure domain.
+fn nodes_in_domain(world: &World, failure_domain: &str) -> Vec<usize> {
     let nodes = world.nodes.iter().enumerate();
-    let there = nodes.filter(|(_, node)| &*node.me.failure_domain == failure_domain);
-    there.map(|(index, _)| index).collect()
+    let in_domain = nodes.filter(|(_, node)| &*node.me.failure_domain == failure_domain);
+    in_domain.map(|(node, _)| node).collect()
 }
--- a/crates/experiment/src/variant.rs
+++ b/crates/experiment/src/variant.rs
@@ -1,17 +1,18 @@
-//! What is compared: the policy, baselines, and the policy without one mechanism.
+//! The variants that an experiment compares: the policy, baselines, and the policy without one
+//! mechanism.
 
 use engine::Switches;
 
-/// A set of switches with its name in tables.
+/// A named set of enabled mechanisms.
 #[derive(Debug, Clone)]
 pub struct Variant {
-    /// The name in tables.
+    /// The name shown in tables and plots.
     pub name: &'static str,
-    /// Which mechanisms are on.
+    /// The mechanisms that are enabled.
     pub switches: Switches,
 }
 
-/// Production's switches.
+/// The policy as in production, with all mechanisms enabled.
 pub fn policy() -> Variant {
     Variant {
         name: "policy",
@@ -19,7 +20,8 @@
     }
 }
 
-/// All variants, the baselines first.
+/// All variants: the baselines, the policy, and the policy without each mechanism. A variant of the
+/// last kind has the name of the mechanism.
 pub fn all() -> Vec<Variant> {
     let mut variants = vec![
         Variant {
@@ -43,7 +45,7 @@
     ];
     for name in Switches::NAMES {
         let switches = Switches::ALL.without(name);
-        let switches = switches.expect("each name is one of a mechanism");
+        let switches = switches.expect("NAMES contains only names of mechanisms");
         variants.push(Variant { name, switches });
     }
     variants
