--- a/crates/ctl/src/commands.rs
+++ b/crates/ctl/src/commands.rs
@@ -15,6 +15,7 @@
 use std::path::Path;
 use uuid::Uuid;
 
+/// Runs the command given by the arguments.
 pub(crate) async fn run(args: Args) -> Result<(), CommandError> {
     if args.version {
         println!("bilberryctl {}", env!("CARGO_PKG_VERSION"));
--- a/crates/ctl/src/error.rs
+++ b/crates/ctl/src/error.rs
@@ -39,7 +39,7 @@
 }
 
 impl CommandError {
-    /// The exit codes are listed in docs/OPERATIONS.md.
+    /// The exit code of the process. docs/OPERATIONS.md lists all exit codes.
     pub(crate) fn exit_code(&self) -> ExitCode {
         ExitCode::from(match self {
             CommandError::NoResponse(_) => 1,
--- a/crates/ctl/src/publish.rs
+++ b/crates/ctl/src/publish.rs
@@ -21,6 +21,7 @@
 /// limit is high because every node that starts appends one record.
 const MAX_CONFLICTS: u32 = 10_000;
 
+/// Publishes a rules file on top of the version in force, or of the version given by `--expect`.
 pub(crate) async fn publish(args: Publish) -> Result<(), CommandError> {
     let (file, _) = read_rules(&args.file)?;
     let user = std::env::var("USER").ok().filter(|user| !user.is_empty());
--- a/crates/ctl/src/status.rs
+++ b/crates/ctl/src/status.rs
@@ -17,7 +17,9 @@
 /// The address at which a node's status page is fetched.
 #[derive(Debug, Clone, Copy)]
 enum StatusEndpoint {
+    /// The `http_addr` of a node.
     Http(SocketAddr),
+    /// The address that a node announces to other nodes.
     Peer(SocketAddr),
 }
 
--- a/crates/experiment/src/scenario.rs
+++ b/crates/experiment/src/scenario.rs
@@ -20,9 +20,6 @@
 /// How long limits and admission levels get to converge before the measurement starts.
 const WARM_UP: Duration = Duration::from_secs(10);
 
-/// The demand before and after a disturbance or trigger, as a multiple of capacity.
-const BASE_DEMAND: f64 = 0.7;
-
 /// The result of an experiment for one variant.
 #[derive(Debug, Clone)]
 pub struct ExperimentResult {
@@ -91,6 +88,9 @@
     }
 }
 
+/// The demand before a disturbance, and before and after a trigger, as a multiple of capacity.
+const BASE_DEMAND: f64 = 0.7;
+
 /// Measures the time of a trigger at the demand that it sets, and the recovery in the 40 s after it
 /// at `BASE_DEMAND`.
 pub fn run_trigger(seed: u64, variant: &Variant, trigger: &Trigger) -> ExperimentResult {
--- a/crates/experiment/src/trigger.rs
+++ b/crates/experiment/src/trigger.rs
@@ -141,5 +141,5 @@
 fn nodes_in_domain(world: &World, failure_domain: &str) -> Vec<usize> {
     let nodes = world.nodes.iter().enumerate();
     let in_domain = nodes.filter(|(_, node)| &*node.me.failure_domain == failure_domain);
-    in_domain.map(|(node, _)| node).collect()
+    in_domain.map(|(index, _)| index).collect()
 }
--- a/crates/standin/src/load.rs
+++ b/crates/standin/src/load.rs
@@ -74,8 +74,8 @@
         let index = n as usize % load.kinds.len();
         let mut kind = load.kinds[index].clone();
         kind.url = kind.url.replace("{n}", &n.to_string());
-        let request = send(client.clone(), kind, index, report.clone());
-        tasks.push(actix_rt::spawn(request));
+        let pending = send(client.clone(), kind, index, report.clone());
+        tasks.push(actix_rt::spawn(pending));
     }
     for task in tasks {
         let _ = task.await;
--- a/crates/standin/src/store.rs
+++ b/crates/standin/src/store.rs
@@ -378,9 +378,9 @@
     }
 
     fn owners(&self, req: &Request) -> Response<BoxBody> {
-        let group: String = http::query_param(req, "group").unwrap_or_default();
+        let group_name: String = http::query_param(req, "group").unwrap_or_default();
         let mut groups = self.data.groups.borrow_mut();
-        let group = groups.get_mut(&group);
+        let group = groups.get_mut(&group_name);
         let owners = group.map_or(Vec::new(), |group| group.owners(Instant::now()));
         json(StatusCode::OK, &owners)
     }
--- a/crates/standin/src/store/groups.rs
+++ b/crates/standin/src/store/groups.rs
@@ -180,11 +180,15 @@
         }
     }
 
-    /// Frees those partitions of a member for which `filter` returns true.
-    fn release_partitions(&mut self, filter: impl Fn(&PartitionState) -> bool, member: &str) {
+    /// Frees those partitions of a member for which `should_release` returns true.
+    fn release_partitions(
+        &mut self,
+        should_release: impl Fn(&PartitionState) -> bool,
+        member: &str,
+    ) {
         let owned = self.partition_states.values_mut();
         let owned = owned.filter(|partition| partition.owner.as_deref() == Some(member));
-        for partition in owned.filter(|partition| filter(partition)) {
+        for partition in owned.filter(|partition| should_release(partition)) {
             partition.owner = None;
         }
     }
