--- a/crates/ctl/src/stream.rs
+++ b/crates/ctl/src/stream.rs
@@ -4,16 +4,16 @@
 use crate::error::CommandError;
 use journal::Record;
 use journal::State;
-use platform::Item;
 use platform::Records;
-use platform::Store;
+use platform::StoreClient;
 use platform::StoreError;
+use platform::StoreRecord;
 use std::net::SocketAddr;
 use std::time::Duration;
 
 /// A stream in the store and the state after the records read so far.
 pub(crate) struct Stream {
-    store: Store,
+    store: StoreClient,
     topic: String,
     pub(crate) state: State,
 }
@@ -22,8 +22,8 @@
     /// Opens a stream and loads its newest state.
     pub(crate) async fn open(store: SocketAddr, name: &str) -> Result<Self, CommandError> {
         let mut stream = Self {
-            store: Store::new(store),
-            topic: platform::topic(name),
+            store: StoreClient::new(store),
+            topic: platform::stream_topic(name),
             state: State::default(),
         };
         stream.load_newest().await?;
--- a/crates/engine/src/calls.rs
+++ b/crates/engine/src/calls.rs
@@ -1,4 +1,4 @@
-//! Calls of this node to others (and to itself): routing, retries, deadlines, lost connections.
+//! Calls from this node to nodes, itself included: routing, retries, deadlines, lost connections.
 
 use crate::job::Job;
 use crate::operation_key::operation_key;
@@ -28,17 +28,17 @@
 use std::time::Duration;
 use stdx::Time;
 
-/// How often a call that certainly did not run may go elsewhere for free.
+/// How often a call that provably did not run may be sent to another node without spending a retry.
 const MAX_REDIRECTS: u8 = 3;
 
 impl Engine {
-    /// Sends a new request's first attempt.
+    /// Creates the call of a new request and sends its first attempt.
     pub(crate) fn start_call(&mut self, now: Time, draft: RequestDraft) {
         let call = OutgoingCall {
             token: draft.token,
             target: self.own_instance.clone(),
-            action: draft.action,
-            dice: draft.dice,
+            action_id: draft.action_id,
+            admission_sample: draft.admission_sample,
             class: draft.class,
             priority: draft.priority,
             passed_level: draft.passed_level,
@@ -46,11 +46,11 @@
             deadline: draft.deadline,
             idempotent: draft.operation.idempotent,
             key: draft.key,
-            fresh: draft.fresh,
+            first_attempt: draft.first_attempt,
             operation: operation_key(&draft.operation),
-            account: draft.account,
-            lent: 0,
-            again: draft.again,
+            retry_allowance: draft.retry_allowance,
+            delegated_retries: 0,
+            possible_repeat: draft.possible_repeat,
             may_have_run: false,
             calls_below: 0,
             attempts: 0,
@@ -65,15 +65,16 @@
             avoid: Vec::new(),
             request: draft.request,
         };
-        // A call of a run that was itself tried again is a retry too.
-        if !call.again {
+        // Calls of a retried run are retries themselves, and the budget is a ratio to first
+        // attempts.
+        if !call.possible_repeat {
             self.retry_budget
                 .record_first_send(now, &call.request.service);
         }
         self.route(now, call);
     }
 
-    /// Chooses a target and sends one attempt.
+    /// Chooses a target and sends an attempt, or ends the call if it is refused.
     fn route(&mut self, now: Time, mut call: OutgoingCall) {
         if now >= call.deadline {
             let refusal = call.scope_refusal(self.refusal(Reason::Deadline));
@@ -88,13 +89,13 @@
         }
     }
 
-    /// Sends one attempt.
+    /// Sends an attempt to this target and delegates to it the retries that the call has left.
     pub(crate) fn send_to_target(&mut self, now: Time, mut call: OutgoingCall, target: Instance) {
         call.target = target;
-        call.lent = if self.reserves_retry(&call) {
-            call.account.delegate_all_but_one()
+        call.delegated_retries = if self.reserves_retry(&call) {
+            call.retry_allowance.delegate_all_but_one()
         } else {
-            call.account.delegate_all()
+            call.retry_allowance.delegate_all()
         };
         let id = CallId {
             from: self.own_instance.incarnation,
@@ -103,8 +104,8 @@
         if let Some(open) = self.open_requests.get_mut(&call.token) {
             open.call = id;
         }
-        if let Some(earlier) = &call.earlier {
-            self.hedged_attempts.insert(earlier.id, id);
+        if let Some(original) = &call.earlier {
+            self.hedged_attempts.insert(original.id, id);
         }
         call.attempts += 1;
         self.timers.set(call.deadline, Timer::CallDeadline(id));
@@ -113,48 +114,52 @@
         self.calls.insert(id, call);
     }
 
-    /// What is lent is gone if the answer is lost, so one retry stays where alone it can be spent then.
-    /// A second run needs all for the calls below it, and where one would not be enough for those, it
-    /// is of use only farther down: kept at each hop, no read of a deep tree would ever be tried again.
+    /// Whether one retry is kept back instead of delegated with the attempt.
+    ///
+    /// Delegated retries are gone if the answer is lost, and only this node can retry the call
+    /// then. But a run that is itself a retry needs all of them for the calls below it. And where
+    /// one retry would not be enough for the calls below, it is of use only on lower hops: with one
+    /// kept back at each hop, no read of a deep tree would ever be retried.
     fn reserves_retry(&self, call: &OutgoingCall) -> bool {
         let below = self.admission.calls_below(&call.operation);
-        call.idempotent && !call.again && call.account.remaining() > below
+        call.idempotent && !call.possible_repeat && call.retry_allowance.remaining() > below
     }
 
+    /// Sends the frame of an attempt.
     pub(crate) fn send_attempt(&mut self, now: Time, id: CallId, call: &OutgoingCall) {
-        let leg = if call.key.is_some() {
+        let role = if call.key.is_some() {
             CallRole::Home
         } else {
             CallRole::Serve
         };
         let frame = Frame::Call(Box::new(Call {
             id,
-            action: call.action,
-            admission_sample: call.dice,
+            action: call.action_id,
+            admission_sample: call.admission_sample,
             class: call.class,
             priority: call.priority,
             passed_level: call.passed_level,
-            role: leg,
+            role,
             remaining_ms: self.callee_remaining_ms(now, call),
-            retry_allowance: call.lent,
-            possible_repeat: call.again,
+            retry_allowance: call.delegated_retries,
+            possible_repeat: call.possible_repeat,
             idempotent: call.idempotent,
             key: call.key,
-            first_attempt: call.fresh,
+            first_attempt: call.first_attempt,
             depth: call.depth,
             request: call.request.clone(),
         }));
         self.send(&call.target, frame);
     }
 
-    /// What is left for the callee: its answer has to travel back.
+    /// The time that the callee has: the time left, less what the answer needs to travel back.
     fn callee_remaining_ms(&self, now: Time, call: &OutgoingCall) -> u32 {
-        let travel = match self.place(&call.target) {
+        let travel_time = match self.proximity(&call.target) {
             Proximity::SameDomain => Duration::from_millis(1),
             Proximity::SameRegion => Duration::from_millis(2),
             Proximity::OtherRegion => Duration::from_millis(25),
         };
-        let remaining = now.until(call.deadline).saturating_sub(travel);
+        let remaining = now.until(call.deadline).saturating_sub(travel_time);
         u32::try_from(remaining.as_millis()).unwrap_or(u32::MAX)
     }
 
@@ -165,13 +170,14 @@
         if self.discards_original_answer(id, &answer) {
             return;
         }
-        // An answer to an attempt that was given up, or a second one to the same attempt, is late.
+        // There is no such call if its attempt was abandoned or has been answered before.
         let Some(mut call) = self.take_call(id) else {
             return;
         };
-        call.account.reclaim(call.lent, answer.unspent_retries);
+        call.retry_allowance
+            .reclaim(call.delegated_retries, answer.unspent_retries);
         call.calls_below = call.calls_below.saturating_add(answer.downstream.calls);
-        // A refusal says how many calls lie below only if the run has got there.
+        // A refusal reports calls below only if the run had already made some.
         match answer.outcome {
             Outcome::NotRun(refusal) if answer.downstream.calls == 0 => {
                 if refusal.reason == Reason::Shed && answer.downstream.level > 0 {
@@ -181,11 +187,12 @@
             }
             _ => self
                 .admission
-                .record_below(now, &call.operation, answer.downstream),
+                .record_downstream(now, &call.operation, answer.downstream),
         }
         match answer.outcome {
             Outcome::NotRun(refusal) => {
-                call.again |= answer.downstream.calls > 0 && self.cfg.policy.hop_retries == 0;
+                call.possible_repeat |=
+                    answer.downstream.calls > 0 && self.cfg.policy.hop_retries == 0;
                 self.on_not_run(now, call, refusal);
             }
             Outcome::Unknown(reason @ (Reason::ServerLost | Reason::PeerLost)) => {
@@ -201,31 +208,32 @@
         }
     }
 
-    /// A call that did not run goes elsewhere, if that may help.
+    /// Sends a call that did not run to another instance, if that may help, or ends it.
     pub(crate) fn on_not_run(&mut self, now: Time, mut call: OutgoingCall, refusal: Refusal) {
         let reason = refusal.reason;
-        let elsewhere = match reason {
+        let redirect = match reason {
             Reason::Moving | Reason::Draining => self.has_other_target(&call),
-            // Never sent, and no refusal: the same node may take it over another connection.
+            // The call was never sent and not refused, so the same node may accept it over another
+            // connection.
             Reason::PeerLost => true,
             _ => false,
         };
-        if elsewhere && call.redirects < MAX_REDIRECTS {
+        if redirect && call.redirects < MAX_REDIRECTS {
             call.redirects += 1;
             self.count(Counter::Redirect(reason));
             call.avoid.push(call.target.incarnation);
             return self.route(now, call);
         }
-        let busy = matches!(
+        let may_be_transient = matches!(
             reason,
             Reason::QueueFull | Reason::ServerRefused | Reason::ServerLost
         );
-        if busy && self.try_spend_retry(now, &mut call) {
+        if may_be_transient && self.try_spend_retry(now, &mut call) {
             self.count(Counter::Retry(reason));
             call.avoid.push(call.target.incarnation);
             return self.route(now, call);
         }
-        // These come from a node that did not look for the key's record.
+        // These refusals come from a node that did not look up the key's record.
         let refusal = match reason {
             Reason::Moving | Reason::NoLease | Reason::Draining | Reason::PeerLost => {
                 call.scope_refusal(refusal)
@@ -235,8 +243,10 @@
         self.finish_call(now, call, Outcome::NotRun(refusal));
     }
 
-    /// A call with a key goes to the key's home only. While this node knows no other home, sending
-    /// the call there again would get the same refusal a few times over, within milliseconds.
+    /// Whether a call that its target refused can be sent to another node.
+    ///
+    /// A call with a key is sent to the key's home node only. While this node knows no other home
+    /// node, repeated attempts would get the same refusal several times within milliseconds.
     fn has_other_target(&self, call: &OutgoingCall) -> bool {
         let Some((key, _)) = call.key else {
             return true;
@@ -245,25 +255,28 @@
         home.is_some_and(|home| home.incarnation != call.target.incarnation)
     }
 
-    /// Nobody will tell how the attempt ended. Only an idempotent call may be tried again.
-    /// The calls below count as retries then, so there must be enough for all of them: with less
-    /// the second run could not end, and would be wasted.
+    /// Retries a call whose attempt was lost, if that is allowed, or ends it.
+    ///
+    /// It stays unknown whether the attempt ran, so only an idempotent call may be retried. All
+    /// calls of the second run count as retries, so there must be enough left for all of them; with
+    /// fewer the second run could not finish, and its work would be wasted.
     pub(crate) fn on_attempt_lost(&mut self, now: Time, mut call: OutgoingCall, reason: Reason) {
         call.may_have_run = true;
         let below = self.admission.calls_below(&call.operation);
         let needed = 1 + below.max(call.calls_below);
-        let allowed = call.account.remaining() >= needed || call.hop_retries > 0;
+        let allowed = call.retry_allowance.remaining() >= needed || call.hop_retries > 0;
         if call.idempotent && allowed && self.try_spend_retry(now, &mut call) {
             self.count(Counter::Retry(reason));
-            call.again = self.cfg.policy.hop_retries == 0;
+            call.possible_repeat = self.cfg.policy.hop_retries == 0;
             call.avoid.push(call.target.incarnation);
             return self.route(now, call);
         }
         self.finish_call(now, call, Outcome::Unknown(reason));
     }
 
-    /// Takes a retry from the action and from this node's part of the fleet's retries at the service,
-    /// which keeps them a small share of the calls to it even if every action has some left.
+    /// Spends a retry of the action and one of this node's share of the fleet's retry budget for
+    /// the service, and returns whether both were available. The budget keeps retries a small share
+    /// of the calls to the service even if every action has some left.
     pub(crate) fn try_spend_retry(&mut self, now: Time, call: &mut OutgoingCall) -> bool {
         if now >= call.deadline {
             return false;
@@ -272,13 +285,13 @@
             call.hop_retries -= 1;
             return true;
         }
-        if call.account.remaining() == 0 || call.retries_left == 0 {
+        if call.retry_allowance.remaining() == 0 || call.retries_left == 0 {
             return false;
         }
-        let limited = self.cfg.policy.retry_budget;
+        let has_budget = self.cfg.policy.retry_budget;
         let nodes = self.members.fleet_size();
         let service = &call.request.service;
-        if limited
+        if has_budget
             && !self
                 .retry_budget
                 .try_withdraw(now, service, call.class, nodes)
@@ -287,7 +300,7 @@
             return false;
         }
         call.retries_left -= 1;
-        call.account.try_withdraw()
+        call.retry_allowance.try_withdraw()
     }
 
     pub(crate) fn on_deadline(&mut self, now: Time, id: CallId) {
@@ -298,6 +311,7 @@
         self.finish_call(now, call, Outcome::Unknown(Reason::Deadline));
     }
 
+    /// Cancels a call whose caller has disconnected.
     pub(crate) fn abandon_call(&mut self, now: Time, id: CallId) {
         let Some(call) = self.take_call(id) else {
             return;
@@ -306,45 +320,49 @@
         self.finish_call(now, call, Outcome::Unknown(Reason::CallerGone));
     }
 
+    /// Ends a call, unless the original attempt of a hedged call may still bring a response.
     fn finish_call(&mut self, now: Time, mut call: OutgoingCall, outcome: Outcome) {
-        if let Some(earlier) = call.earlier.take() {
+        if let Some(original) = call.earlier.take() {
             if self.awaits_original(now, &call, &outcome) {
-                return self.resume_original(call, earlier);
+                return self.resume_original(call, original);
             }
-            self.cancel_original(earlier);
+            self.cancel_original(original);
         }
-        let met = DownstreamSummary {
+        let downstream = DownstreamSummary {
             level: self.highest_level(now, &call),
-            // The first attempt was counted when the call began.
+            // The parent job counted the first attempt when the call began.
             calls: call
                 .calls_below
                 .saturating_add(call.attempts.saturating_sub(1)),
         };
-        self.report_to_parent(now, &call, met);
-        // A later attempt that did not run says nothing of an earlier one that may have.
+        self.report_to_parent(now, &call, downstream);
+        // If the last attempt did not run, an earlier one may still have run.
         let outcome = match outcome {
             Outcome::NotRun(refusal) if call.may_have_run => Outcome::Unknown(refusal.reason),
             outcome => outcome,
         };
-        self.log_answered(now, &call, met.level, &outcome);
-        self.close_request(now, call.token, call.account.remaining(), outcome);
+        self.log_answered(now, &call, downstream.level, &outcome);
+        self.close_request(now, call.token, call.retry_allowance.remaining(), outcome);
     }
 
-    /// A run's own first hop hears at once what the run meets. Heard of only at the end of the run,
-    /// a level below would let in too much for the time of a whole call tree.
-    fn report_to_parent(&mut self, now: Time, call: &OutgoingCall, met: DownstreamSummary) {
+    /// Records what a call has met in the job of the run that made it, and in the admission levels.
+    ///
+    /// The levels are updated while the run is still in progress. Updated only at its end, a raised
+    /// level below would admit too much for the duration of a complete call tree.
+    fn report_to_parent(&mut self, now: Time, call: &OutgoingCall, downstream: DownstreamSummary) {
         let operation = call.operation.clone();
         let Some(job) = self.parent_job(call.token) else {
             return;
         };
-        job.child_levels.insert(operation, met.level);
-        job.calls_below = job.calls_below.saturating_add(met.calls);
-        let level = job.below().level;
+        job.child_levels.insert(operation, downstream.level);
+        job.calls_below = job.calls_below.saturating_add(downstream.calls);
+        let level = job.downstream().level;
         if let Some(parent) = job.operation.clone() {
             self.admission.record_level_below(now, &parent, level);
         }
     }
 
+    /// Emits a diagnostic for the end of a call.
     fn log_answered(&mut self, now: Time, call: &OutgoingCall, level: u16, outcome: &Outcome) {
         self.outputs.push(Output::Diagnostic(Diagnostic::Answered {
             request: call.request.id.clone(),
@@ -354,7 +372,7 @@
             outcome: OutcomeSummary::of(outcome),
             attempts: call.attempts,
             target: call.target.addr,
-            value: admission_value(call.class, call.dice),
+            value: admission_value(call.class, call.admission_sample),
             level,
             left_ms: now.until(call.deadline).as_millis() as u64,
         }));
@@ -365,6 +383,7 @@
         self.jobs.get_mut(&parent)
     }
 
+    /// Removes a call and its deadline timer.
     pub(crate) fn take_call(&mut self, id: CallId) -> Option<OutgoingCall> {
         let call = self.calls.swap_remove(&id)?;
         self.selector.on_ended(call.target.incarnation);
@@ -372,6 +391,7 @@
         Some(call)
     }
 
+    /// The calls whose present attempt was sent to this peer.
     pub(crate) fn calls_to(&self, peer: Incarnation) -> Vec<CallId> {
         let to_peer = self
             .calls
--- a/crates/engine/src/outgoing.rs
+++ b/crates/engine/src/outgoing.rs
@@ -1,4 +1,4 @@
-//! A call of this node to another, or to itself.
+//! Calls from this node to other nodes and to itself.
 
 use crate::operation_key::OperationKey;
 use crate::RequestToken;
@@ -19,8 +19,8 @@
 pub(crate) struct OutgoingCall {
     pub(crate) token: RequestToken,
     pub(crate) target: Instance,
-    pub(crate) action: ActionId,
-    pub(crate) dice: u16,
+    pub(crate) action_id: ActionId,
+    pub(crate) admission_sample: u16,
     pub(crate) class: Class,
     pub(crate) priority: u8,
     pub(crate) passed_level: u16,
@@ -28,28 +28,28 @@
     pub(crate) deadline: Time,
     pub(crate) idempotent: bool,
     pub(crate) key: Option<(KeyHash, Fingerprint)>,
-    pub(crate) fresh: bool,
+    pub(crate) first_attempt: bool,
     pub(crate) operation: OperationKey,
-    pub(crate) account: RetryAllowance,
-    /// Lent to the present attempt.
-    pub(crate) lent: u16,
-    /// Each attempt below counts as a retry.
-    pub(crate) again: bool,
-    /// An attempt may have run whose answer was lost.
+    pub(crate) retry_allowance: RetryAllowance,
+    /// The retries delegated to the current attempt.
+    pub(crate) delegated_retries: u16,
+    /// Whether each attempt below counts as a retry.
+    pub(crate) possible_repeat: bool,
+    /// Whether an attempt may have run although its answer was lost.
     pub(crate) may_have_run: bool,
-    /// Attempts below, as far as answers told.
+    /// Number of calls made below this one, as far as answers have reported them.
     pub(crate) calls_below: u16,
-    /// Attempts of this call itself.
+    /// Number of attempts of this call.
     pub(crate) attempts: u16,
-    /// How often this call itself may be tried again, whatever its action has left.
+    /// How often this call may still be retried, whatever its action has left.
     pub(crate) retries_left: u16,
-    /// Left of [`policy::Switches::hop_retries`].
+    /// What is left of [`policy::Switches::hop_retries`].
     pub(crate) hop_retries: u8,
-    /// The attempt before this one, while both are awaited.
+    /// The previous attempt, while the answers to both are awaited.
     pub(crate) earlier: Option<EarlierAttempt>,
     pub(crate) redirects: u8,
     pub(crate) reattaches: u8,
-    /// Nodes that this call shall not go to again.
+    /// Nodes that this call must not be sent to again.
     pub(crate) avoid: Vec<Incarnation>,
     pub(crate) request: Request,
 }
@@ -59,15 +59,16 @@
 pub(crate) struct EarlierAttempt {
     pub(crate) id: CallId,
     pub(crate) target: Instance,
-    pub(crate) lent: u16,
+    pub(crate) delegated_retries: u16,
 }
 
 impl OutgoingCall {
-    /// A refusal by somebody who does not know the key's record. An earlier attempt with a key that
-    /// a caller sent may have run; saying "not run" of it, the caller might order again with
-    /// another key, and get two.
+    /// Limits a refusal to the current attempt if an earlier one may have run. The refusal comes
+    /// from a node that has not seen the record of the key, and a key sent by the caller may have
+    /// been sent before. If the caller were told that nothing ran, it might order again with
+    /// another key and get two orders.
     pub(crate) fn scope_refusal(&self, refusal: Refusal) -> Refusal {
-        if self.key.is_some() && !self.fresh {
+        if self.key.is_some() && !self.first_attempt {
             refusal.for_attempt_only()
         } else {
             refusal
--- a/crates/engine/src/routing.rs
+++ b/crates/engine/src/routing.rs
@@ -1,4 +1,4 @@
-//! Whom a call goes to.
+//! Chooses the instances that calls are sent to.
 
 use crate::outgoing::OutgoingCall;
 use crate::Engine;
@@ -18,55 +18,62 @@
 
     pub(crate) fn choose_instance(&mut self, now: Time, call: &OutgoingCall) -> Option<Instance> {
         let service = &call.request.service;
-        let mine = self.own_instance.incarnation;
+        let own_incarnation = self.own_instance.incarnation;
         if self.own_instance.service == *service {
-            self.update_own_standing(now);
+            self.update_own_eligibility(now);
         }
         let chosen = self
             .selector
             .choose(now, service, &call.avoid, &mut self.rng)?;
-        if chosen == mine {
+        if chosen == own_incarnation {
             return Some(self.own_instance.clone());
         }
         self.members.get(chosen).map(|peer| peer.instance.clone())
     }
 
-    /// This node's own backend server is one to choose among, and its load is known exactly.
-    fn update_own_standing(&mut self, now: Time) {
-        let standing = if self.stopping {
+    /// Adds the own backend server to the candidates. Its load is known exactly.
+    fn update_own_eligibility(&mut self, now: Time) {
+        let eligibility = if self.stopping {
             Eligibility::Excluded
         } else {
             Eligibility::Ready
         };
-        let (mine, service) = (self.own_instance.incarnation, &self.own_instance.service);
+        let (own_incarnation, service) =
+            (self.own_instance.incarnation, &self.own_instance.service);
+        self.selector.set_instance(
+            now,
+            own_incarnation,
+            service,
+            Proximity::SameDomain,
+            eligibility,
+        );
         self.selector
-            .set_instance(now, mine, service, Proximity::SameDomain, standing);
-        self.selector.on_report(now, mine, self.server.report());
+            .on_report(now, own_incarnation, self.server.report());
     }
 
-    /// Takes a peer's new state over into the choice of instances.
-    pub(crate) fn update_standing(&mut self, now: Time, peer: Incarnation, state: PeerState) {
+    /// Updates a peer among the candidates after its state has changed.
+    pub(crate) fn update_eligibility(&mut self, now: Time, peer: Incarnation, state: PeerState) {
         let Some(peer) = self.members.get(peer) else {
             return;
         };
-        let standing = match state {
+        let eligibility = match state {
             _ if !peer.accepts_work => Eligibility::Excluded,
             PeerState::Alive if !peer.load.draining => Eligibility::Ready,
             PeerState::Suspect if !peer.load.draining => Eligibility::LastResort,
             _ => Eligibility::Excluded,
         };
         let instance = &peer.instance;
-        let place = self.place(instance);
+        let proximity = self.proximity(instance);
         self.selector.set_instance(
             now,
             instance.incarnation,
             &instance.service,
-            place,
-            standing,
+            proximity,
+            eligibility,
         );
     }
 
-    pub(crate) fn place(&self, peer: &Instance) -> Proximity {
+    pub(crate) fn proximity(&self, peer: &Instance) -> Proximity {
         if peer.failure_domain == self.own_instance.failure_domain {
             Proximity::SameDomain
         } else if peer.region == self.own_instance.region {
--- a/crates/node/src/backend.rs
+++ b/crates/node/src/backend.rs
@@ -6,7 +6,7 @@
 use engine::Input;
 use engine::RunEnd;
 use httpconn::Connection;
-use httpconn::Failure;
+use httpconn::ExchangeError;
 use httpconn::Parser;
 use httpconn::Pool;
 use httpconn::Reuse;
@@ -126,7 +126,7 @@
                 }
                 (shell.dialect.classify_response)(response)
             }
-            Err(Failure::TooLarge) => RunEnd::Response((shell.dialect.oversized_response)()),
+            Err(ExchangeError::TooLarge) => RunEnd::Response((shell.dialect.oversized_response)()),
             Err(e) => {
                 let (id, run) = (&backend_run.request.id, backend_run.run);
                 log::info!("event=run_lost request={id} run={run} error=\"{e}\"");
@@ -150,7 +150,12 @@
         });
     }
 
-    async fn query_health(&self, shell: &Shell, id: &str, path: &str) -> Result<bool, Failure> {
+    async fn query_health(
+        &self,
+        shell: &Shell,
+        id: &str,
+        path: &str,
+    ) -> Result<bool, ExchangeError> {
         let connection = Connection::open(&self.parser, self.addr, HEALTH_CHECK_TIMEOUT).await?;
         let request = (shell.dialect.encode_health_check)(path, &self.addr.to_string());
         let (response, _) = connection
@@ -159,7 +164,7 @@
         Ok((shell.dialect.is_healthy)(&response, id))
     }
 
-    async fn acquire(&self, backend_run: &BackendRun) -> Result<Connection, Failure> {
+    async fn acquire(&self, backend_run: &BackendRun) -> Result<Connection, ExchangeError> {
         let pooled = {
             let mut idle = self.idle.borrow_mut();
             if idle.server != backend_run.expected_server {
--- a/crates/node/src/dialect/native.rs
+++ b/crates/node/src/dialect/native.rs
@@ -19,9 +19,9 @@
 use bytes::BytesMut;
 use engine::RunEnd;
 use httpconn::encode_request;
-use httpconn::end_to_end;
+use httpconn::end_to_end_headers;
 use httpconn::single_header;
-use httpconn::Whole;
+use httpconn::CompleteResponse;
 use proto::Outcome;
 use proto::Reason;
 use proto::Refusal;
@@ -94,7 +94,7 @@
     let address = req.peer_addr().map(|addr| addr.ip().to_string().into());
     let caller = optional_header(req, caller_header, Reason::BadRequest)?;
     let (service, path) = split_target(req)?;
-    let headers = end_to_end(req.headers(), &STRIPPED_REQUEST_HEADERS);
+    let headers = end_to_end_headers(req.headers(), &STRIPPED_REQUEST_HEADERS);
     Ok(RequestHead {
         caller: caller.or(address).unwrap_or_else(|| "".into()),
         credential: credential(req),
@@ -141,7 +141,7 @@
     )
 }
 
-fn classify_response(response: Whole, refusal_header: &str) -> RunEnd {
+fn classify_response(response: CompleteResponse, refusal_header: &str) -> RunEnd {
     if response.headers.contains_key(refusal_header) {
         let retry_after = response.headers.get(RETRY_AFTER);
         let seconds = retry_after.and_then(|value| value.to_str().ok()?.parse().ok());
@@ -151,7 +151,7 @@
     }
     RunEnd::Response(Response {
         status: response.status.as_u16(),
-        headers: end_to_end(&response.headers, &NODE_SET_HEADERS),
+        headers: end_to_end_headers(&response.headers, &NODE_SET_HEADERS),
         body: response.body,
     })
 }
--- a/crates/node/src/platform_mode.rs
+++ b/crates/node/src/platform_mode.rs
@@ -21,9 +21,9 @@
 use engine::KeylessCalls;
 use engine::TreeRetries;
 use platform::ConfigError;
-use platform::Item;
 use platform::Records;
 use platform::StoreError;
+use platform::StoreRecord;
 use proto::Reason;
 use rand::RngExt;
 use std::net::SocketAddr;
@@ -152,8 +152,8 @@
         |shell| shell.engine.borrow().reads_store(shell.now()),
         |shell, asked, batch| match batch {
             StoreBatch::Newest(newest) => {
-                apply_configs(shell, &newest.items);
-                advance_rules_offset(shell, newest.end);
+                apply_configs(shell, &newest.records);
+                advance_rules_offset(shell, newest.end_offset);
                 let version = shell.latest_rules.get().1;
                 shell.handle_input(Input::RulesChecked { asked, version });
             }
@@ -192,7 +192,12 @@
         let read = shell
             .store
             .read(platform::CONFIG_TOPIC, from, Duration::ZERO);
-        if let Records::Some { items, next, end } = read.await? {
+        if let Records::Available {
+            records: items,
+            next_offset: next,
+            end_offset: end,
+        } = read.await?
+        {
             apply_configs(shell, &items);
             if next >= end {
                 advance_rules_offset(shell, next);
@@ -200,9 +205,9 @@
             }
         }
     }
-    let newest = shell.store.newest(platform::CONFIG_TOPIC).await?;
-    apply_configs(shell, &newest.items);
-    advance_rules_offset(shell, newest.end);
+    let newest = shell.store.newest_records(platform::CONFIG_TOPIC).await?;
+    apply_configs(shell, &newest.records);
+    advance_rules_offset(shell, newest.end_offset);
     Ok(shell.latest_rules.get().1)
 }
 
@@ -211,8 +216,8 @@
     shell.next_rules_offset.set(current.max(Some(next)));
 }
 
-fn apply_configs(shell: &Rc<Shell>, items: &[Item]) {
-    for Item { key, value, offset } in items {
+fn apply_configs(shell: &Rc<Shell>, items: &[StoreRecord]) {
+    for StoreRecord { key, value, offset } in items {
         if &**key != platform::CONFIG_KEY || value.is_empty() {
             continue;
         }
@@ -235,18 +240,18 @@
 /// Returns the version of a configuration and its text with API keys replaced by digests.
 fn parse_config(value: &[u8]) -> Result<(u64, Arc<str>), ConfigError> {
     let text = std::str::from_utf8(value).map_err(|_| ConfigError::Malformed)?;
-    let version = platform::version_of(text)?;
-    Ok((version, platform::without_keys(text)?.into()))
+    let version = platform::config_version(text)?;
+    Ok((version, platform::hash_api_keys(text)?.into()))
 }
 
 /// Reads the addresses under which other nodes announced themselves.
 async fn read_directory(shell: &Shell) -> Vec<SocketAddr> {
     let mut backoff = StoreBackoff::new();
     loop {
-        match shell.store.newest(platform::NODES_TOPIC).await {
+        match shell.store.newest_records(platform::NODES_TOPIC).await {
             Ok(newest) => {
                 backoff.record_success("directory");
-                let addrs = newest.items.iter();
+                let addrs = newest.records.iter();
                 let addrs = addrs.filter_map(|item| item.key.parse().ok());
                 let addrs: Vec<SocketAddr> = addrs.collect();
                 log::info!("event=directory nodes={}", addrs.len());
@@ -305,7 +310,7 @@
         Err(Reason::NoSuchOperation) => StatusCode::NOT_FOUND,
         Err(_) => StatusCode::BAD_REQUEST,
     };
-    let body = platform::acknowledgement();
+    let body = platform::acknowledgement_body();
     let mut response = HttpResponse::build(status);
     response.insert_header(("content-type", "application/json"));
     response.body(body).map_into_boxed_body()
@@ -318,12 +323,12 @@
     };
     let (body, _reservation) = body::read_body(req, limits, &shell.body_budget).await?;
     let server = shell.settings.backend_server_addr;
-    match platform::announcement(req.method(), req.path(), &body, server) {
+    match platform::parse_announcement(req.method(), req.path(), &body, server) {
         Ok(announcement) => {
             shell.handle_input(Input::Server(announcement));
             Ok(())
         }
-        Err(platform::HeartbeatError::NoSuchCall) => Err(Reason::NoSuchOperation),
+        Err(platform::HeartbeatError::UnknownEndpoint) => Err(Reason::NoSuchOperation),
         Err(e) => {
             let path = req.path();
             log::warn!("event=heartbeat_refused path={path} error=\"{e}\"");
--- a/crates/node/src/shell.rs
+++ b/crates/node/src/shell.rs
@@ -28,7 +28,7 @@
 use engine::RequestToken;
 use indexmap::IndexMap;
 use journal::TopicEntry;
-use platform::Store;
+use platform::StoreClient;
 use platform::StoreError;
 use policy::FleetRetryLimits;
 use proto::Incarnation;
@@ -131,7 +131,7 @@
     pub(crate) own_instance: Instance,
     pub(crate) engine: RefCell<Engine>,
     pub(crate) dialect: Dialect,
-    pub(crate) store: Store,
+    pub(crate) store: StoreClient,
     /// Wakes the store reader when the engine is missing something from the store.
     pub(crate) store_read_requested: Notify,
     /// Offset from which to read newer rules; `None` until the rules topic was read for the first
@@ -193,7 +193,7 @@
     let shell = Rc::new(Shell {
         engine: RefCell::new(Engine::new(cfg, own_instance.clone())),
         dialect: Dialect::new(&settings),
-        store: Store::new(settings.store_addr),
+        store: StoreClient::new(settings.store_addr),
         store_read_requested: Notify::new(),
         next_rules_offset: Cell::new(None),
         latest_rules: Cell::new((0, 0)),
@@ -413,7 +413,7 @@
             add_bytes(&self.metrics.control_bytes.store_out, value.len());
         }
         actix_rt::spawn(async move {
-            let topic = platform::topic(&shell.settings.store_stream);
+            let topic = platform::stream_topic(&shell.settings.store_stream);
             match shell.store.append(&topic, Some(at), &entries).await {
                 Ok(_) => shell.handle_input(Input::Appended(number)),
                 Err(StoreError::Conflict) => shell.handle_input(Input::AppendConflict(number)),
--- a/crates/node/src/store_reader.rs
+++ b/crates/node/src/store_reader.rs
@@ -3,10 +3,10 @@
 use crate::metrics::add_bytes;
 use crate::shell::Shell;
 use engine::Input;
-use platform::Item;
-use platform::Newest;
+use platform::NewestRecords;
 use platform::Records;
 use platform::StoreError;
+use platform::StoreRecord;
 use rand::RngExt;
 use std::rc::Rc;
 use std::time::Duration;
@@ -65,11 +65,11 @@
 /// The result of one read.
 pub(crate) enum StoreBatch {
     /// The newest record of each key.
-    Newest(Newest),
+    Newest(NewestRecords),
     /// Records in log order.
     Records {
         /// The records.
-        items: Vec<Item>,
+        items: Vec<StoreRecord>,
         /// Whether they reach the end of the topic.
         at_end: bool,
     },
@@ -125,11 +125,15 @@
     poll_timeout: Duration,
 ) -> Result<Option<(u64, StoreBatch)>, StoreError> {
     let Some(from) = from else {
-        let newest = shell.store.newest(topic).await?;
-        return Ok(Some((newest.end, StoreBatch::Newest(newest))));
+        let newest = shell.store.newest_records(topic).await?;
+        return Ok(Some((newest.end_offset, StoreBatch::Newest(newest))));
     };
     Ok(match shell.store.read(topic, from, poll_timeout).await? {
-        Records::Some { items, next, end } => {
+        Records::Available {
+            records: items,
+            next_offset: next,
+            end_offset: end,
+        } => {
             let at_end = next >= end;
             Some((next, StoreBatch::Records { items, at_end }))
         }
@@ -139,7 +143,7 @@
 
 /// Follows the topic that holds views and rules.
 pub(crate) async fn follow_views(shell: Rc<Shell>) {
-    let topic = platform::topic(&shell.settings.store_stream);
+    let topic = platform::stream_topic(&shell.settings.store_stream);
     let on_batch = |shell: &Rc<Shell>, _, batch| apply_views(shell, batch);
     follow_topic(shell, &topic, LOG_POLL_TIMEOUT, |_| true, on_batch).await;
 }
@@ -149,7 +153,7 @@
     let shell = shell.clone();
     actix_rt::spawn(async move {
         let asked = shell.now();
-        let topic = platform::topic(&shell.settings.store_stream);
+        let topic = platform::stream_topic(&shell.settings.store_stream);
         let from = shell.engine.borrow().next_offset();
         let input = match read_once(&shell, &topic, Some(from), Duration::ZERO).await {
             Ok(Some((_, batch))) => {
@@ -170,8 +174,8 @@
 fn apply_views(shell: &Rc<Shell>, batch: StoreBatch) {
     match batch {
         StoreBatch::Newest(newest) => {
-            let end = newest.end;
-            let values = into_values(shell, newest.items);
+            let end = newest.end_offset;
+            let values = into_values(shell, newest.records);
             shell.handle_input(Input::TopicSnapshot { values, end });
             shell.handle_input(Input::LogCaughtUp);
         }
@@ -185,7 +189,7 @@
     }
 }
 
-fn into_values(shell: &Shell, items: Vec<Item>) -> Vec<(u64, bytes::Bytes)> {
+fn into_values(shell: &Shell, items: Vec<StoreRecord>) -> Vec<(u64, bytes::Bytes)> {
     let with_offsets = items.into_iter().map(|item| {
         add_bytes(&shell.metrics.control_bytes.store_in, item.value.len());
         (item.offset, item.value)
