--- a/crates/ctl/src/stream.rs
+++ b/crates/ctl/src/stream.rs
@@ -32,11 +32,11 @@
 
     /// Replaces the state by one loaded from the newest record of each key.
     async fn load_newest(&mut self) -> Result<(), StoreError> {
-        let newest = self.store.newest(&self.topic).await?;
-        let end = newest.end;
-        let values = newest.items.into_iter();
-        let values = values.map(|item| (item.offset, item.value)).collect();
-        self.state = State::from_newest(&journal::sorted_before(values, end), end);
+        let newest = self.store.newest_records(&self.topic).await?;
+        let end_offset = newest.end_offset;
+        let values = newest.records.into_iter();
+        let values = values.map(|record| (record.offset, record.value)).collect();
+        self.state = State::from_newest(&journal::sorted_before(values, end_offset), end_offset);
         Ok(())
     }
 
@@ -44,14 +44,22 @@
     /// next one has expired.
     pub(crate) async fn catch_up(&mut self) -> Result<(), StoreError> {
         loop {
-            let next = self.state.next_offset;
-            match self.store.read(&self.topic, next, Duration::ZERO).await? {
+            let next_offset = self.state.next_offset;
+            match self
+                .store
+                .read(&self.topic, next_offset, Duration::ZERO)
+                .await?
+            {
                 Records::Expired { .. } => self.load_newest().await?,
-                Records::Some { items, end, .. } => {
-                    for item in &items {
-                        self.state.apply(item.offset, &item.value);
+                Records::Available {
+                    records,
+                    end_offset,
+                    ..
+                } => {
+                    for record in &records {
+                        self.state.apply(record.offset, &record.value);
                     }
-                    if self.state.next_offset >= end || items.is_empty() {
+                    if self.state.next_offset >= end_offset || records.is_empty() {
                         return Ok(());
                     }
                 }
@@ -68,16 +76,20 @@
     }
 
     /// All records that the store still retains.
-    pub(crate) async fn retained_records(&self) -> Result<Vec<Item>, StoreError> {
+    pub(crate) async fn retained_records(&self) -> Result<Vec<StoreRecord>, StoreError> {
         let mut retained = Vec::new();
         let mut from = 0;
         loop {
             match self.store.read(&self.topic, from, Duration::ZERO).await? {
-                Records::Expired { first } => from = first,
-                Records::Some { items, next, end } => {
-                    let at_end = next >= end || items.is_empty();
-                    retained.extend(items);
-                    from = next;
+                Records::Expired { oldest_offset } => from = oldest_offset,
+                Records::Available {
+                    records,
+                    next_offset,
+                    end_offset,
+                } => {
+                    let at_end = next_offset >= end_offset || records.is_empty();
+                    retained.extend(records);
+                    from = next_offset;
                     if at_end {
                         return Ok(retained);
                     }
--- a/crates/node/tests/bad_input.rs
+++ b/crates/node/tests/bad_input.rs
@@ -203,7 +203,7 @@
 
     // When the first caller disconnects, its run is cancelled and its memory is released.
     drop(first);
-    until_status(node.http, "runs", "0").await;
+    wait_for_status(node.http, "runs", "0").await;
     backend.config.borrow_mut().service_time = Duration::ZERO;
     assert_eq!(
         call(node.http, "POST", "/press/free", "", &body).await.0,
--- a/crates/node/tests/outage.rs
+++ b/crates/node/tests/outage.rs
@@ -29,10 +29,10 @@
 #[actix_rt::test]
 async fn node_started_during_outage_forwards_calls() {
     let store = Store::start(LOOPBACK.into()).await.unwrap();
-    let server = listed_server(&store).await;
+    let instance = start_listed_instance(&store).await;
     store.faults.unavailable.set(true);
 
-    let contacts = format!("contacts = {}", server.node.peer);
+    let contacts = format!("contacts = {}", instance.node.peer);
     let backend = Backend::start(LOOPBACK.into(), BackendConfig::default())
         .await
         .unwrap();
@@ -44,7 +44,7 @@
     assert_eq!(status(late.http, "instances").await, "1");
 
     store.faults.unavailable.set(false);
-    until_status(late.http, "listed", "true").await;
+    wait_for_status(late.http, "listed", "true").await;
 }
 
 /// The store serves one node and refuses another. Rules published in the meantime would be in force
@@ -52,11 +52,11 @@
 #[actix_rt::test]
 async fn new_rules_reach_node_refused_by_store() {
     let store = Store::start(LOOPBACK.into()).await.unwrap();
-    let refused = store.add_listener().await.unwrap();
-    refused.faults.unavailable.set(true);
-    let server = listed_server(&store).await;
-    let contacts = format!("contacts = {}", server.node.peer);
-    let cut_off = NodeProcess::start_with(
+    let refusing_store = store.add_listener().await.unwrap();
+    refusing_store.faults.unavailable.set(true);
+    let instance = start_listed_instance(&store).await;
+    let contacts = format!("contacts = {}", instance.node.peer);
+    let refused_node = NodeProcess::start_with(
         "order",
         "milano-2",
         instance.backend.addr,
--- a/crates/node/tests/pipelining.rs
+++ b/crates/node/tests/pipelining.rs
@@ -48,8 +48,8 @@
     }
 }
 
-fn takes(backend: &Backend, takes: Duration) {
-    backend.config.borrow_mut().service_time = takes;
+fn set_run_time(backend: &Backend, run_time: Duration) {
+    backend.config.borrow_mut().service_time = run_time;
 }
 
 /// Reads one response; returns its head and body, or an empty head if the connection is closed.
--- a/crates/node/tests/platform.rs
+++ b/crates/node/tests/platform.rs
@@ -281,8 +281,12 @@
     publish(&store, 5, "/days/");
     tokio::time::sleep(Duration::from_millis(300)).await;
     store.faults.unavailable.set(false);
-    for machine in [&entry, &press] {
-        while ask(machine.node.http, "GET", "/slots/7", "b", "").await.0 != 404 {
+    for instance in [&entry, &press] {
+        while send_request(instance.node.http, "GET", "/slots/7", "b", "")
+            .await
+            .0
+            != 404
+        {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     }
--- a/crates/node/tests/stop.rs
+++ b/crates/node/tests/stop.rs
@@ -39,9 +39,9 @@
 #[actix_rt::test]
 async fn graceful_stop_completes_running_orders() {
     let store = Store::start(LOOPBACK.into()).await.unwrap();
-    let [entry, mut leaving, staying] = start_all(&store).await;
-    for server in [&leaving, &staying] {
-        server.backend.config.borrow_mut().service_time = Duration::from_millis(400);
+    let [entry, mut leaving, staying] = start_instances(&store).await;
+    for instance in [&leaving, &staying] {
+        instance.backend.config.borrow_mut().service_time = Duration::from_millis(400);
     }
     let mut calls = Vec::new();
     for n in 0..16 {
@@ -70,7 +70,7 @@
 #[actix_rt::test]
 async fn sighup_does_not_stop_node() {
     let store = Store::start(LOOPBACK.into()).await.unwrap();
-    let [mut entry, ..] = start_all(&store).await;
+    let [mut entry, ..] = start_instances(&store).await;
     entry.backend.config.borrow_mut().service_time = Duration::from_millis(300);
     let http = entry.node.http;
     let lookup =
@@ -96,9 +96,9 @@
     for node in nodes {
         wait_for_status(node, "instances", "4").await;
     }
-    until_homes_are_ready(&nodes).await;
-    for server in [&killed, &staying, &third] {
-        server.backend.config.borrow_mut().service_time = Duration::from_millis(400);
+    wait_for_homes(&nodes).await;
+    for instance in [&killed, &staying, &third] {
+        instance.backend.config.borrow_mut().service_time = Duration::from_millis(400);
     }
     let orders = |from: usize| {
         let http = entry.node.http;
@@ -152,10 +152,10 @@
 #[actix_rt::test]
 async fn last_responses_are_sent_before_exit() {
     let store = Store::start(LOOPBACK.into()).await.unwrap();
-    let [mut leaving, other, _] = start_all(&store).await;
+    let [mut leaving, other, _] = start_instances(&store).await;
     leaving.backend.config.borrow_mut().service_time = Duration::from_millis(700);
-    let lookups = [&leaving, &other].map(|server| {
-        let http = server.node.http;
+    let lookups = [&leaving, &other].map(|instance| {
+        let http = instance.node.http;
         let sent = (0..150).map(|n| {
             let path = format!("/catalogue/patterns/{http}/{n}");
             actix_rt::spawn(async move { call(http, "GET", &path, "", "").await })
--- a/crates/standin/src/deployment.rs
+++ b/crates/standin/src/deployment.rs
@@ -102,8 +102,8 @@
             operator: "stand-in".into(),
             file: rules.into(),
         };
-        let store = platform::Store::new(self.store_addr);
-        let topic = platform::topic("bilberrycove");
+        let store = platform::StoreClient::new(self.store_addr);
+        let topic = platform::stream_topic("bilberrycove");
         // There is no other publisher, so the append needs no condition on the offset.
         let appended = store.append(&topic, None, &record.entries()).await;
         appended.expect("the store answers");
