--- a/crates/node/tests/bad_input.rs
+++ b/crates/node/tests/bad_input.rs
@@ -10,8 +10,8 @@
 use common::NodeProcess;
 use common::LOOPBACK;
 use standin::Backend;
+use standin::BackendConfig;
 use standin::Store;
-use standin::Work;
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::io::AsyncReadExt;
@@ -27,7 +27,7 @@
 
 async fn start() -> (NodeProcess, Backend) {
     let store = Store::start(LOOPBACK.into()).await.unwrap();
-    let backend = Backend::start(LOOPBACK.into(), Work::default())
+    let backend = Backend::start(LOOPBACK.into(), BackendConfig::default())
         .await
         .unwrap();
     let node = NodeProcess::start_with("press", "milano-1", backend.addr, store.addr, LIMITS);
@@ -183,7 +183,7 @@
 #[actix_rt::test]
 async fn total_size_of_bodies_in_flight_is_limited() {
     let (node, backend) = start().await;
-    backend.work.borrow_mut().takes = Duration::from_secs(60);
+    backend.config.borrow_mut().service_time = Duration::from_secs(60);
     let body = "x".repeat(900);
     let mut first = TcpStream::connect(node.http).await.unwrap();
     first
@@ -204,7 +204,7 @@
     // When the first caller disconnects, its run is cancelled and its memory is released.
     drop(first);
     wait_for_status(node.http, "runs", "0").await;
-    backend.work.borrow_mut().takes = Duration::ZERO;
+    backend.config.borrow_mut().service_time = Duration::ZERO;
     assert_eq!(
         call(node.http, "POST", "/press/free", "", &body).await.0,
         200
--- a/crates/node/tests/outage.rs
+++ b/crates/node/tests/outage.rs
@@ -11,8 +11,8 @@
 use common::NodeProcess;
 use common::LOOPBACK;
 use standin::Backend;
+use standin::BackendConfig;
 use standin::Store;
-use standin::Work;
 
 const RULES: &str = "operation press POST /slots class=booking deadline=20s # asked by Marco";
 
@@ -30,10 +30,10 @@
 async fn node_started_during_outage_forwards_calls() {
     let store = Store::start(LOOPBACK.into()).await.unwrap();
     let instance = start_listed_instance(&store).await;
-    store.faults.refusing.set(true);
+    store.faults.unavailable.set(true);
 
     let contacts = format!("contacts = {}", instance.node.peer);
-    let backend = Backend::start(LOOPBACK.into(), Work::default())
+    let backend = Backend::start(LOOPBACK.into(), BackendConfig::default())
         .await
         .unwrap();
     let late = NodeProcess::start_with("order", "milano-2", backend.addr, store.addr, &contacts);
@@ -43,7 +43,7 @@
     assert_eq!(status(late.http, "listed").await, "false");
     assert_eq!(status(late.http, "instances").await, "1");
 
-    store.faults.refusing.set(false);
+    store.faults.unavailable.set(false);
     wait_for_status(late.http, "listed", "true").await;
 }
 
@@ -52,8 +52,8 @@
 #[actix_rt::test]
 async fn new_rules_reach_node_refused_by_store() {
     let store = Store::start(LOOPBACK.into()).await.unwrap();
-    let refusing_store = store.another_listener().await.unwrap();
-    refusing_store.faults.refusing.set(true);
+    let refusing_store = store.add_listener().await.unwrap();
+    refusing_store.faults.unavailable.set(true);
     let instance = start_listed_instance(&store).await;
     let contacts = format!("contacts = {}", instance.node.peer);
     let refused_node = NodeProcess::start_with(
@@ -74,7 +74,7 @@
     let store = Store::start(LOOPBACK.into()).await.unwrap();
     let instance = start_listed_instance(&store).await;
     publish(&store, RULES).await;
-    store.expire();
+    store.expire_records();
 
     let late = Instance::start("order", "milano-2", &store, &[]).await;
     wait_for_status(late.node.http, "rules_version", "2").await;
--- a/crates/node/tests/pipelining.rs
+++ b/crates/node/tests/pipelining.rs
@@ -7,8 +7,8 @@
 use common::NodeProcess;
 use common::LOOPBACK;
 use standin::Backend;
+use standin::BackendConfig;
 use standin::Store;
-use standin::Work;
 use std::time::Duration;
 use tokio::io::AsyncReadExt;
 use tokio::io::AsyncWriteExt;
@@ -22,9 +22,9 @@
 
 async fn start(takes: Duration) -> (NodeProcess, Backend) {
     let store = Store::start(LOOPBACK.into()).await.unwrap();
-    let work = Work {
-        takes,
-        ..Work::default()
+    let work = BackendConfig {
+        service_time: takes,
+        ..BackendConfig::default()
     };
     let backend = Backend::start(LOOPBACK.into(), work).await.unwrap();
     let limits = "max_body = 1000\nbody_timeout = 10s";
@@ -49,7 +49,7 @@
 }
 
 fn set_run_time(backend: &Backend, run_time: Duration) {
-    backend.work.borrow_mut().takes = run_time;
+    backend.config.borrow_mut().service_time = run_time;
 }
 
 /// Reads one response; returns its head and body, or an empty head if the connection is closed.
--- a/crates/node/tests/platform.rs
+++ b/crates/node/tests/platform.rs
@@ -277,10 +277,10 @@
 #[actix_rt::test]
 async fn new_configuration_takes_effect_after_store_recovers() {
     let (store, entry, press) = start().await;
-    store.faults.refusing.set(true);
+    store.faults.unavailable.set(true);
     publish(&store, 5, "/days/");
     tokio::time::sleep(Duration::from_millis(300)).await;
-    store.faults.refusing.set(false);
+    store.faults.unavailable.set(false);
     for instance in [&entry, &press] {
         while send_request(instance.node.http, "GET", "/slots/7", "b", "")
             .await
--- a/crates/node/tests/stop.rs
+++ b/crates/node/tests/stop.rs
@@ -41,7 +41,7 @@
     let store = Store::start(LOOPBACK.into()).await.unwrap();
     let [entry, mut leaving, staying] = start_instances(&store).await;
     for instance in [&leaving, &staying] {
-        instance.backend.work.borrow_mut().takes = Duration::from_millis(400);
+        instance.backend.config.borrow_mut().service_time = Duration::from_millis(400);
     }
     let mut calls = Vec::new();
     for n in 0..16 {
@@ -71,7 +71,7 @@
 async fn sighup_does_not_stop_node() {
     let store = Store::start(LOOPBACK.into()).await.unwrap();
     let [mut entry, ..] = start_instances(&store).await;
-    entry.backend.work.borrow_mut().takes = Duration::from_millis(300);
+    entry.backend.config.borrow_mut().service_time = Duration::from_millis(300);
     let http = entry.node.http;
     let lookup =
         actix_rt::spawn(async move { call(http, "GET", "/catalogue/patterns/1", "", "").await });
@@ -98,7 +98,7 @@
     }
     wait_for_homes(&nodes).await;
     for instance in [&killed, &staying, &third] {
-        instance.backend.work.borrow_mut().takes = Duration::from_millis(400);
+        instance.backend.config.borrow_mut().service_time = Duration::from_millis(400);
     }
     let orders = |from: usize| {
         let http = entry.node.http;
@@ -153,7 +153,7 @@
 async fn last_responses_are_sent_before_exit() {
     let store = Store::start(LOOPBACK.into()).await.unwrap();
     let [mut leaving, other, _] = start_instances(&store).await;
-    leaving.backend.work.borrow_mut().takes = Duration::from_millis(700);
+    leaving.backend.config.borrow_mut().service_time = Duration::from_millis(700);
     let lookups = [&leaving, &other].map(|instance| {
         let http = instance.node.http;
         let sent = (0..150).map(|n| {
--- a/crates/standin/examples/quickstart.rs
+++ b/crates/standin/examples/quickstart.rs
@@ -1,31 +1,34 @@
-//! A small deployment in one process, a load above its capacity, and a table of what became of it.
+//! Runs a small deployment in one process under a load above its capacity, and prints the outcomes
+//! of the requests and the counters of the nodes.
 
 use awc::http::Method;
+use bilberry_standin::fetch_status_page;
 use bilberry_standin::run_load;
-use bilberry_standin::status_page;
-use bilberry_standin::Child;
+use bilberry_standin::BackendConfig;
+use bilberry_standin::ChildCall;
 use bilberry_standin::Deployment;
-use bilberry_standin::Kind;
-use bilberry_standin::Load;
-use bilberry_standin::Place;
-use bilberry_standin::Report;
-use bilberry_standin::Work;
+use bilberry_standin::InstanceConfig;
+use bilberry_standin::LoadConfig;
+use bilberry_standin::LoadReport;
+use bilberry_standin::RequestKind;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 const RULES: &str = include_str!("quickstart.rules");
 
-/// Requests a second, and for how long. The catalogue has room for about 800 a second.
+/// Requests per second. Of them, 1,200 go to the catalogue, which can serve about 800 per second.
 const RATE: u32 = 1_600;
+
+/// How long the load lasts.
 const SECONDS: u32 = 8;
 
 #[actix_rt::main]
 async fn main() {
-    let deployment = Deployment::start(&places());
+    let deployment = Deployment::start(&instance_configs());
     println!("{} nodes; publishing the rules", deployment.instances.len());
     deployment.publish(RULES).await;
-    println!("{RATE} requests a second for {SECONDS} s: three lookups for each order");
-    let report = run_load(load(&deployment)).await;
+    println!("{RATE} requests per second for {SECONDS} s: three lookups for each order");
+    let report = run_load(load_config(&deployment)).await;
     print_report(&report);
     print_counters(&deployment).await;
     for mut instance in deployment.instances {
@@ -34,69 +37,70 @@
     println!("all nodes stopped gracefully");
 }
 
-fn places() -> Vec<Place> {
-    let call = |path: &str| Child {
+fn instance_configs() -> Vec<InstanceConfig> {
+    let child_call = |path: &str| ChildCall {
         method: Method::POST,
         path: path.to_owned(),
     };
-    let lookup = Work {
-        takes: Duration::from_millis(9),
+    let lookup = BackendConfig {
+        service_time: Duration::from_millis(9),
         slots: 4,
-        children: Vec::new(),
+        child_calls: Vec::new(),
     };
-    let order = Work {
-        children: vec![call("/press/slots")],
-        ..Work::default()
+    let order = BackendConfig {
+        child_calls: vec![child_call("/press/slots")],
+        ..BackendConfig::default()
     };
-    let press = Work {
-        takes: Duration::from_millis(4),
-        ..Work::default()
+    let press = BackendConfig {
+        service_time: Duration::from_millis(4),
+        ..BackendConfig::default()
     };
-    let mut places = Vec::new();
+    let mut configs = Vec::new();
     for (failure_domain, region) in [("milano-1", "lombardia"), ("verona-1", "veneto")] {
-        for (service, work) in [("catalogue", &lookup), ("order", &order), ("press", &press)] {
-            places.push(Place {
+        for (service, backend) in [("catalogue", &lookup), ("order", &order), ("press", &press)] {
+            configs.push(InstanceConfig {
                 service,
                 failure_domain,
                 region,
-                work: work.clone(),
+                backend: backend.clone(),
             });
         }
     }
-    places
+    configs
 }
 
-fn load(deployment: &Deployment) -> Load {
-    let entry = |n: usize| deployment.instances[n % deployment.instances.len()].http_addr;
-    let lookup = |n| Kind {
+fn load_config(deployment: &Deployment) -> LoadConfig {
+    let ingress = |n: usize| deployment.instances[n % deployment.instances.len()].http_addr;
+    let lookup = |n| RequestKind {
         method: Method::GET,
-        url: format!("http://{}/catalogue/patterns/{{n}}", entry(n)),
+        url: format!("http://{}/catalogue/patterns/{{n}}", ingress(n)),
         keyed: false,
     };
-    let order = |n| Kind {
+    let order = |n| RequestKind {
         method: Method::POST,
-        url: format!("http://{}/order/orders", entry(n)),
+        url: format!("http://{}/order/orders", ingress(n)),
         keyed: true,
     };
-    Load {
+    LoadConfig {
         kinds: vec![lookup(0), lookup(2), lookup(3), order(5)],
         interval: Duration::from_secs(1) / RATE,
         count: RATE * SECONDS,
-        patience: Duration::from_secs(5),
+        caller_timeout: Duration::from_secs(5),
     }
 }
 
-fn print_report(report: &Report) {
-    println!("\nwhat callers saw");
+fn print_report(report: &LoadReport) {
+    println!("\noutcomes of the requests");
     println!(
         "{:<10}{:>8}{:>9}{:>8}{:>10}{:>10}",
         "", "whole", "not run", "other", "p50 ms", "p99 ms"
     );
     for (index, name) in ["lookup", "lookup", "lookup", "order"].iter().enumerate() {
-        let millis = |quantile| report.micros[index].value_at_quantile(quantile) as f64 / 1000.0;
+        let millis =
+            |quantile| report.latencies_us[index].value_at_quantile(quantile) as f64 / 1000.0;
         println!(
             "{name:<10}{:>8}{:>9}{:>8}{:>10.1}{:>10.1}",
-            report.whole[index],
+            report.completed[index],
             report.not_run[index],
             report.other[index],
             millis(0.5),
@@ -108,7 +112,7 @@
 async fn print_counters(deployment: &Deployment) {
     let mut totals = BTreeMap::new();
     for instance in &deployment.instances {
-        let page = status_page(instance.http_addr).await;
+        let page = fetch_status_page(instance.http_addr).await;
         let counters = page
             .lines()
             .filter_map(|line| line.strip_prefix("counter."));
@@ -116,7 +120,7 @@
             *totals.entry(name.to_owned()).or_insert(0) += count.parse::<u64>().unwrap_or(0);
         }
     }
-    println!("\nwhat the nodes counted");
+    println!("\ncounters of the nodes");
     for (name, count) in totals {
         println!("{name:<30}{count:>8}");
     }
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,5 +1,5 @@
-//! Stand-ins for what surrounds the system: the store, backend servers and callers. They run
-//! inside a test's process or as examples, and ship in no binary.
+//! Stand-ins for the systems around a node: the store, backend servers and callers. They run in the
+//! process of a test or as examples, and are not part of any released binary.
 
 mod backend;
 mod deployment;
@@ -8,16 +8,16 @@
 mod store;
 
 pub use backend::Backend;
-pub use backend::Child;
-pub use backend::Work;
-pub use deployment::status;
-pub use deployment::status_page;
+pub use backend::BackendConfig;
+pub use backend::ChildCall;
+pub use deployment::fetch_status_page;
+pub use deployment::status_value;
 pub use deployment::Deployment;
-pub use deployment::Place;
-pub use deployment::Running;
+pub use deployment::InstanceConfig;
+pub use deployment::InstanceHandle;
 pub use load::run as run_load;
-pub use load::Kind;
-pub use load::Load;
-pub use load::Report;
+pub use load::LoadConfig;
+pub use load::LoadReport;
+pub use load::RequestKind;
 pub use store::Store;
 pub use store::StoreFaults;
