--- a/crates/policy/examples/choose.rs
+++ b/crates/policy/examples/choose.rs
@@ -7,8 +7,11 @@
 use cluster_sim::ClusterSim;
 
 fn main() {
-    println!("36 nodes, 2 regions; skew: region 0's share of the demand; seed 1");
-    println!("servers demand skew  most/share  far calls  longest queue");
+    println!(
+        "36 nodes, 2 regions; seed 1; skew: region 0's share of the demand; max/equal: calls to \
+         the busiest server as a multiple of an equal share; crossings: calls to another region"
+    );
+    println!("servers demand skew   max/equal  crossings  longest queue");
     for servers in [6, 12, 35] {
         for skew in [0.5, 0.7] {
             for demand in [0.1, 0.5, 0.7, 0.9, 0.95] {
--- a/crates/policy/src/admission_level.rs
+++ b/crates/policy/src/admission_level.rs
@@ -8,9 +8,9 @@
 //!
 //! DAGOR adjusts its level step by step while work is queued. Here the level is computed from the
 //! load that would arrive if nothing were shed, because a change of level takes effect only after
-//! the duration of a whole call tree, a second or more. Stepwise adjustment with that delay
-//! oscillates between admitting everything and nothing: a service offered 1.6 times its capacity
-//! stood idle half of the time.
+//! the duration of a whole call tree, a second or more. With that delay, stepwise adjustment
+//! oscillates between admitting everything and nothing, and an overloaded service is idle for much
+//! of the time.
 
 use crate::priority_bands::Group;
 use crate::priority_bands::MIN_PROTECTED_VALUE;
@@ -26,15 +26,15 @@
 const UPDATE_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Time constant of the moving average of the offered load. If it is much shorter, a handful of
-/// actions determines the level. With 2 s a service with 16 slots served 0.77 of its capacity under
-/// a demand of 1.6, with this value 0.89 (decision logic alone, lookups with eight reads).
+/// actions determines the level. If it is much longer, such as 2 s, more of the capacity of an
+/// overloaded service stays unused.
 const LOAD_TIME_CONSTANT: Duration = Duration::from_millis(600);
 
-/// Time in which the backlog should be worked off; the admitted load is reduced accordingly. With
-/// two seconds, 14 calls were queued on average for 16 slots, and lookups with eight sequential
-/// reads were late. If it is much shorter than the duration of a call tree, the same work is
-/// counted several times. No further slots are reserved: reserving a fifth of the square root of
-/// their number shed lookups that would have fitted.
+/// Time in which the backlog should be worked off; the admitted load is reduced accordingly. If it
+/// is much longer, such as 2 s, nearly as many calls are queued as there are slots, and lookups
+/// with eight sequential reads are late. If it is much shorter than the duration of a call tree,
+/// the same work is counted several times. No slots are kept free beyond this: even a reserve of a
+/// fifth of the square root of their number sheds lookups that would fit.
 const BACKLOG_DRAIN_TIME: Duration = Duration::from_millis(500);
 
 /// The admission value of an action: its random value within the half of the range for its class.
@@ -72,8 +72,8 @@
 }
 
 /// Mean retry delay at a service that admits nearly everything. Every attempt has the same chance
-/// of being admitted, so only an early one can still be answered in time: with 1 s, 1,966 of 23,529
-/// lookups of a surge were late, with this value 330 of 23,528 (one run each).
+/// of being admitted, so only an early one can still be answered in time: with 1 s, several times
+/// as many lookups of a surge are late.
 const BASE_RETRY_DELAY: Duration = Duration::from_millis(300);
 
 /// How long to wait before calling a service that sheds at `level` again: the smaller the share
@@ -119,8 +119,8 @@
 
 /// The admission level of one service at one node.
 ///
-/// Each call carries the level that its action passed at the first hop, and is weighted by the
-/// inverse of the share that this level admits (Horvitz and Thompson, 1952), so that it also
+/// Each call carries the level that its action passed at the entry node, and is weighted by
+/// the inverse of the share that this level admits (Horvitz and Thompson, 1952), so that it also
 /// represents the calls of the same kind that were shed there. The offered load is thus known
 /// although most of it never arrives, and the level depends on that load only, not on how much was
 /// admitted before.
@@ -131,7 +131,7 @@
     updated: Time,
     level: u16,
     /// Offered load divided by capacity; at least 1.
-    pressure: f64,
+    overload_ratio: f64,
 }
 
 impl AdmissionLevel {
@@ -141,7 +141,7 @@
             offered: IndexMap::new(),
             updated: Time::ZERO,
             level: 0,
-            pressure: 1.0,
+            overload_ratio: 1.0,
         }
     }
 
@@ -155,8 +155,8 @@
     }
 
     /// Offered load divided by capacity; at least 1.
-    pub(crate) fn pressure(&self) -> f64 {
-        self.pressure
+    pub(crate) fn overload_ratio(&self) -> f64 {
+        self.overload_ratio
     }
 
     /// Records offered work that will occupy a slot for `slot_time`.
@@ -184,7 +184,7 @@
             .map(|(group, load)| (*group, load.slots(now)));
         let loads: Vec<(Group, f64)> = loads.collect();
         let total: f64 = loads.iter().map(|(_, load)| load).sum();
-        self.pressure = (total / capacity.max(1.0)).max(1.0);
+        self.overload_ratio = (total / capacity.max(1.0)).max(1.0);
         self.level = self.bands.level(&loads, capacity);
     }
 }
--- a/crates/policy/src/concurrency_limit.rs
+++ b/crates/policy/src/concurrency_limit.rs
@@ -41,7 +41,7 @@
     limit: f64,
     /// No congestion has been seen yet, so the limit doubles with each increase.
     cold: bool,
-    /// The expected time by class, in seconds.
+    /// The expected own time by class, in seconds.
     expected: [Option<f64>; CLASSES],
     window: Window,
     probe: Option<Probe>,
@@ -53,15 +53,15 @@
 #[derive(Debug, Default)]
 struct Window {
     samples: u32,
-    /// Sum of the measured times, in seconds.
-    measured: f64,
+    /// Sum of the measured own times, in seconds.
+    measured_sum: f64,
     /// Sum of the expected times, in seconds.
-    expected: f64,
-    /// Measurements taken while the limit was reached.
-    full: u32,
+    expected_sum: f64,
+    /// Number of measurements taken while the limit was reached.
+    at_limit_samples: u32,
     /// Whether the server refused work by itself.
     refused: bool,
-    /// Number and sum of the measured times by class.
+    /// Number and sum of the measured own times by class.
     by_class: [(u32, f64); CLASSES],
 }
 
@@ -132,8 +132,8 @@
     }
 
     /// Records a measurement: work of `class` that ended now and kept the server busy for
-    /// `own_time`. `full` tells whether the limit was reached.
-    pub(crate) fn record(&mut self, now: Time, class: Class, own_time: Duration, full: bool) {
+    /// `own_time`. `at_limit` tells whether the limit was reached.
+    pub(crate) fn record(&mut self, now: Time, class: Class, own_time: Duration, at_limit: bool) {
         if now.since(self.measure_from) < own_time {
             return;
         }
@@ -141,9 +141,9 @@
         let class = class as usize;
         let expected = *self.expected[class].get_or_insert(own_time);
         self.window.samples += 1;
-        self.window.measured += own_time;
-        self.window.expected += expected;
-        self.window.full += u32::from(full);
+        self.window.measured_sum += own_time;
+        self.window.expected_sum += expected;
+        self.window.at_limit_samples += u32::from(at_limit);
         self.window.by_class[class].0 += 1;
         self.window.by_class[class].1 += own_time;
         if f64::from(self.window.samples) >= (2.0 * self.limit).max(MIN_SAMPLES) {
@@ -153,14 +153,14 @@
 
     fn adjust(&mut self, now: Time) {
         let window = std::mem::take(&mut self.window);
-        let ratio = window.measured / window.expected.max(1e-9);
-        let full = window.full * 2 > window.samples;
+        let ratio = window.measured_sum / window.expected_sum.max(1e-9);
+        let at_limit = window.at_limit_samples * 2 > window.samples;
         if let Some(probe) = self.probe.take() {
             self.finish_probe(now, probe, ratio);
         } else if window.refused {
             self.limit *= 0.9;
             self.cold = false;
-        } else if ratio > PROBE_ABOVE && full {
+        } else if ratio > PROBE_ABOVE && at_limit {
             self.probe = Some(Probe {
                 limit: self.limit,
                 ratio,
@@ -171,14 +171,14 @@
         } else if ratio > FALL_ABOVE {
             self.limit -= (self.limit * 0.03).max(1.0);
             self.cold = false;
-        } else if ratio < RISE_BELOW && full {
+        } else if ratio < RISE_BELOW && at_limit {
             self.limit += if self.cold {
                 self.limit
             } else {
                 (self.limit * 0.05).max(1.0)
             };
         }
-        self.update_expected(&window, full);
+        self.update_expected(&window, at_limit);
         self.clamp();
     }
 
@@ -197,7 +197,7 @@
 
     /// Expected times follow a shorter measured time quickly, and a longer one slowly and only
     /// while the limit is not reached, when nothing can have been queued inside the server.
-    fn update_expected(&mut self, window: &Window, full: bool) {
+    fn update_expected(&mut self, window: &Window, at_limit: bool) {
         for (expected, (samples, measured)) in self.expected.iter_mut().zip(window.by_class) {
             let Some(expected) = expected.as_mut().filter(|_| samples >= 4) else {
                 continue;
@@ -205,7 +205,7 @@
             let mean = measured / f64::from(samples);
             if mean < *expected {
                 *expected += 0.25 * (mean - *expected);
-            } else if !full {
+            } else if !at_limit {
                 *expected += 0.1 * (mean - *expected);
             }
         }
--- a/crates/policy/src/failure_share.rs
+++ b/crates/policy/src/failure_share.rs
@@ -22,9 +22,8 @@
 ///
 /// A server that refuses or loses part of its work answers quickly, looks idle by its load, and
 /// would attract more and more calls: one bad server of six then fails far more than a sixth of all
-/// calls. Counting failures as load keeps calls away from it. With a third of 12 servers refusing
-/// half of their work, this lowers the share of failed calls from 17% to 4%
-/// (`a_third_of_the_servers_refuse_half`).
+/// calls. Counting failures as load keeps calls away from it; the test
+/// `a_third_of_the_servers_refuse_half` compares the two.
 #[derive(Debug, Default)]
 pub(crate) struct FailureShare {
     share: f32,
--- a/crates/policy/src/instance_selector.rs
+++ b/crates/policy/src/instance_selector.rs
@@ -25,9 +25,9 @@
 /// loaded one would not answer any sooner. The rest of the limit is reserved for calls that are in
 /// flight and not yet reported.
 ///
-/// Traffic between failure domains is billed. If load counted from the first call, a difference of
-/// 1.3 calls in 16 slots would be enough to send a call to another domain; this affected a quarter
-/// of all calls to the busiest service.
+/// Traffic between failure domains is billed. If load counted from the first call on, a difference
+/// of 1.3 calls in 16 slots would be enough to send a call to another failure domain, and a quarter
+/// of the calls to a busy service would leave theirs.
 const FREE_LOAD: u32 = 800;
 
 /// Time over which the weight of a load report falls linearly to zero.
@@ -130,6 +130,7 @@
 pub struct InstanceSelector {
     instances: IndexMap<Incarnation, InstanceState>,
     services: IndexMap<Arc<str>, ServiceInstances>,
+    /// When the first instance was added, soon after the start of this node.
     started: Option<Time>,
     /// Load counts from the first call on, even below [`FREE_LOAD`].
     ignores_free_load: bool,
@@ -153,26 +154,26 @@
     pub fn set_instance(
         &mut self,
         now: Time,
-        peer: Incarnation,
+        id: Incarnation,
         service: &Arc<str>,
         proximity: Proximity,
         eligibility: Eligibility,
     ) {
         let started = *self.started.get_or_insert(now);
         let instances = self.services.entry(service.clone()).or_default();
-        instances.ready[proximity as usize].swap_remove(&peer);
-        instances.last_resort.swap_remove(&peer);
+        instances.ready[proximity as usize].swap_remove(&id);
+        instances.last_resort.swap_remove(&id);
         match eligibility {
-            Eligibility::Ready => instances.ready[proximity as usize].insert(peer),
-            Eligibility::LastResort => instances.last_resort.insert(peer),
+            Eligibility::Ready => instances.ready[proximity as usize].insert(id),
+            Eligibility::LastResort => instances.last_resort.insert(id),
             Eligibility::Excluded => {
-                self.instances.swap_remove(&peer);
+                self.instances.swap_remove(&id);
                 return;
             }
         };
         // Most instances discovered right after the start of this node have been running before.
         let is_new = now.since(started) >= WARM_UP;
-        self.instances.entry(peer).or_insert_with(|| InstanceState {
+        self.instances.entry(id).or_insert_with(|| InstanceState {
             service: service.clone(),
             proximity,
             new_since: Some(now).filter(|_| is_new),
@@ -186,8 +187,8 @@
     }
 
     /// Applies a load report. A draining instance receives no further calls.
-    pub fn on_report(&mut self, now: Time, peer: Incarnation, report: LoadReport) {
-        let Some(instance) = self.instances.get_mut(&peer) else {
+    pub fn on_report(&mut self, now: Time, id: Incarnation, report: LoadReport) {
+        let Some(instance) = self.instances.get_mut(&id) else {
             return;
         };
         instance.report = report;
@@ -195,28 +196,28 @@
         instance.sent_since_report = 0;
         if report.draining {
             let (service, proximity) = (instance.service.clone(), instance.proximity);
-            self.set_instance(now, peer, &service, proximity, Eligibility::Excluded);
+            self.set_instance(now, id, &service, proximity, Eligibility::Excluded);
         }
     }
 
     /// Records that a call was sent.
-    pub fn on_sent(&mut self, peer: Incarnation) {
-        if let Some(instance) = self.instances.get_mut(&peer) {
+    pub fn on_sent(&mut self, id: Incarnation) {
+        if let Some(instance) = self.instances.get_mut(&id) {
             instance.sent_since_report += 1;
             instance.in_flight += 1;
         }
     }
 
     /// Records that a call that was sent has ended.
-    pub fn on_ended(&mut self, peer: Incarnation) {
-        if let Some(instance) = self.instances.get_mut(&peer) {
+    pub fn on_ended(&mut self, id: Incarnation) {
+        if let Some(instance) = self.instances.get_mut(&id) {
             instance.in_flight = instance.in_flight.saturating_sub(1);
         }
     }
 
     /// Records that an instance answered a call, so that connections to it work.
-    pub fn on_answered(&mut self, peer: Incarnation) {
-        if let Some(instance) = self.instances.get_mut(&peer) {
+    pub fn on_answered(&mut self, id: Incarnation) {
+        if let Some(instance) = self.instances.get_mut(&id) {
             instance.failures = 0;
             instance.backoff_until = Time::ZERO;
         }
@@ -226,8 +227,8 @@
     /// failure; then single calls probe whether it is back. Otherwise every call would try a dead
     /// instance until the membership probes detect it, and all calls would go there at once when it
     /// is back.
-    pub fn on_connection_failed(&mut self, now: Time, peer: Incarnation, rng: &mut impl Rng) {
-        if let Some(instance) = self.instances.get_mut(&peer) {
+    pub fn on_connection_failed(&mut self, now: Time, id: Incarnation, rng: &mut impl Rng) {
+        if let Some(instance) = self.instances.get_mut(&id) {
             // All frames of a lost connection fail together; they count as one failure.
             if now >= instance.backoff_until {
                 instance.failures += 1;
@@ -237,9 +238,9 @@
     }
 
     /// Number of calls from this node to an instance that are in flight.
-    pub fn in_flight(&self, peer: Incarnation) -> u32 {
+    pub fn in_flight(&self, id: Incarnation) -> u32 {
         self.instances
-            .get(&peer)
+            .get(&id)
             .map_or(0, |instance| instance.in_flight)
     }
 
@@ -253,24 +254,24 @@
     ) -> Option<Incarnation> {
         let instances = self.services.get(service)?;
         let free_load = if self.ignores_free_load { 0 } else { FREE_LOAD };
-        let usable = |peer: &Incarnation| {
-            let instance = self.instances.get(peer)?;
-            let usable = !avoid.contains(peer) && now >= instance.backoff_until;
-            usable.then(|| (instance.cost(now, free_load), *peer))
+        let candidate = |id: &Incarnation| {
+            let instance = self.instances.get(id)?;
+            let is_usable = !avoid.contains(id) && now >= instance.backoff_until;
+            is_usable.then(|| (instance.cost(now, free_load), *id))
         };
         let mut best: Option<((u32, u32), Incarnation)> = None;
-        for peers in &instances.ready {
-            for peer in sample_usable(peers, rng, |peer| usable(peer).is_some()) {
-                let candidate = usable(&peer);
+        for ids in &instances.ready {
+            for id in sample_usable(ids, rng, |id| candidate(id).is_some()) {
+                let next = candidate(&id);
                 // On equal cost the first one is kept, because it is nearer.
-                if best.is_none_or(|best| candidate.is_some_and(|it| it.0 < best.0)) {
-                    best = candidate.or(best);
+                if best.is_none_or(|best| next.is_some_and(|it| it.0 < best.0)) {
+                    best = next.or(best);
                 }
             }
         }
-        // Few instances are usable, and sampling missed them.
-        let rest = || instances.ready.iter().flatten().filter_map(usable).min();
-        let last_resort = || instances.last_resort.iter().filter_map(usable).min();
+        // Used if few instances are usable and sampling missed them.
+        let rest = || instances.ready.iter().flatten().filter_map(candidate).min();
+        let last_resort = || instances.last_resort.iter().filter_map(candidate).min();
         let (_, chosen) = best.or_else(rest).or_else(last_resort)?;
         self.extend_backoff(now, chosen, rng);
         Some(chosen)
@@ -278,8 +279,8 @@
 
     /// If connections to the chosen instance have failed, this call is a probe: no further call is
     /// sent there during the next backoff.
-    fn extend_backoff(&mut self, now: Time, peer: Incarnation, rng: &mut impl Rng) {
-        if let Some(instance) = self.instances.get_mut(&peer) {
+    fn extend_backoff(&mut self, now: Time, id: Incarnation, rng: &mut impl Rng) {
+        if let Some(instance) = self.instances.get_mut(&id) {
             if instance.failures > 0 {
                 instance.backoff_until = now + instance.backoff(rng);
             }
@@ -308,7 +309,8 @@
         load * self.warm_up_factor(now)
     }
 
-    /// A reported value that changes linearly into `unknown` as the report ages.
+    /// A reported value, weighted by the age of the report: it changes linearly into `unknown`
+    /// within [`REPORT_LIFETIME`].
     fn weighted(&self, now: Time, reported: u16, unknown: u32) -> u32 {
         let age = self.reported_at.map_or(REPORT_LIFETIME, |at| now.since(at));
         let lifetime = REPORT_LIFETIME.as_millis() as u32;
@@ -331,13 +333,13 @@
     }
 }
 
-/// Up to [`CANDIDATES`] different random peers for which `usable` holds.
+/// Up to [`CANDIDATES`] different random instances for which `is_usable` holds.
 fn sample_usable(
-    peers: &IndexSet<Incarnation>,
+    ids: &IndexSet<Incarnation>,
     rng: &mut impl Rng,
-    usable: impl Fn(&Incarnation) -> bool,
+    is_usable: impl Fn(&Incarnation) -> bool,
 ) -> Vec<Incarnation> {
-    let sampled = index::sample(rng, peers.len(), SAMPLES.min(peers.len()));
-    let sampled = sampled.into_iter().map(|index| peers[index]);
-    sampled.filter(usable).take(CANDIDATES).collect()
+    let sampled = index::sample(rng, ids.len(), SAMPLES.min(ids.len()));
+    let sampled = sampled.into_iter().map(|index| ids[index]);
+    sampled.filter(is_usable).take(CANDIDATES).collect()
 }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,9 +1,9 @@
 //! Overload control and load balancing: concurrency limits, queueing, load shedding, instance
 //! selection, and retry budgets.
 //!
-//! An *action* is a request from outside together with all calls made on its behalf. Its *first
-//! hop* is the node that received that request. A *run* is one execution of an operation on a
-//! backend server. Classes are either lookups, which are shed first, or *protected*.
+//! An *action* is a request from outside together with all calls made on its behalf. Its *entry
+//! node*, the first hop, is the node that received that request. A *run* is one execution of an
+//! operation on a backend server. Classes are either lookups, which are shed first, or *protected*.
 //!
 //! This package does no I/O and reads no clock. It knows nothing about frames, keys or views.
 
--- a/crates/policy/src/priority_bands.rs
+++ b/crates/policy/src/priority_bands.rs
@@ -54,9 +54,8 @@
 
 /// The priorities named by the rules in force, for lookups and for protected classes.
 ///
-/// Priorities let operators choose which lookups are shed first. Without them, a lookup of the most
-/// urgent priority that occupied a slot of a busy service for 88 ms was shed as often as one that
-/// cost five times as much, and half of 1,946 such lookups were not served in time.
+/// Priorities let operators choose which lookups are shed first. Without them, a short and urgent
+/// lookup is shed as often as one that occupies the slots of a busy service five times as long.
 ///
 /// The values of a priority lie below those of a more urgent one, so that a rising level sheds
 /// nearly all of one priority before any of the next.
@@ -113,8 +112,8 @@
         PROBE_SHARE + (1.0 - PROBE_SHARE) * admitted.clamp(0.0, 1.0)
     }
 
-    /// The level that admits no more than `capacity` of these loads, which are sorted with the most
-    /// urgent first.
+    /// The level that admits no more than `capacity` of the loads of these groups, which are sorted
+    /// with the most urgent first. Load and capacity are given in slots.
     pub(crate) fn level(&self, loads: &[(Group, f64)], capacity: f64) -> u16 {
         let total: f64 = loads.iter().map(|(_, load)| load).sum();
         let mut remaining = capacity - total * PROBE_SHARE;
@@ -145,8 +144,8 @@
         };
         let same_half = |other: &&Group| other.is_lookup == group.is_lookup;
         let less_urgent = self.groups[index + 1..].iter().filter(same_half).count() as i32;
-        let is_first = !self.groups[..index].iter().any(|other| same_half(&other));
-        let to = match is_first {
+        let is_most_urgent = !self.groups[..index].iter().any(|other| same_half(&other));
+        let to = match is_most_urgent {
             true => 1.0,
             false => 1.0 - URGENT_SHARE.powi(less_urgent + 1),
         };
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -50,14 +50,15 @@
         ranks.map(|(_, items)| items.len()).sum()
     }
 
-    /// How many work items would leave the queue before a new one.
+    /// How many work items would leave the queue before a new one: those before it by rank, or all
+    /// if `by_class` is not set and work leaves in order of arrival.
     pub(crate) fn ahead_of(&self, item: &WorkItem, by_class: bool) -> usize {
         if !by_class {
             return self.len();
         }
         let own = Rank::of(item);
-        let peers = self.ranks.get(&own);
-        self.len_of(|rank| *rank < own) + peers.map_or(0, |peers| insertion_index(peers, item))
+        let same_rank = self.ranks.get(&own);
+        self.len_of(|rank| *rank < own) + same_rank.map_or(0, |items| insertion_index(items, item))
     }
 
     pub(crate) fn push(&mut self, item: WorkItem) {
@@ -70,8 +71,8 @@
         items.insert(insertion_index(items, &item), item);
     }
 
-    /// Removes a work item if `capacity` is exceeded by its rank and the more urgent ones together:
-    /// the oldest of the least urgent such rank. Calls of admitted actions stay, because the work
+    /// Removes the oldest work item of the least urgent rank that, together with all more urgent
+    /// ranks, has more than `capacity` work items. Calls of admitted actions stay, because the work
     /// already done for their actions would be lost.
     pub(crate) fn evict_excess(&mut self, capacity: usize) -> Option<WorkItem> {
         let ranks = self.ranks.iter().rev();
@@ -118,7 +119,8 @@
         })
     }
 
-    /// Removes the next work item to start.
+    /// Removes the next work item to start: the first by rank, or by arrival if `by_class` is not
+    /// set.
     pub(crate) fn pop(&mut self, by_class: bool) -> Option<WorkItem> {
         let mut waiting = self.ranks.values_mut().filter(|items| !items.is_empty());
         let next = if by_class {
--- a/crates/policy/src/retry_budget.rs
+++ b/crates/policy/src/retry_budget.rs
@@ -79,7 +79,7 @@
 #[derive(Debug)]
 pub struct RetryBudget {
     limits: FleetRetryLimits,
-    /// Determines the rounding offset of this node.
+    /// Makes [`rounding_offset`] differ between nodes.
     seed: u64,
     services: BoundedMap<Arc<str>, ServiceBudget>,
 }
@@ -93,12 +93,12 @@
     earned: f64,
     /// Upper bound of `earned`.
     max_earned: f64,
-    /// This node's share of the spare retries. Negative by what was spent ahead because of rounding
-    /// up.
+    /// This node's share of the spare retries. Negative after a retry that was granted only because
+    /// of [`Self::rounding_offset`].
     spare: f64,
     refilled: Time,
-    /// Added before rounding down; from 0 to 1.
-    rounding: f64,
+    /// Added to the available retries before they are rounded down; from 0 to 1.
+    rounding_offset: f64,
 }
 
 /// First sends in one slice of the window.
@@ -147,7 +147,7 @@
                 max_earned: 0.0,
                 spare: 0.0,
                 refilled: Time::ZERO,
-                rounding: rounding_offset(self.seed, service),
+                rounding_offset: rounding_offset(self.seed, service),
             };
             self.services.insert(service.clone(), budget);
         }
@@ -197,7 +197,7 @@
             true => 0.0,
             false => self.max_earned * PROTECTED_RESERVE,
         };
-        let available = self.earned + self.spare + self.rounding >= 1.0 + reserve;
+        let available = self.earned + self.spare + self.rounding_offset >= 1.0 + reserve;
         if available {
             let from_earned = self.earned.min(1.0);
             self.earned -= from_earned;
@@ -207,9 +207,9 @@
     }
 }
 
-/// What a node adds to its budget before rounding down, distributed evenly over nodes and services.
-/// In a large fleet the shares are smaller than one retry: rounded down on every node, the fleet
-/// would not retry at all.
+/// What a node adds to its available retries before rounding down, distributed evenly over nodes
+/// and services. In a large fleet the shares are smaller than one retry: rounded down on every
+/// node, the fleet would not retry at all.
 fn rounding_offset(seed: u64, service: &str) -> f64 {
     let hash = hash64(&(seed, service)) >> 11;
     hash as f64 / (1u64 << 53) as f64
--- a/crates/policy/src/run_times.rs
+++ b/crates/policy/src/run_times.rs
@@ -1,4 +1,4 @@
-//! Estimates after which a run counts as late.
+//! Estimation of the time after which a run counts as late.
 
 use crate::work::Estimate;
 use std::time::Duration;
--- a/crates/policy/src/server_admission.rs
+++ b/crates/policy/src/server_admission.rs
@@ -40,7 +40,7 @@
 /// bounds memory.
 const MAX_QUEUE_LEN: usize = 10_000;
 
-/// Multiple of the usual run time after which an abandoned run counts as lost by the server.
+/// Multiple of the mean slot time after which an abandoned run counts as lost by the server.
 const SILENT_FACTOR: u32 = 3;
 
 /// Number of classes, each with an estimate of its own.
@@ -119,7 +119,7 @@
     }
 
     /// Resets the state for a new process of the server, which has announced `slots`. The limit
-    /// learned for the previous process does not apply to it, so its limit starts at that number.
+    /// learned for the previous process does not apply to it, so the limit starts at `slots`.
     pub fn on_server_restart(&mut self, now: Time, slots: u16) {
         self.down_until = None;
         self.failure_share.reset();
@@ -178,8 +178,8 @@
         let ahead = self.queue.ahead_of(&item, self.switches.class_order);
         let wait = self.drain_time(ahead + 1);
         let too_late = self.switches.deadline_queue && self.is_too_late(now, &item, wait);
-        let full = ahead >= self.queue_capacity() && !item.admitted;
-        if too_late || full || self.queue.len() >= MAX_QUEUE_LEN {
+        let queue_full = ahead >= self.queue_capacity() && !item.admitted;
+        if too_late || queue_full || self.queue.len() >= MAX_QUEUE_LEN {
             return self.refuse_for_load(now, item);
         }
         self.queue.push(item);
@@ -190,7 +190,7 @@
     pub fn on_finished(&mut self, now: Time, class: Class, outcome: WorkOutcome) {
         // While the level sheds load, the limit counts as reached even if `running` is below it,
         // because there is demand for more slots.
-        let full = self.running >= self.limit.get() || self.level() > 0;
+        let at_limit = self.running >= self.limit.get() || self.level() > 0;
         self.tick(now);
         self.running = self.running.saturating_sub(1);
         self.failure_share
@@ -203,7 +203,7 @@
                 self.slot_time_with_abandoned[class as usize].record(elapsed);
                 self.slowdown.record(now, class, own_time);
                 if self.switches.adaptive_limit {
-                    self.limit.record(now, class, own_time, full);
+                    self.limit.record(now, class, own_time, at_limit);
                 }
             }
             WorkOutcome::Refused if self.switches.adaptive_limit => self.limit.on_refused(),
@@ -406,7 +406,7 @@
     /// random value of the action varies the delay.
     fn refuse(&self, reason: Reason, item: WorkItem) -> AdmissionDecision {
         let backlog = self.drain_time(self.queue.len() + usize::from(self.running));
-        let wait = (backlog + MIN_RETRY_AFTER).mul_f64(self.level.pressure().min(100.0));
+        let wait = (backlog + MIN_RETRY_AFTER).mul_f64(self.level.overload_ratio().min(100.0));
         let jitter = if self.switches.spread {
             retry_jitter(item.random_value)
         } else {
--- a/crates/policy/src/slowdown.rs
+++ b/crates/policy/src/slowdown.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 use stdx::Time;
 
-/// Number of classes, each with a usual time of its own.
+/// Number of classes, each with a usual own time.
 const CLASSES: usize = 5;
 
 /// Weight of a run in the usual time: one in this many, once that many runs have ended. A server
@@ -21,7 +21,7 @@
 
 /// Multiple of the usual time up to which a server does not count as slow. Times rise by a third
 /// when nearly all slots are occupied, and the mean of about thirty runs varies by a sixth. With
-/// 1.5, random variation alone doubled the traffic between failure domains under light load.
+/// 1.5, random variation alone doubles the traffic between failure domains under light load.
 const TOLERATED_RATIO: f32 = 2.0;
 
 /// Load penalty for each multiple of the usual time beyond [`TOLERATED_RATIO`], in thousandths of
@@ -32,10 +32,11 @@
 /// The ratio of recent run times to the usual ones.
 ///
 /// The load of a slow server looks like that of a busy one, so by load alone it is given up to as
-/// many concurrent calls as a normal one, and a lookup with eight reads nearly always hits one of six slow servers. At five times the usual time every such lookup is late.
+/// many concurrent calls as a normal one. With six slow servers, a lookup with eight reads nearly
+/// always uses one of them, and at five times the usual time every such lookup is late.
 #[derive(Debug)]
 pub(crate) struct Slowdown {
-    /// Mean own time in seconds and number of runs, by class.
+    /// Mean own time in seconds, and number of runs up to [`USUAL_WINDOW`], by class.
     usual: [Option<(f32, f32)>; CLASSES],
     /// Moving average of the ratio of own time to the usual time.
     recent: f32,
--- a/crates/policy/src/switches.rs
+++ b/crates/policy/src/switches.rs
@@ -15,7 +15,7 @@
         pub deadline_queue: bool,
         /// Protected classes leave the queue before lookups.
         pub class_order: bool,
-        /// Load is shed by admission levels, at the server and at the first hop.
+        /// Load is shed by admission levels, at the server and at the entry node.
         pub levels: bool,
         /// Each node limits retries to a ratio of its calls, in addition to the allowances of
         /// actions.
--- a/crates/policy/src/work.rs
+++ b/crates/policy/src/work.rs
@@ -17,15 +17,15 @@
         pub priority: u8,
         /// The random value of its action.
         pub random_value: u16,
-        /// The admission level that its action passed at the first hop; 0 if none was applied.
+        /// The admission level that its action passed at the entry node; 0 if none was applied.
         pub passed_level: u16,
         /// When its answer is due.
         pub deadline: Time,
         /// When it arrived.
         pub arrived: Time,
-        /// Whether it is a call of an action that was admitted at its first hop. Refusing it would
-        /// waste the work already done for the action, so load is limited by admission at the first
-        /// hop, and such a call waits for as long as it can still meet its deadline.
+        /// Whether it is a call of an action that was admitted at its entry node. Refusing it would
+        /// waste the work already done for the action, so load is limited by admission at the entry
+        /// node, and such a call waits for as long as it can still meet its deadline.
         pub admitted: bool,
     }
 }
@@ -35,7 +35,7 @@
 pub enum AdmissionDecision {
     /// Start it now.
     Start,
-    /// It is queued; a later call of [`crate::ServerAdmission::next_decision`] returns the decision.
+    /// It is queued; [`crate::ServerAdmission::next_decision`] returns the decision later.
     Queued,
     /// It must not run.
     Refused(Refusal),
--- a/crates/policy/tests/admitted.rs
+++ b/crates/policy/tests/admitted.rs
@@ -1,4 +1,4 @@
-//! Calls of actions that were admitted at their first hop, at a server without free capacity.
+//! Calls of actions that were admitted at their entry node, at a server without free capacity.
 
 use bilberry_policy::AdmissionDecision;
 use bilberry_policy::ServerAdmission;
@@ -61,8 +61,8 @@
                 AdmissionDecision::Refused(_) => refused += 1,
             }
         }
-        while let Some((_, offer)) = server.next_decision(now) {
-            match offer {
+        while let Some((_, decision)) = server.next_decision(now) {
+            match decision {
                 AdmissionDecision::Start => ends_at = Some(ms + RUN_MS),
                 AdmissionDecision::Refused(_) => refused += 1,
                 AdmissionDecision::Queued => {}
@@ -111,9 +111,9 @@
     for id in 2..12 {
         assert_eq!(server.offer(now, read(id)), AdmissionDecision::Queued);
     }
-    let offer = server.offer(now, read(12));
-    let AdmissionDecision::Refused(refusal) = offer else {
-        panic!("{offer:?}");
+    let decision = server.offer(now, read(12));
+    let AdmissionDecision::Refused(refusal) = decision else {
+        panic!("{decision:?}");
     };
     assert_eq!(refusal.reason, Reason::Deadline);
 }
@@ -164,7 +164,7 @@
     );
     let next = server
         .next_decision(now)
-        .map(|(item, offer)| (item.id, offer));
+        .map(|(item, decision)| (item.id, decision));
     assert_eq!(next, Some((12, AdmissionDecision::Start)));
 }
 
@@ -197,7 +197,7 @@
     );
     let next = server
         .next_decision(at(RUN_MS))
-        .map(|(item, offer)| (item.id, offer));
+        .map(|(item, decision)| (item.id, decision));
     assert_eq!(next, Some((2, AdmissionDecision::Start)));
 }
 
@@ -253,7 +253,7 @@
     );
     let next = server
         .next_decision(now)
-        .map(|(item, offer)| (item.id, offer));
+        .map(|(item, decision)| (item.id, decision));
     assert_eq!(next, Some((2, AdmissionDecision::Start)));
 }
 
@@ -286,7 +286,7 @@
         );
         let next = server
             .next_decision(now)
-            .map(|(item, offer)| (item.id, offer));
+            .map(|(item, decision)| (item.id, decision));
         assert_eq!(next, Some((id, AdmissionDecision::Start)));
     }
 }
--- a/crates/policy/tests/call_trees.rs
+++ b/crates/policy/tests/call_trees.rs
@@ -35,6 +35,7 @@
     Time::from_micros(ms * 1000)
 }
 
+/// The call tree of one lookup.
 #[derive(Clone)]
 struct Tree {
     entry: usize,
--- a/crates/policy/tests/instance_selector.rs
+++ b/crates/policy/tests/instance_selector.rs
@@ -16,18 +16,18 @@
 
 /// A selector with these instances, given by proximity, eligibility and reported load if there is
 /// one.
-fn selector(peers: &[(Proximity, Eligibility, Option<u16>)]) -> InstanceSelector {
+fn selector(instances: &[(Proximity, Eligibility, Option<u16>)]) -> InstanceSelector {
     let mut selector = InstanceSelector::new();
-    for (n, (proximity, eligibility, load)) in (0..).zip(peers) {
-        let (peer, service) = (Incarnation(n), "press".into());
-        selector.set_instance(Time::ZERO, peer, &service, *proximity, *eligibility);
+    for (n, (proximity, eligibility, load)) in (0..).zip(instances) {
+        let (id, service) = (Incarnation(n), "press".into());
+        selector.set_instance(Time::ZERO, id, &service, *proximity, *eligibility);
         if let Some(utilisation) = *load {
             let report = LoadReport {
                 utilisation,
                 limit: 10,
                 ..LoadReport::default()
             };
-            selector.on_report(Time::ZERO, peer, report);
+            selector.on_report(Time::ZERO, id, report);
         }
     }
     selector
@@ -48,11 +48,11 @@
 }
 
 fn check(
-    peers: &[(Proximity, Eligibility, Option<u16>)],
+    instances: &[(Proximity, Eligibility, Option<u16>)],
     avoid: &[Incarnation],
     expected: [u32; 4],
 ) {
-    assert_eq!(distribution(&mut selector(peers), 0, avoid), expected);
+    assert_eq!(distribution(&mut selector(instances), 0, avoid), expected);
 }
 
 use Eligibility::Excluded;
@@ -64,19 +64,19 @@
 
 #[test]
 fn near_instances_are_preferred_while_they_have_capacity() {
-    let peers = |near, next| {
+    let instances = |near, next| {
         [
             (OtherRegion, Ready, Some(0)),
             (SameRegion, Ready, Some(next)),
             (SameDomain, Ready, Some(near)),
         ]
     };
-    check(&peers(0, 0), &[], [0, 0, 1000, 0]);
+    check(&instances(0, 0), &[], [0, 0, 1000, 0]);
     // It still starts work immediately, so the idle instance would not answer any sooner.
-    check(&peers(700, 0), &[], [0, 0, 1000, 0]);
-    check(&peers(900, 0), &[], [0, 1000, 0, 0]);
-    check(&peers(1500, 1400), &[], [1000, 0, 0, 0]);
-    check(&peers(0, 0), &[Incarnation(2)], [0, 1000, 0, 0]);
+    check(&instances(700, 0), &[], [0, 0, 1000, 0]);
+    check(&instances(900, 0), &[], [0, 1000, 0, 0]);
+    check(&instances(1500, 1400), &[], [1000, 0, 0, 0]);
+    check(&instances(0, 0), &[Incarnation(2)], [0, 1000, 0, 0]);
 }
 
 #[test]
@@ -115,11 +115,11 @@
 fn an_old_report_has_less_weight() {
     // The busy instance has not been used since its report, and sends no report while it is not
     // used.
-    let peers = [
+    let instances = [
         (SameDomain, Ready, Some(2000)),
         (SameRegion, Ready, Some(700)),
     ];
-    let mut selector = selector(&peers);
+    let mut selector = selector(&instances);
     assert_eq!(distribution(&mut selector, 0, &[]), [0, 1000, 0, 0]);
     assert_eq!(distribution(&mut selector, 5000, &[]), [1000, 0, 0, 0]);
 }
@@ -140,8 +140,8 @@
     // If every call kept trying an instance with a failed connection, each would lose a connection
     // timeout; if all calls came back at once, they would overload the instance again.
     let mut rng = StdRng::seed_from_u64(1);
-    let peers = [(SameDomain, Ready, Some(0)), (OtherRegion, Ready, Some(0))];
-    let mut selector = selector(&peers);
+    let instances = [(SameDomain, Ready, Some(0)), (OtherRegion, Ready, Some(0))];
+    let mut selector = selector(&instances);
     selector.on_connection_failed(Time::ZERO, Incarnation(0), &mut rng);
     assert_eq!(distribution(&mut selector, 0, &[]), [0, 1000, 0, 0]);
     assert_eq!(distribution(&mut selector, 1000, &[]), [1, 999, 0, 0]);
@@ -159,8 +159,8 @@
         sim.run(500, 0.9, 0.5);
         sim.reset_counters();
         sim.run(1_000, 0.9, 0.5);
-        let most = sim.max_share_ratio();
-        assert!(most < 1.1, "{servers} servers: {most}");
+        let ratio = sim.max_share_ratio();
+        assert!(ratio < 1.1, "{servers} servers: {ratio}");
     }
 }
 
@@ -168,18 +168,18 @@
 fn regions_are_crossed_only_by_calls_that_do_not_fit() {
     // One region has 70% of the demand and half of the servers. Traffic between regions is billed,
     // so calls stay in their region while it has capacity; only the excess must cross.
-    let far = |demand| {
+    let cross_region_share = |demand| {
         let mut sim = ClusterSim::new(36, 6);
         sim.run(1_000, demand, 0.7);
         sim.reset_counters();
         sim.run(2_000, demand, 0.7);
         sim.cross_region_share()
     };
-    assert!(far(0.3) < 0.01);
+    assert!(cross_region_share(0.3) < 0.01);
     // At 0.95 of the capacity, the demand of region 0 is 1.33 times its own capacity; 0.174 of all
     // calls do not fit.
-    let crossed = far(0.95);
-    assert!((0.15..0.20).contains(&crossed), "{crossed}");
+    let share = cross_region_share(0.95);
+    assert!((0.15..0.20).contains(&share), "{share}");
 }
 
 /// Traffic between failure domains is billed, and most calls are small reads. If calls go to any
@@ -187,14 +187,14 @@
 /// server has capacity, and the answers arrive no sooner.
 #[test]
 fn domains_are_crossed_only_without_capacity() {
-    let crossed = |demand| {
+    let crossing_share = |demand| {
         let mut sim = ClusterSim::new(36, 6);
         sim.run(1_000, demand, 0.5);
         sim.reset_counters();
         sim.run(2_000, demand, 0.5);
         sim.cross_domain_share() + sim.cross_region_share()
     };
-    let share = crossed(0.6);
+    let share = crossing_share(0.6);
     assert!(share < 0.01, "{share}");
 }
 
@@ -238,13 +238,13 @@
 /// load.
 #[test]
 fn a_third_of_the_servers_refuse_half() {
-    let off = Switches {
+    let without = Switches {
         avoid_failing: false,
         ..Switches::ALL
     };
-    let (refused_off, _) = with_partial_failures(off);
+    let (refused_without, _) = with_partial_failures(without);
     let (refused, cross_region) = with_partial_failures(Switches::ALL);
-    assert!(refused_off > 0.16, "{refused_off}");
+    assert!(refused_without > 0.16, "{refused_without}");
     assert!(
         refused < 0.05 && cross_region < 0.01,
         "{refused} {cross_region}"
--- a/crates/policy/tests/late_runs.rs
+++ b/crates/policy/tests/late_runs.rs
@@ -124,8 +124,8 @@
                     running.push((ms, hangs && ms > 3000 && ms % 24 == 0));
                 }
             }
-            while let Some((item, offer)) = server.next_decision(now) {
-                if offer == AdmissionDecision::Start {
+            while let Some((item, decision)) = server.next_decision(now) {
+                if decision == AdmissionDecision::Start {
                     running.push((ms, hangs && ms > 3000 && item.id % 24 == 0));
                 }
             }
--- a/crates/policy/tests/server_admission.rs
+++ b/crates/policy/tests/server_admission.rs
@@ -93,8 +93,8 @@
 fn an_order_evicts_a_queued_lookup() {
     let mut server = busy();
     for id in 1..=10 {
-        let offer = server.offer(at(11), work_item(id, Class::Lookup, at(11)));
-        assert_eq!(offer, AdmissionDecision::Queued);
+        let decision = server.offer(at(11), work_item(id, Class::Lookup, at(11)));
+        assert_eq!(decision, AdmissionDecision::Queued);
     }
     let full = server.offer(at(11), work_item(11, Class::Lookup, at(11)));
     assert!(
@@ -112,8 +112,8 @@
     let mut server = busy();
     let mut refused = false;
     for id in 1..=11 {
-        let offer = server.offer(at(11), work_item(id, Class::Order, at(11)));
-        refused |= matches!(offer, AdmissionDecision::Refused(_));
+        let decision = server.offer(at(11), work_item(id, Class::Order, at(11)));
+        refused |= matches!(decision, AdmissionDecision::Refused(_));
     }
     assert!(refused);
     let lookup = server.offer(at(12), work_item(20, Class::Lookup, at(12)));
@@ -144,9 +144,9 @@
     let mut server = busy();
     server.on_finished(at(12), Class::Order, WorkOutcome::Unreachable);
     assert_eq!(server.report().utilisation, u16::MAX);
-    let offer = server.offer(at(13), work_item(1, Class::Order, at(13)));
+    let first = server.offer(at(13), work_item(1, Class::Order, at(13)));
     assert!(
-        matches!(offer, AdmissionDecision::Refused(refusal) if refusal.reason == Reason::ServerLost)
+        matches!(first, AdmissionDecision::Refused(refusal) if refusal.reason == Reason::ServerLost)
     );
     let probe = server.offer(at(300), work_item(2, Class::Order, at(300)));
     assert_eq!(probe, AdmissionDecision::Start);
@@ -200,10 +200,10 @@
             }
             for _ in 0..2 {
                 self.last_id += 1;
-                let offer = self
+                let decision = self
                     .server
                     .offer(now, work_item(self.last_id, Class::Lookup, now));
-                if offer == AdmissionDecision::Start {
+                if decision == AdmissionDecision::Start {
                     self.start(run_ms);
                 }
             }
@@ -240,7 +240,7 @@
 fn a_cold_server_accepts_a_burst_of_orders() {
     let mut server = ServerAdmission::new(Switches::ALL, 2, 400, MAX_WAIT);
     for id in 0..32 {
-        let offer = server.offer(at(0), work_item(id, Class::Order, at(0)));
-        assert_eq!(offer, AdmissionDecision::Start, "order {id}");
+        let decision = server.offer(at(0), work_item(id, Class::Order, at(0)));
+        assert_eq!(decision, AdmissionDecision::Start, "order {id}");
     }
 }
