--- a/crates/organisation/src/borrower.rs
+++ b/crates/organisation/src/borrower.rs
@@ -1,4 +1,4 @@
-//! Borrows tokens of quotas; each admitted request spends one.
+//! Borrows tokens of quotas from other nodes; each admitted request spends one.
 //!
 //! Tokens are requested ahead of demand, so that there is usually one at hand. Only requests of an
 //! organisation that is rarely seen on this node wait for the lender's answer.
@@ -16,7 +16,8 @@
 use stdx::BoundedMap;
 use stdx::Time;
 
-/// Interval between votes, chosen so that a vote stays valid if one message is lost.
+/// Interval between votes. It is less than half of [`VOTE_LEASE`], so that a lender keeps the vote
+/// if one message is lost.
 const VOTE_INTERVAL: Duration = Duration::from_millis(400);
 
 /// Delay between receiving the first stamp of a lender and sending it the first vote.
@@ -65,8 +66,8 @@
 #[derive(Debug)]
 struct PendingRequest {
     sent_at: Time,
-    /// Whether an answer or a timeout counts for the current lender. Cleared when the lender
-    /// changes.
+    /// Whether an answer or a timeout counts for the current lender; `false` once the lender has
+    /// changed.
     is_to_current_lender: bool,
     wanted: Vec<(OrganisationId, u16)>,
 }
@@ -207,7 +208,7 @@
         }
     }
 
-    /// Whether the lender had too few tokens when it last answered.
+    /// Whether the lender had fewer tokens than requested when it last answered.
     pub fn lender_was_short(&self, organisation: OrganisationId) -> bool {
         let pool = self.pools.get(&organisation);
         pool.is_some_and(|pool| pool.backoff_until.is_some())
@@ -302,7 +303,7 @@
     }
 
     /// Handles a lender's answer to the request `request_id` and returns the loans that were
-    /// accepted.
+    /// accepted. A `stamp` of 0 means that the node no longer lends and holds no votes.
     pub fn on_lend(
         &mut self,
         now: Time,
--- a/crates/organisation/src/freshness.rs
+++ b/crates/organisation/src/freshness.rs
@@ -22,7 +22,7 @@
 /// Time after which the next peer is queried if there is no answer.
 const PEER_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Delay before the next peer is queried after an answer that did not help.
+/// Delay before the next peer is queried after an answer that gave no recent evidence.
 const NEXT_PEER_DELAY: Duration = Duration::from_millis(30);
 
 /// Time after which another store query is sent if there is no answer, since the connection may be
@@ -32,7 +32,8 @@
 /// Delay before the next store query after a failed one.
 const STORE_RETRY_DELAY: Duration = Duration::from_millis(400);
 
-/// Age of the evidence from which a node also looks for other sources.
+/// Age of the evidence from which a node also uses its second source: the leader queries peers, and
+/// other nodes query the store.
 const STALE_AGE: Duration = Duration::from_millis(2100);
 
 /// Minimum interval between store queries of a node that is not the leader; up to twice as long
@@ -64,7 +65,7 @@
     QueryPeer {
         /// To be repeated in the answer.
         request_id: u64,
-        /// Number of preceding queries without success; determines which peer to query.
+        /// Number of preceding queries without recent evidence; determines which peer to query.
         attempt: u32,
     },
 }
--- a/crates/organisation/src/lender.rs
+++ b/crates/organisation/src/lender.rs
@@ -4,6 +4,10 @@
 //! lender may lend a share of each quota equal to its share of all votes. Therefore the shares
 //! never add up to more than the quota, even if nodes disagree about who the lender is after a
 //! network partition or the loss of a node.
+//!
+//! A node votes by sending back the stamp of the lender's last answer, which encodes the time of
+//! that answer. The vote is valid for [`VOTE_LEASE`] from that time, so a delayed vote is never
+//! valid for longer than its owner is committed to it.
 
 use crate::LendingTerms;
 use crate::QuotaTolerance;
@@ -30,8 +34,9 @@
 #[derive(Debug, Default)]
 struct Bucket {
     tokens: f64,
-    /// Values of the group's integrals at the last refill.
+    /// Value of [`Group::share_seconds`] at the last refill.
     share_seconds: f64,
+    /// Value of [`Group::share_lost`] at the last refill.
     share_lost: f64,
 }
 
@@ -43,12 +48,13 @@
     buckets: IndexMap<OrganisationId, Bucket>,
     /// Time up to which the integrals have been computed.
     integrated_until: Time,
-    /// Integral over time of the share of votes, in seconds.
+    /// Integral of `share` over time, in seconds.
     share_seconds: f64,
-    /// Sum of all decreases of the share.
+    /// Sum of all decreases of `share`.
     share_lost: f64,
-    /// Value of `share_seconds` at the last decrease of the share.
+    /// Value of `share_seconds` at the last decrease of `share`.
     share_seconds_at_loss: f64,
+    /// The share of all votes that this node holds.
     share: f64,
 }
 
@@ -122,7 +128,8 @@
         }
     }
 
-    /// Returns the stamp for an answer sent now. It increases with time and is never 0.
+    /// Returns the stamp for an answer sent now. It encodes this time, so that it increases with
+    /// time, and is never 0.
     pub fn stamp(now: Time) -> u64 {
         now.since(Time::ZERO).as_micros() as u64 + 1
     }
--- a/crates/organisation/src/pool.rs
+++ b/crates/organisation/src/pool.rs
@@ -8,7 +8,8 @@
 /// Time constant of the exponentially decaying average of demand.
 const DEMAND_TIME_CONSTANT: Duration = Duration::from_secs(1);
 
-/// The demand to hold in reserve, as a duration, while the lender has a surplus and otherwise.
+/// How long the tokens held in reserve suffice for the average demand: while the lender has a
+/// surplus, and otherwise.
 const RESERVE: Duration = Duration::from_millis(400);
 const REDUCED_RESERVE: Duration = Duration::from_millis(200);
 
@@ -45,6 +46,7 @@
     pub(crate) waiting: u32,
     /// Tokens requested from the lender but not answered yet.
     pub(crate) requested: u32,
+    /// Whether the lender had a surplus when it last answered.
     pub(crate) has_surplus: bool,
     /// No tokens are requested until this time, because the lender had too few.
     pub(crate) backoff_until: Option<Time>,
@@ -100,13 +102,14 @@
         self.backoff_until.is_some_and(|until| now < until)
     }
 
+    /// The number of tokens to hold in reserve.
     pub(crate) fn reserve(&self, now: Time) -> u32 {
         let rate = self.demand.rate(now);
-        let time = match self.has_surplus {
+        let duration = match self.has_surplus {
             true => RESERVE,
             false => REDUCED_RESERVE,
         };
-        (rate * time.as_secs_f64()) as u32
+        (rate * duration.as_secs_f64()) as u32
     }
 
     /// Returns the number of tokens to request.
--- a/crates/organisation/tests/quotas.rs
+++ b/crates/organisation/tests/quotas.rs
@@ -86,7 +86,8 @@
     messages: BTreeMap<(Time, u64), (usize, Message)>,
     sent_count: u64,
     started_count: u64,
-    loss: f64,
+    /// Probability that a message between two nodes is lost.
+    loss_probability: f64,
     quota: Quota,
     admitted: Vec<Time>,
     offered: u64,
@@ -104,14 +105,14 @@
             messages: BTreeMap::new(),
             sent_count: 0,
             started_count: 0,
-            loss: 0.0,
+            loss_probability: 0.0,
             quota,
             admitted: Vec::new(),
             offered: 0,
             refused: 0,
         };
-        for at in 0..nodes {
-            let node = fleet.start_process(demand(at));
+        for index in 0..nodes {
+            let node = fleet.start_process(demand(index));
             fleet.nodes.push(node);
         }
         fleet.lender_order = (0..nodes).collect();
@@ -135,16 +136,16 @@
         }
     }
 
-    fn kill(&mut self, at: usize) {
-        self.nodes[at].up = false;
-        self.nodes[at].waiting.clear();
-        self.nodes[at].backlog.clear();
+    fn kill(&mut self, index: usize) {
+        self.nodes[index].up = false;
+        self.nodes[index].waiting.clear();
+        self.nodes[index].backlog.clear();
     }
 
-    fn restart(&mut self, at: usize) {
-        let (demand, partition_side) = (self.nodes[at].demand, self.nodes[at].partition_side);
+    fn restart(&mut self, index: usize) {
+        let (demand, partition_side) = (self.nodes[index].demand, self.nodes[index].partition_side);
         let node = self.start_process(demand);
-        self.nodes[at] = Node {
+        self.nodes[index] = Node {
             partition_side,
             ..node
         };
@@ -179,7 +180,7 @@
         if view_changed || self.views.len() == 1 {
             let view = &self.views[0].1;
             self.lender_order
-                .sort_by_cached_key(|at| std::cmp::Reverse(hash64(&view[*at].0)));
+                .sort_by_cached_key(|index| std::cmp::Reverse(hash64(&view[*index].0)));
         }
         while let Some(entry) = self.messages.first_entry() {
             if entry.key().0 > self.now {
@@ -188,21 +189,21 @@
             let (to, message) = entry.remove();
             self.deliver(to, message);
         }
-        for at in 0..self.nodes.len() {
-            if self.nodes[at].up && self.now >= self.nodes[at].frozen_until {
-                for message in std::mem::take(&mut self.nodes[at].backlog) {
-                    self.handle(at, message);
+        for index in 0..self.nodes.len() {
+            if self.nodes[index].up && self.now >= self.nodes[index].frozen_until {
+                for message in std::mem::take(&mut self.nodes[index].backlog) {
+                    self.handle(index, message);
                 }
-                self.serve(at);
+                self.serve(index);
             }
         }
     }
 
-    fn serve(&mut self, at: usize) {
+    fn serve(&mut self, index: usize) {
         let now = self.now;
-        let expected = self.nodes[at].demand * TICK.as_secs_f64();
+        let expected = self.nodes[index].demand * TICK.as_secs_f64();
         let arrivals = expected as u64 + u64::from(self.rng.random_bool(expected.fract()));
-        let node = &mut self.nodes[at];
+        let node = &mut self.nodes[index];
         for _ in 0..arrivals {
             self.offered += 1;
             match node.borrower.try_spend(now, ORGANISATION, self.quota) {
@@ -225,22 +226,22 @@
         if !node.borrower.is_due(now) {
             return;
         }
-        let lender = self.elected(at);
-        let node = &mut self.nodes[at];
+        let lender = self.elected(index);
+        let node = &mut self.nodes[index];
         let (to, lender) = match lender {
             Some((to, lender)) => (to, Some(lender)),
-            None => (at, None),
+            None => (index, None),
         };
         if let Some(request) = node.borrower.poll(now, group_of(ORGANISATION), lender) {
-            self.borrow(at, to, request);
+            self.borrow(index, to, request);
         }
     }
 
-    /// Returns the first node in hash order that node `at` considers reachable.
-    fn elected(&self, at: usize) -> Option<(usize, Incarnation)> {
+    /// Returns the first node in hash order that node `index` considers reachable.
+    fn elected(&self, index: usize) -> Option<(usize, Incarnation)> {
         let (_, view) = self.views.front()?;
-        let partition_side = view.get(at)?.2;
-        let borrower = &self.nodes[at].borrower;
+        let partition_side = view.get(index)?.2;
+        let borrower = &self.nodes[index].borrower;
         let mut live = self.lender_order.iter().map(|to| (*to, view[*to]));
         live.find_map(|(to, (node, up, other_side))| {
             let avoided = borrower.avoids(self.now, group_of(ORGANISATION), node);
@@ -248,22 +249,22 @@
         })
     }
 
-    fn borrow(&mut self, at: usize, to: usize, request: LoanRequest) {
+    fn borrow(&mut self, index: usize, to: usize, request: LoanRequest) {
         let wanted = request.wanted.first().map_or(0, |(_, tokens)| *tokens);
         let message = Message::Borrow {
-            from: self.nodes[at].incarnation,
-            addr: at,
+            from: self.nodes[index].incarnation,
+            addr: index,
             to: request.lender,
             request_id: request.request_id,
             vote_stamp: request.vote_stamp,
             wanted,
         };
-        self.send(at, to, message);
+        self.send(index, to, message);
     }
 
     fn send(&mut self, from: usize, to: usize, message: Message) {
         let is_partitioned = self.nodes[from].partition_side != self.nodes[to].partition_side;
-        if from != to && (is_partitioned || self.rng.random_bool(self.loss)) {
+        if from != to && (is_partitioned || self.rng.random_bool(self.loss_probability)) {
             return;
         }
         // One packet in a hundred is delayed for long.
@@ -287,9 +288,9 @@
         self.handle(to, message);
     }
 
-    fn handle(&mut self, at: usize, message: Message) {
+    fn handle(&mut self, index: usize, message: Message) {
         let (now, group, voters) = (self.now, group_of(ORGANISATION), self.nodes.len());
-        let node = &mut self.nodes[at];
+        let node = &mut self.nodes[index];
         match message {
             Message::Borrow {
                 from,
@@ -311,7 +312,7 @@
                     stamp: Lender::stamp(now),
                     loan,
                 };
-                self.send(at, addr, answer);
+                self.send(index, addr, answer);
             }
             Message::Lend {
                 from,
@@ -345,7 +346,7 @@
                     stamp: 0,
                     loan: None,
                 };
-                self.send(at, addr, answer);
+                self.send(index, addr, answer);
             }
             Message::Lend { .. } => {}
         }
@@ -356,11 +357,11 @@
         let window = QuotaTolerance::default().window;
         let mut first = 0;
         let mut highest = 0;
-        for (at, time) in self.admitted.iter().enumerate() {
+        for (index, time) in self.admitted.iter().enumerate() {
             while self.admitted[first] + window <= *time {
                 first += 1;
             }
-            highest = highest.max(at + 1 - first);
+            highest = highest.max(index + 1 - first);
         }
         highest
     }
@@ -380,34 +381,35 @@
 fn random_faults(fleet: &mut Fleet, steps: usize) {
     for _ in 0..steps {
         let nodes = fleet.nodes.len();
-        let at = fleet.rng.random_range(0..nodes);
+        let index = fleet.rng.random_range(0..nodes);
         match fleet.rng.random_range(0..9) {
             0 => {
                 let probability = fleet.rng.random_range(0.1..0.9);
-                for at in 0..nodes {
-                    fleet.nodes[at].partition_side = u8::from(fleet.rng.random_bool(probability));
+                for index in 0..nodes {
+                    fleet.nodes[index].partition_side =
+                        u8::from(fleet.rng.random_bool(probability));
                 }
             }
             1 | 2 => fleet
                 .nodes
                 .iter_mut()
                 .for_each(|node| node.partition_side = 0),
-            3 => fleet.kill(at),
+            3 => fleet.kill(index),
             4 => {
-                let lender = fleet.elected(at).map_or(at, |(lender, _)| lender);
+                let lender = fleet.elected(index).map_or(index, |(lender, _)| lender);
                 fleet.kill(lender);
             }
-            5 => (0..nodes).for_each(|at| fleet.restart(at)),
+            5 => (0..nodes).for_each(|index| fleet.restart(index)),
             6 => {
-                let lender = fleet.elected(at).map_or(at, |(lender, _)| lender);
+                let lender = fleet.elected(index).map_or(index, |(lender, _)| lender);
                 let frozen_ms = fleet.rng.random_range(100..4000);
                 fleet.nodes[lender].frozen_until = fleet.now + ms(frozen_ms);
             }
-            7 => fleet.loss = fleet.rng.random_range(0.0..0.3),
+            7 => fleet.loss_probability = fleet.rng.random_range(0.0..0.3),
             _ => {
-                for at in 0..nodes {
-                    if !fleet.nodes[at].up {
-                        fleet.restart(at);
+                for index in 0..nodes {
+                    if !fleet.nodes[index].up {
+                        fleet.restart(index);
                     }
                 }
             }
@@ -425,12 +427,12 @@
         let rate = [2, 16, 90, 300][rng.random_range(0..4)];
         let quota = quota(rate, rng.random_range(0..=rate as u32));
         // Demand exceeds the quota, spread evenly or mostly at one node.
-        let all = rate as f64 * rng.random_range(1.0..8.0);
+        let total_demand = rate as f64 * rng.random_range(1.0..8.0);
         let skewed = rng.random_bool(0.5);
-        let mut fleet = Fleet::new(seed, nodes, quota, |at| match skewed {
-            true if at == 0 => all * 0.8,
-            true => all * 0.2 / nodes as f64,
-            false => all / nodes as f64,
+        let mut fleet = Fleet::new(seed, nodes, quota, |index| match skewed {
+            true if index == 0 => total_demand * 0.8,
+            true => total_demand * 0.2 / nodes as f64,
+            false => total_demand / nodes as f64,
         });
         fleet.run_for(ms(3000));
         random_faults(&mut fleet, 14);
@@ -443,8 +445,8 @@
     let quota = quota(200, 200);
     let mut fleet = Fleet::new(1, 700, quota, |_| 1.0);
     fleet.run_for(ms(4000));
-    for at in 0..350 {
-        fleet.nodes[at].partition_side = 1;
+    for index in 0..350 {
+        fleet.nodes[index].partition_side = 1;
     }
     fleet.run_for(ms(3000));
     let lender = fleet.elected(699).map(|(lender, _)| lender).unwrap();
@@ -468,8 +470,8 @@
     fleet.nodes.iter_mut().for_each(|node| node.demand = demand);
     fleet.run_for(ms(5000));
     if partitioned {
-        for at in 0..nodes / 6 {
-            fleet.nodes[at].partition_side = 1;
+        for index in 0..nodes / 6 {
+            fleet.nodes[index].partition_side = 1;
         }
     }
     fleet.run_for(ms(15_000));
