--- a/crates/policy/tests/call_trees.rs
+++ b/crates/policy/tests/call_trees.rs
@@ -29,7 +29,7 @@
 const TIMEOUT_MS: u64 = 1_500;
 
 const SECONDS: u64 = 30;
-const ENTRIES: usize = 6;
+const ENTRY_NODES: usize = 6;
 
 fn at(ms: u64) -> Time {
     Time::from_micros(ms * 1000)
@@ -38,7 +38,8 @@
 /// The call tree of one lookup.
 #[derive(Clone)]
 struct Tree {
-    entry: usize,
+    entry_node: usize,
+    /// When the lookup began, in milliseconds.
     began: u64,
     random_value: u16,
     passed_level: u16,
@@ -56,7 +57,8 @@
 struct Simulation {
     now: u64,
     server: ServerAdmission,
-    entries: Vec<ReportedLevel>,
+    /// The level of the server as known to each entry node.
+    known_levels: Vec<ReportedLevel>,
     trees: Vec<Tree>,
     events: BTreeMap<u64, Vec<Event>>,
     /// Lookups that completed in time.
@@ -76,7 +78,7 @@
         Self {
             now: 0,
             server,
-            entries: (0..ENTRIES)
+            known_levels: (0..ENTRY_NODES)
                 .map(|_| ReportedLevel::new(Time::ZERO))
                 .collect(),
             trees: Vec::new(),
@@ -92,15 +94,15 @@
     }
 
     fn arrive(&mut self, rng: &mut StdRng) {
-        let entry = rng.random_range(0..ENTRIES);
+        let entry_node = rng.random_range(0..ENTRY_NODES);
         let random_value = rng.random();
-        let level = self.entries[entry].get(at(self.now));
+        let level = self.known_levels[entry_node].get(at(self.now));
         if admission_value(Class::Lookup, random_value) < level {
             return;
         }
         self.admitted += 1;
         self.trees.push(Tree {
-            entry,
+            entry_node,
             began: self.now,
             random_value,
             passed_level: level,
@@ -167,13 +169,13 @@
     /// Ends a lookup, and reports the highest level that it met to its entry node.
     fn end(&mut self, tree: usize, completed: bool) {
         let Tree {
-            entry,
+            entry_node,
             began,
             max_level,
             ..
         } = self.trees[tree];
         let level = max_level.max(self.server.level());
-        self.entries[entry].observe(at(self.now), level);
+        self.known_levels[entry_node].observe(at(self.now), level);
         self.completed += u32::from(completed && self.now <= began + TIMEOUT_MS);
     }
 
--- a/crates/policy/tests/fleet_retries.rs
+++ b/crates/policy/tests/fleet_retries.rs
@@ -61,10 +61,10 @@
     }
 
     /// Number of nodes that each node knows, including those that it considers dead.
-    fn known_nodes(self, nodes: usize, up: usize, since_start: Duration) -> usize {
+    fn known_nodes(self, nodes: usize, up_count: usize, since_start: Duration) -> usize {
         match self {
             Scenario::StartsTogether if since_start < Duration::from_secs(3) => 1,
-            Scenario::Grows => up,
+            Scenario::Grows => up_count,
             _ => nodes,
         }
     }
@@ -111,21 +111,21 @@
         spare: 0.9 * allowed,
         window: WINDOW,
     };
-    let start = |rng: &mut StdRng| -> Vec<RetryBudget> {
+    let start_fleet = |rng: &mut StdRng| -> Vec<RetryBudget> {
         let nodes = 0..nodes;
         nodes
             .map(|_| RetryBudget::new(limits, rng.random()))
             .collect()
     };
     let mut started = Time::ZERO;
-    let mut fleet = start(&mut rng);
+    let mut fleet = start_fleet(&mut rng);
     let mut counts = Counts::default();
     let steps = (RUN.as_secs_f64() / STEP.as_secs_f64()) as u32;
     for step in 0..steps {
         let at = Time::ZERO + STEP * step;
         let progress = f64::from(step) / f64::from(steps);
         if scenario == Scenario::Restarted && step == steps / 2 {
-            fleet = start(&mut rng);
+            fleet = start_fleet(&mut rng);
             started = at;
         }
         // Each process measures time from its own start.
@@ -169,8 +169,8 @@
                     let excess = simulate(seed, nodes, per_second, allowed, scenario).max_excess();
                     assert!(
                         excess <= allowed,
-                        "{nodes} nodes, {per_second} a second, {scenario:?}: {excess} beyond a \
-                         fifth, {allowed} are allowed"
+                        "{nodes} nodes, {per_second} requests/s, {scenario:?}: {excess} retries \
+                         beyond a fifth in a window, {allowed} allowed"
                     );
                 }
             }
--- a/crates/policy/tests/priority_bands.rs
+++ b/crates/policy/tests/priority_bands.rs
@@ -55,7 +55,7 @@
     let per_ms = demand * f64::from(SLOTS) / WORK_MS as f64;
     let mut ends: BTreeMap<u64, u32> = BTreeMap::new();
     let mut counts = (Count::default(), Count::default());
-    let mut next = 0.0;
+    let mut due = 0.0;
     for ms in 0..20_000 {
         let now = at(ms);
         let took = Duration::from_millis(WORK_MS);
@@ -80,9 +80,9 @@
                 AdmissionDecision::Refused(_) | AdmissionDecision::Queued => {}
             }
         };
-        next += per_ms;
-        while next >= 1.0 {
-            next -= 1.0;
+        due += per_ms;
+        while due >= 1.0 {
+            due -= 1.0;
             let priority = if rng.random_bool(STOCK_SHARE) {
                 STOCK
             } else {
--- a/crates/stdx/src/time.rs
+++ b/crates/stdx/src/time.rs
@@ -4,7 +4,8 @@
 use std::time::Duration;
 
 crate::plain! {
-    /// Microseconds since an origin chosen by the caller; monotonic within one instance.
+    /// Microseconds since an origin chosen by the caller, which may differ between instances;
+    /// monotonic within one instance.
     ///
     /// Decision logic takes the current time as an argument and never reads a clock, so that a test
     /// or a benchmark can run many instances on a simulated clock.
