--- a/crates/engine/src/config.rs
+++ b/crates/engine/src/config.rs
@@ -48,7 +48,7 @@
     /// `None`.
     pub revocation_bound: Option<Duration>,
     /// How strictly the quotas of organisations are enforced.
-    pub quota_bounds: organisation::QuotaTolerance,
+    pub quota_tolerance: organisation::QuotaTolerance,
 }
 
 /// How a non-idempotent call without an idempotency key is handled.
@@ -98,7 +98,7 @@
             tree_retries: TreeRetries::PerOperation,
             retry_budget: policy::FleetRetryLimits::default(),
             revocation_bound: None,
-            quota_bounds: organisation::QuotaTolerance::default(),
+            quota_tolerance: organisation::QuotaTolerance::default(),
         }
     }
 }
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -195,7 +195,7 @@
             freshness: Freshness::new(cfg.revocation_bound),
             is_domain_leader: false,
             keys_were_trusted: false,
-            quota: QuotaController::new(cfg.quota_bounds),
+            quota: QuotaController::new(cfg.quota_tolerance),
             held_calls: HeldCalls::new(),
             handover_deadline: None,
             timers: Timers::default(),
--- a/crates/engine/src/quota.rs
+++ b/crates/engine/src/quota.rs
@@ -62,10 +62,10 @@
 }
 
 impl QuotaController {
-    pub(crate) fn new(bounds: QuotaTolerance) -> Self {
+    pub(crate) fn new(tolerance: QuotaTolerance) -> Self {
         Self {
-            borrower: Borrower::new(bounds),
-            lender: Lender::new(bounds),
+            borrower: Borrower::new(tolerance),
+            lender: Lender::new(tolerance),
             waiting: IndexMap::new(),
             returned: Vec::new(),
             elected: [None; GROUP_COUNT as usize],
--- a/crates/node/src/shell.rs
+++ b/crates/node/src/shell.rs
@@ -182,7 +182,7 @@
         policy: settings.switches,
         retry_budget: with_safety_margin(settings.retry_limits),
         revocation_bound: settings.revocation_bound,
-        quota_bounds: settings.quota_tolerance,
+        quota_tolerance: settings.quota_tolerance,
         ..Config::default()
     };
     if settings.platform.is_some() {
