--- a/crates/engine/src/admission.rs
+++ b/crates/engine/src/admission.rs
@@ -21,7 +21,7 @@
 use stdx::BoundedMap;
 use stdx::Time;
 
-/// How many instances, and how many operations, levels are kept for.
+/// The maximum number of instances, and of operations, for which levels are kept.
 const MAX_TRACKED_LEVELS: usize = 2048;
 
 /// The admission levels that other nodes have reported.
@@ -29,12 +29,12 @@
 pub(crate) struct AdmissionLevels {
     /// Each instance's own level, from its answers.
     instances: BoundedMap<Incarnation, ReportedLevel>,
-    /// What is known of the services that each operation calls, directly or indirectly.
+    /// Statistics of each operation and of the services that it calls, directly or indirectly.
     operations: BoundedMap<OperationKey, OperationStats>,
     priority_bands: PriorityBands,
 }
 
-/// What earlier runs of an operation have shown.
+/// Statistics of earlier runs of an operation.
 #[derive(Debug)]
 struct OperationStats {
     /// The highest level among the services that its runs call.
@@ -78,14 +78,15 @@
         self.instances.insert(from, recorded);
     }
 
-    /// Records the level that a run has met in its calls while it is still in progress.
+    /// Records the level that the calls of a run have reported while the run is still in progress.
     pub(crate) fn record_level_below(&mut self, now: Time, operation: &OperationKey, level: u16) {
         self.stats_mut(now, operation)
             .level_below
             .observe(now, level);
     }
 
-    /// Records the level that a finished run has met and the number of calls that it made.
+    /// Records the level that the calls of a finished run have reported, and the number of calls
+    /// that it made.
     pub(crate) fn record_downstream(
         &mut self,
         now: Time,
--- a/crates/engine/src/answer_cache.rs
+++ b/crates/engine/src/answer_cache.rs
@@ -8,36 +8,36 @@
 use std::collections::VecDeque;
 use stdx::BoundedMap;
 
-/// The most answers that are kept. A silent connection is detected within a few seconds; one node
-/// gives fewer answers than this in that time.
+/// The maximum number of cached answers. A silent connection is detected within a few seconds; one
+/// node gives fewer answers than this in that time.
 const MAX_ANSWERS: usize = 4096;
 
-/// The most bytes that the cached responses may take up together.
+/// The maximum total size of the cached responses, in bytes.
 const MAX_RESPONSE_BYTES: usize = 4 << 20;
 
-/// The most calling nodes for which the highest evicted call number is kept; several times the
-/// number of nodes in the fleet.
+/// The maximum number of calling nodes for which the highest evicted call number is kept; several
+/// times the number of nodes in the fleet.
 const MAX_CALLERS: usize = 4096;
 
 /// A bounded cache of recent answers.
 ///
 /// An abandoned connection may still deliver its frames after the same calls have been received
 /// over the next connection and answered. If the answer has been evicted by then and the frame were
-/// taken for a new call, work would run that its caller was told had not run. So for each calling
-/// node the cache keeps the highest call number that was evicted: a call up to that number that is
-/// not in the cache may have been answered before.
+/// treated as a new call, the call would run although its caller may have been told that it did
+/// not. So for each calling node the cache keeps the highest call number that was evicted: a call
+/// up to that number that is not in the cache may have been answered before.
 #[derive(Debug)]
 pub(crate) struct AnswerCache {
     answers: IndexMap<CallId, Answer>,
     /// The cached calls, oldest first.
     order: VecDeque<CallId>,
-    /// What the cached responses take up.
+    /// The total size of the cached responses.
     bytes: usize,
     /// The highest number of an evicted call, by the node that sent it.
     evicted_up_to: BoundedMap<Incarnation, u64>,
 }
 
-/// What the cache knows of a received call.
+/// The result of looking up a received call.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum CachedAnswer<'a> {
     /// The call was answered with this.
--- a/crates/engine/src/append_queue.rs
+++ b/crates/engine/src/append_queue.rs
@@ -5,7 +5,7 @@
 use stdx::plain;
 use stdx::Time;
 
-/// The most queued evictions. An eviction that finds the queue full is dropped, and its source asks
+/// The queue length from which further evictions are dropped. The source of a dropped eviction asks
 /// for it again.
 const MAX_QUEUED: usize = 64;
 
@@ -20,8 +20,8 @@
         Join,
         /// Another node is considered dead.
         Evict(Incarnation),
-        /// The oldest recorded departure is dropped from the state.
-        DropDeparture,
+        /// The oldest recorded departure is removed from the state.
+        ForgetDeparture,
     }
 }
 
--- a/crates/engine/src/calls.rs
+++ b/crates/engine/src/calls.rs
@@ -28,7 +28,8 @@
 use std::time::Duration;
 use stdx::Time;
 
-/// How often a call that provably did not run may be sent to another node without spending a retry.
+/// The maximum number of times that a call that provably did not run is sent to another node
+/// without spending a retry.
 const MAX_REDIRECTS: u8 = 3;
 
 impl Engine {
@@ -59,7 +60,7 @@
                 TreeRetries::ScaledByCalls(_) => draft.operation.retries,
             },
             hop_retries: self.cfg.policy.hop_retries,
-            earlier: None,
+            original: None,
             redirects: 0,
             reattaches: 0,
             avoid: Vec::new(),
@@ -104,7 +105,7 @@
         if let Some(open) = self.open_requests.get_mut(&call.token) {
             open.call = id;
         }
-        if let Some(original) = &call.earlier {
+        if let Some(original) = &call.original {
             self.hedged_attempts.insert(original.id, id);
         }
         call.attempts += 1;
@@ -116,10 +117,10 @@
 
     /// Whether one retry is kept back instead of delegated with the attempt.
     ///
-    /// Delegated retries are gone if the answer is lost, and only this node can retry the call
-    /// then. But a run that is itself a retry needs all of them for the calls below it. And where
-    /// one retry would not be enough for the calls below, it is of use only on lower hops: with one
-    /// kept back at each hop, no read of a deep tree would ever be retried.
+    /// Delegated retries are lost with a lost answer, and only this node can retry the call then.
+    /// But a run that is itself a retry needs all of them for the calls below it. And where the
+    /// calls below are at least as many as the retries left, a retry is of use only on lower hops:
+    /// if one were kept back at each hop, no read of a deep tree would ever be retried.
     fn reserves_retry(&self, call: &OutgoingCall) -> bool {
         let below = self.admission.calls_below(&call.operation);
         call.idempotent && !call.possible_repeat && call.retry_allowance.remaining() > below
@@ -322,7 +323,7 @@
 
     /// Ends a call, unless the original attempt of a hedged call may still bring a response.
     fn finish_call(&mut self, now: Time, mut call: OutgoingCall, outcome: Outcome) {
-        if let Some(original) = call.earlier.take() {
+        if let Some(original) = call.original.take() {
             if self.awaits_original(now, &call, &outcome) {
                 return self.resume_original(call, original);
             }
@@ -341,14 +342,16 @@
             Outcome::NotRun(refusal) if call.may_have_run => Outcome::Unknown(refusal.reason),
             outcome => outcome,
         };
-        self.log_answered(now, &call, downstream.level, &outcome);
+        self.report_answered(now, &call, downstream.level, &outcome);
         self.close_request(now, call.token, call.retry_allowance.remaining(), outcome);
     }
 
-    /// Records what a call has met in the job of the run that made it, and in the admission levels.
+    /// Adds the level and the calls that an ended call reports to the job of the run that made it,
+    /// and updates the admission level of the run's operation.
     ///
-    /// The levels are updated while the run is still in progress. Updated only at its end, a raised
-    /// level below would admit too much for the duration of a complete call tree.
+    /// The level is updated while the run is still in progress. If it were updated only at its end,
+    /// this node would admit too much for the duration of a complete call tree after a level below
+    /// has risen.
     fn report_to_parent(&mut self, now: Time, call: &OutgoingCall, downstream: DownstreamSummary) {
         let operation = call.operation.clone();
         let Some(job) = self.parent_job(call.token) else {
@@ -363,7 +366,7 @@
     }
 
     /// Emits a diagnostic for the end of a call.
-    fn log_answered(&mut self, now: Time, call: &OutgoingCall, level: u16, outcome: &Outcome) {
+    fn report_answered(&mut self, now: Time, call: &OutgoingCall, level: u16, outcome: &Outcome) {
         self.outputs.push(Output::Diagnostic(Diagnostic::Answered {
             request: call.request.id.clone(),
             service: call.request.service.clone(),
@@ -391,7 +394,7 @@
         Some(call)
     }
 
-    /// The calls whose present attempt was sent to this peer.
+    /// The calls whose current attempt was sent to this peer.
     pub(crate) fn calls_to(&self, peer: Incarnation) -> Vec<CallId> {
         let to_peer = self
             .calls
--- a/crates/engine/src/config.rs
+++ b/crates/engine/src/config.rs
@@ -16,7 +16,8 @@
     pub policy: policy::Switches,
     /// Idempotency records and leases.
     pub once: once::Config,
-    /// The most requests from callers and from this node's backend server that may be in flight.
+    /// The maximum number of requests from callers and from this node's backend server that may be
+    /// in flight.
     pub max_open_requests: usize,
     /// The longest `Idempotency-Key`, in bytes.
     pub max_key_len: usize,
--- a/crates/engine/src/counter.rs
+++ b/crates/engine/src/counter.rs
@@ -107,7 +107,7 @@
         AppendDropped,
         /// The node stopped before its `Leave` record was in the log.
         LeaveNotAppended,
-        /// A message could not be decoded, or was not valid for this node in its present state.
+        /// A message could not be decoded, or was not valid for this node in its current state.
         UnexpectedMessage,
         /// A peer did not answer a ping in time.
         PeerQuiet,
--- a/crates/engine/src/diagnostic.rs
+++ b/crates/engine/src/diagnostic.rs
@@ -24,7 +24,7 @@
 }
 
 plain! {
-    /// The state of the controllers of the own backend server at the time of the decision.
+    /// The state of the controllers of this node's backend server at the time of the decision.
     pub struct ServerState {
         /// Runs in progress.
         pub running: u16,
@@ -131,7 +131,7 @@
         /// All known nodes, by their state.
         known: PeerCounts,
     },
-    /// The own backend server began or ceased to accept new work, or was replaced by another
+    /// This node's backend server began or ceased to accept new work, or was replaced by another
     /// incarnation.
     OwnServer {
         /// The server's incarnation.
@@ -141,7 +141,7 @@
         /// The sequence number of its last heartbeat.
         sequence: u64,
     },
-    /// A job for the own backend server ended.
+    /// A job for this node's backend server ended.
     Ran {
         /// The id of the request.
         request: Arc<str>,
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -78,8 +78,8 @@
     pub(crate) members: Membership,
     pub(crate) selector: InstanceSelector,
     pub(crate) peer_diagnostics: PeerDiagnostics,
-    /// The views have changed since the membership controller was last updated.
-    pub(crate) views_changed: bool,
+    /// The roster may have changed since the membership controller was last updated.
+    pub(crate) roster_changed: bool,
     pub(crate) home: Home,
     pub(crate) server: ServerAdmission,
     /// This node's backend server, once its first heartbeat has arrived.
@@ -88,7 +88,7 @@
     pub(crate) open_requests: IndexMap<RequestToken, OpenRequest>,
     /// Requests that wait for the answer to an identical one, which the value names.
     pub(crate) followers: IndexMap<RequestToken, RequestToken>,
-    /// Calls to nodes, this one included, by the id of the present attempt.
+    /// Calls to nodes, this one included, by the id of the current attempt.
     pub(crate) calls: IndexMap<CallId, OutgoingCall>,
     /// For each original attempt of a hedged call, the hedge attempt that was sent after it.
     pub(crate) hedged_attempts: IndexMap<CallId, CallId>,
@@ -102,7 +102,8 @@
     pub(crate) jobs_by_request_id: IndexMap<Arc<str>, RunId>,
     /// The runs of idempotency keys and the calls that wait for them.
     pub(crate) key_runs: IndexMap<KeyHash, KeyRun>,
-    /// What the run whose answer is being sent has met in its calls.
+    /// The level and the number of calls that the run whose answer is being sent reports; the
+    /// default while any other answer is sent.
     pub(crate) ended_run_downstream: DownstreamSummary,
     pub(crate) admission: AdmissionLevels,
     pub(crate) resends: Resends,
@@ -169,7 +170,7 @@
             members,
             selector: InstanceSelector::with_switches(cfg.policy),
             peer_diagnostics: PeerDiagnostics::default(),
-            views_changed: false,
+            roster_changed: false,
             home: Home::new(cfg.once.clone(), incarnation),
             server: ServerAdmission::new(
                 cfg.policy,
@@ -259,7 +260,7 @@
             Input::Server(announcement) => self.on_server_announcement(now, announcement),
             Input::ServerChecked { id, healthy } => self.on_server_checked(now, &id, healthy),
             Input::RulesChecked { asked, version } => self.on_rules_checked(now, asked, version),
-            Input::RulesCheckFailed => self.on_rules_unchecked(now),
+            Input::RulesCheckFailed => self.on_rules_check_failed(now),
             Input::LogUnreachable => self.on_log_unreachable(now),
             Input::StateFetched(state) => self.on_peer_state(now, &state),
             Input::Appended(number) => self.on_appended(now, number),
@@ -374,12 +375,12 @@
             Frame::Call(call) => self.on_call(now, from, *call),
             Frame::Answer(id, answer) => self.on_answer(now, from, id, *answer),
             Frame::Cancel(id) => self.on_cancel(now, from, id),
-            Frame::SlowCall(id) => self.on_late_notice(now, id),
+            Frame::SlowCall(id) => self.on_slow_call(now, id),
             Frame::CrashReport {
                 service,
                 request,
                 crashes,
-            } => self.on_suspect_report(now, from, &service, request, crashes),
+            } => self.on_crash_report(now, from, &service, request, crashes),
             // The I/O layer handles the frames that concern the connection itself.
             frame => {
                 if !self.on_home_frame(now, from, frame) {
--- a/crates/engine/src/fetch.rs
+++ b/crates/engine/src/fetch.rs
@@ -186,7 +186,7 @@
                 self.outputs.push(Output::ReadLog);
             }
         } else {
-            // The log or the next probe brings what may still be missing.
+            // The log or the next probe delivers what may still be missing.
             self.fetch = FetchSchedule::default();
         }
     }
--- a/crates/engine/src/freshness.rs
+++ b/crates/engine/src/freshness.rs
@@ -15,7 +15,8 @@
 use std::time::Duration;
 use stdx::Time;
 
-/// This many first attempts go to nodes of the own failure domain, the others to any node.
+/// The number of first attempts that go to nodes of this node's failure domain. Later ones go to
+/// any node.
 const OWN_DOMAIN_ATTEMPTS: u32 = 2;
 
 impl Engine {
@@ -37,7 +38,7 @@
         if !self.needs_freshness() {
             return;
         }
-        self.log_key_trust_change(now);
+        self.report_key_trust_change(now);
         let due = self.freshness.next_timer(self.is_domain_leader);
         if due.is_none_or(|due| now < due) {
             return;
@@ -61,8 +62,8 @@
         }
     }
 
-    /// The peer to query: first the leaders of the own failure domain, then any peer, because the
-    /// whole domain may be cut off from the store.
+    /// The peer to query: first the leaders of this node's failure domain, then any peer, because
+    /// the whole domain may be cut off from the store.
     fn freshness_peer(&mut self, attempt: u32) -> Option<SocketAddr> {
         if attempt < OWN_DOMAIN_ATTEMPTS {
             let leader = self.members.domain_leader_candidate(attempt as usize);
@@ -113,7 +114,7 @@
                 }
                 let age = Duration::from_millis(age_ms.into());
                 self.freshness.on_report(now, request_id, age);
-                self.log_key_trust_change(now);
+                self.report_key_trust_change(now);
             }
         }
     }
@@ -122,19 +123,19 @@
     pub(crate) fn on_rules_checked(&mut self, now: Time, asked: Time, version: u64) {
         if version > self.journal.version {
             // The rules were passed in before this input, but could not be read.
-            return self.on_rules_unchecked(now);
+            return self.on_rules_check_failed(now);
         }
         self.freshness.on_store_confirmed(asked);
-        self.log_key_trust_change(now);
+        self.report_key_trust_change(now);
     }
 
     /// The store did not confirm the version of the rules here.
-    pub(crate) fn on_rules_unchecked(&mut self, now: Time) {
+    pub(crate) fn on_rules_check_failed(&mut self, now: Time) {
         self.freshness.on_store_failed(now);
     }
 
     /// Emits a diagnostic when keys begin or cease to be trusted.
-    fn log_key_trust_change(&mut self, now: Time) {
+    fn report_key_trust_change(&mut self, now: Time) {
         let trusts = self.freshness.may_trust(now);
         if trusts == std::mem::replace(&mut self.keys_were_trusted, trusts) {
             return;
--- a/crates/engine/src/gauges.rs
+++ b/crates/engine/src/gauges.rs
@@ -3,11 +3,11 @@
 use crate::Engine;
 use stdx::Time;
 
-/// The name of a metric and its present value.
+/// The name of a metric and its current value.
 pub type Gauge = (&'static str, u64);
 
 impl Engine {
-    /// The sizes of all tables and the present state of the controllers. Utilisation and level are
+    /// The sizes of all tables and the current state of the controllers. Utilisation and level are
     /// in the units of [`proto::LoadReport`], the remaining time of the lease in milliseconds.
     ///
     /// # Examples
--- a/crates/engine/src/hedge.rs
+++ b/crates/engine/src/hedge.rs
@@ -5,7 +5,7 @@
 //! attempt counts as a retry in all limits on retries.
 
 use crate::job::JobOwner;
-use crate::outgoing::EarlierAttempt;
+use crate::outgoing::OriginalAttempt;
 use crate::outgoing::OutgoingCall;
 use crate::timers::Timer;
 use crate::Counter;
@@ -70,11 +70,11 @@
     }
 
     /// Sends a call to a second instance after its target has reported that the run is late.
-    pub(crate) fn on_late_notice(&mut self, now: Time, id: CallId) {
+    pub(crate) fn on_slow_call(&mut self, now: Time, id: CallId) {
         let Some(mut call) = self.calls.swap_remove(&id) else {
             return;
         };
-        let may_hedge = call.idempotent && call.key.is_none() && call.earlier.is_none();
+        let may_hedge = call.idempotent && call.key.is_none() && call.original.is_none();
         if !may_hedge || !self.try_spend_retry(now, &mut call) {
             self.calls.insert(id, call);
             return;
@@ -86,7 +86,7 @@
         };
         self.count(Counter::Hedge);
         self.timers.clear(call.deadline, Timer::CallDeadline(id));
-        call.earlier = Some(EarlierAttempt {
+        call.original = Some(OriginalAttempt {
             id,
             target: call.target.clone(),
             delegated_retries: call.delegated_retries,
@@ -105,7 +105,7 @@
         let Some(call) = self.calls.get_mut(&hedge) else {
             return true;
         };
-        let Some(original) = call.earlier.take() else {
+        let Some(original) = call.original.take() else {
             return true;
         };
         if !matches!(answer.outcome, Outcome::Completed(_)) {
@@ -136,14 +136,14 @@
     }
 
     /// Makes the call wait for its original attempt again after the hedge attempt has failed.
-    pub(crate) fn resume_original(&mut self, mut call: OutgoingCall, original: EarlierAttempt) {
+    pub(crate) fn resume_original(&mut self, mut call: OutgoingCall, original: OriginalAttempt) {
         self.hedged_attempts.swap_remove(&original.id);
         call.may_have_run = true;
         self.track_original(call, original);
     }
 
-    /// Makes the original attempt the present one.
-    fn track_original(&mut self, mut call: OutgoingCall, original: EarlierAttempt) {
+    /// Makes the original attempt the current one.
+    fn track_original(&mut self, mut call: OutgoingCall, original: OriginalAttempt) {
         call.target = original.target;
         call.delegated_retries = original.delegated_retries;
         if let Some(open) = self.open_requests.get_mut(&call.token) {
@@ -155,7 +155,7 @@
     }
 
     /// Cancels the original attempt, whose answer is no longer needed.
-    pub(crate) fn cancel_original(&mut self, original: EarlierAttempt) {
+    pub(crate) fn cancel_original(&mut self, original: OriginalAttempt) {
         self.hedged_attempts.swap_remove(&original.id);
         self.selector.on_ended(original.target.incarnation);
         self.send(&original.target, Frame::Cancel(original.id));
--- a/crates/engine/src/ingress.rs
+++ b/crates/engine/src/ingress.rs
@@ -43,8 +43,8 @@
             Ok((operation, None)) => self.process_arrival(now, arrival, operation, random, None),
             Ok((operation, Some((organisation, quota)))) => {
                 match self.quota.borrower.try_spend(now, organisation, quota) {
-                    Some(credit) => {
-                        self.process_arrival(now, arrival, operation, random, Some(credit))
+                    Some(quota_token) => {
+                        self.process_arrival(now, arrival, operation, random, Some(quota_token))
                     }
                     None => self.wait_for_quota(now, arrival, organisation),
                 }
@@ -55,17 +55,22 @@
 
     /// Continues with a request that has waited for its organisation's quota. It passes the first
     /// filters again, because the rules may have changed in the meantime.
-    pub(crate) fn on_quota_granted(&mut self, now: Time, mut arrival: Arrival, credit: QuotaToken) {
+    pub(crate) fn on_quota_granted(
+        &mut self,
+        now: Time,
+        mut arrival: Arrival,
+        quota_token: QuotaToken,
+    ) {
         let random = self.rng.random();
         let admitted = self
             .filter_rules(&mut arrival.request, random)
             .and_then(|operation| self.filter_identity(now, &mut arrival, operation));
         match admitted {
             Ok((operation, _)) => {
-                self.process_arrival(now, arrival, operation, random, Some(credit))
+                self.process_arrival(now, arrival, operation, random, Some(quota_token))
             }
             Err(reason) => {
-                self.return_quota_token(now, Some(credit));
+                self.return_quota_token(now, Some(quota_token));
                 self.refuse_arrival(&arrival, reason);
             }
         }
@@ -78,7 +83,7 @@
         arrival: Arrival,
         operation: Operation,
         random: u16,
-        credit: Option<QuotaToken>,
+        quota_token: Option<QuotaToken>,
     ) {
         let Arrival {
             token,
@@ -102,17 +107,17 @@
         match draft {
             Ok(draft) => {
                 let draft = RequestDraft {
-                    quota_token: credit,
+                    quota_token,
                     ..draft
                 };
                 match self.filter_resend(now, &caller, draft) {
                     Some(draft) => self.open_request(now, draft),
                     // The request was answered, or waits for the answer to an identical one.
-                    None => self.return_quota_token(now, credit),
+                    None => self.return_quota_token(now, quota_token),
                 }
             }
             Err(reason) => {
-                self.return_quota_token(now, credit);
+                self.return_quota_token(now, quota_token);
                 self.refuse_unopened(refused, self.refusal(reason));
             }
         }
@@ -364,7 +369,7 @@
         }
     }
 
-    /// Enters a request in the table of requests in flight, and starts its call.
+    /// Adds a request to the table of requests in flight, and starts its call.
     fn open_request(&mut self, now: Time, draft: RequestDraft) {
         let token = draft.token;
         let open = OpenRequest {
--- a/crates/engine/src/io.rs
+++ b/crates/engine/src/io.rs
@@ -37,9 +37,9 @@
         caller: Arc<str>,
         /// The context header, if the request has one.
         context: Option<Arc<str>>,
-        /// The request during which a backend server makes this one, as far as the id of this one
-        /// shows. Only a hint: if no such request runs here, this one starts a call tree of its
-        /// own.
+        /// The id of the request during which a backend server makes this one, derived from the id
+        /// of this one. Only a hint: if no such request runs here, this one starts a call tree of
+        /// its own.
         parent: Option<Arc<str>>,
         /// The `Idempotency-Key` header, if the request has one.
         key: Option<Arc<str>>,
@@ -80,7 +80,7 @@
         /// The datagram.
         datagram: Datagram,
     },
-    /// A run on the own backend server has ended.
+    /// A run on this node's backend server has ended.
     RunEnded {
         /// The run.
         run: RunId,
@@ -109,7 +109,7 @@
     },
     /// Addresses at which nodes have registered. Some of the nodes may be gone.
     Directory(Vec<SocketAddr>),
-    /// The own backend server announces a change of its state.
+    /// This node's backend server announces a change of its state.
     Server(Announcement),
     /// Response to [`Output::CheckServer`].
     ServerChecked {
@@ -173,7 +173,7 @@
     pub draining: bool,
 }
 
-/// How a run on the own backend server ended.
+/// How a run on this node's backend server ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RunEnd {
     /// The server sent a complete response.
@@ -220,7 +220,7 @@
         /// The datagram.
         datagram: Datagram,
     },
-    /// Pass a request to the own backend server.
+    /// Pass a request to this node's backend server.
     Run {
         /// Identifies the run in [`Input::RunEnded`].
         run: RunId,
@@ -233,7 +233,7 @@
         /// The run must start within this time, because the right to start it expires then.
         start_within: Option<Duration>,
     },
-    /// Ask the own backend server whether it is healthy and not about to stop. Ends with an
+    /// Ask this node's backend server whether it is healthy and not about to stop. Ends with an
     /// [`Input::ServerChecked`].
     CheckServer {
         /// The incarnation to ask.
--- a/crates/engine/src/job.rs
+++ b/crates/engine/src/job.rs
@@ -1,4 +1,4 @@
-//! Jobs for the own backend server, and what their runs report.
+//! Jobs for this node's backend server, and what their runs report.
 
 use crate::operation_key::OperationKey;
 use crate::RequestToken;
@@ -18,7 +18,7 @@
 use std::time::Duration;
 use stdx::Time;
 
-/// A request for the own backend server, queued or running.
+/// A request for this node's backend server, queued or running.
 #[derive(Debug)]
 pub(crate) struct Job {
     pub(crate) owner: JobOwner,
@@ -42,8 +42,8 @@
     pub(crate) cancelled: bool,
     /// Number of calls made below this job, as far as answers have reported them.
     pub(crate) calls_below: u16,
-    /// The level that each operation's child calls met last. Levels fall again during a run, so the
-    /// highest level that any of them met could be as old as the run.
+    /// The level that the child calls of each operation reported last. Levels fall again during a
+    /// run, so the highest level reported so far could be as old as the run.
     pub(crate) child_levels: IndexMap<OperationKey, u16>,
     /// The scope of the idempotency keys of child calls; identifies the job's place in the call
     /// tree.
@@ -94,7 +94,8 @@
         self.calls_below = self.calls_below.saturating_add(1);
     }
 
-    /// Admission level and call count that the run has met so far in its child calls.
+    /// The admission level and the number of calls that the child calls of the run have reported so
+    /// far.
     pub(crate) fn downstream(&self) -> DownstreamSummary {
         DownstreamSummary {
             level: self.child_levels.values().copied().max().unwrap_or(0),
--- a/crates/engine/src/keyed_calls.rs
+++ b/crates/engine/src/keyed_calls.rs
@@ -26,7 +26,7 @@
 use std::time::Duration;
 use stdx::Time;
 
-/// The most calls that wait for the transfer of their slots.
+/// The maximum number of calls that wait for the transfer of their slots.
 const MAX_HELD_CALLS: usize = 1024;
 
 /// How long a call waits for the transfer of its slot.
@@ -89,7 +89,8 @@
     }
 
     /// Attaches a repeated call to the run in progress. The retries delegated with the call count
-    /// as spent and are not returned: too few retries do no harm, too many do.
+    /// as spent and are not returned: too few retries do no harm, whereas too many would exceed the
+    /// allowance of the action.
     fn attach_to_run(&mut self, key: KeyHash, id: CallId) {
         let key_run = self.key_runs.entry(key).or_insert_with(|| KeyRun {
             run: None,
@@ -100,7 +101,7 @@
         self.count(Counter::ResendAttached);
     }
 
-    /// Enters a call that waits for a key in the table of calls to answer.
+    /// Adds a call that waits for a key to the table of inbound calls that are not answered yet.
     fn add_waiting_call(&mut self, key: KeyHash, id: CallId) {
         let work = InboundWork::Key(key);
         self.inbound.insert(id, InboundCall { work });
@@ -280,7 +281,8 @@
         }
     }
 
-    /// Stops starting runs of keys, before the record that this node leaves is appended.
+    /// Stops starting runs of keys. Must be called before the `Leave` record of this node is
+    /// appended.
     pub(crate) fn leave_home(&mut self, now: Time) {
         let effects = self.home.leave(now);
         self.apply_home(now, effects);
@@ -327,7 +329,7 @@
             Effect::MoveEnded(slot) => self.release_held_calls(now, |key| key.slot() == slot),
             Effect::LeaseAcquired => self.release_held_calls(now, |_| true),
             Effect::RemoteRunEnded(key) => self.on_run_ended_elsewhere(key),
-            Effect::CancelQueued(key) => self.recall_queued_run(now, key),
+            Effect::CancelQueued(key) => self.withdraw_queued_run(now, key),
             Effect::ViewOutdated => self.outputs.push(Output::ReadLog),
             Effect::Expelled => self.expel(now),
             Effect::InvariantViolation(fault) => {
@@ -360,7 +362,7 @@
     }
 
     /// Withdraws a queued run because its slot moves. Its callers are sent to the new home node.
-    fn recall_queued_run(&mut self, now: Time, key: KeyHash) {
+    fn withdraw_queued_run(&mut self, now: Time, key: KeyHash) {
         let run = self.key_runs.get(&key).and_then(|key_run| key_run.run);
         let Some(run) = run.filter(|run| self.server.cancel(run.number)) else {
             return;
@@ -370,7 +372,7 @@
     }
 
     /// Stops this node if it has departed before it joined. A departed incarnation is never listed
-    /// again, so the node would try to join for ever, and it has nothing to hand over.
+    /// again, so the node would try to join forever. It has nothing to hand over.
     pub(crate) fn check_departed(&mut self, now: Time) {
         let departed = self
             .journal
--- a/crates/engine/src/log.rs
+++ b/crates/engine/src/log.rs
@@ -18,7 +18,7 @@
 /// The longest delay between two attempts of the same append.
 const MAX_APPEND_BACKOFF: Duration = Duration::from_secs(30);
 
-/// How often the delay between two attempts may double.
+/// The maximum number of times that the delay after a lost append doubles.
 const MAX_LOST_DOUBLINGS: u32 = 5;
 
 /// The delay after an append lost the race for its offset. Doubles with each attempt and is
@@ -26,7 +26,7 @@
 /// start at the same time one succeeds in each round.
 const CONFLICT_BACKOFF: Duration = Duration::from_millis(20);
 
-/// How often that delay may double: up to 2.5 s.
+/// The maximum number of times that the delay after a conflict doubles, up to 2.5 s.
 const MAX_CONFLICT_DOUBLINGS: u32 = 7;
 
 /// State of the log controller: the appends of this node, and how far the log could be read.
@@ -124,9 +124,9 @@
             let effects = self.home.on_baseline(now, &view);
             self.apply_home(now, effects);
         }
-        // Nobody can tell whether one of the missed views listed this incarnation. If it was taken
-        // for dead and others took over its slots, joining again could make it start work that they
-        // have already started.
+        // It is unknown whether one of the missed views listed this incarnation. If it was
+        // considered dead and others took over its slots, joining again could make it start work
+        // that they have already started.
         if self.log.join_sent && !self.stopping {
             self.expel(now);
         }
@@ -203,7 +203,7 @@
             self.queue_append(AppendKey::Join);
         }
         if self.is_oldest_member() && self.journal.next_forget_record().is_some() {
-            self.queue_append(AppendKey::DropDeparture);
+            self.queue_append(AppendKey::ForgetDeparture);
         }
     }
 
@@ -235,7 +235,7 @@
                 incarnation,
                 by: own_incarnation,
             },
-            AppendKey::DropDeparture => self.journal.next_forget_record()?,
+            AppendKey::ForgetDeparture => self.journal.next_forget_record()?,
         })
     }
 
@@ -251,7 +251,7 @@
             AppendKey::Evict(other) => {
                 journal.is_listed(other) && journal.is_listed(own_incarnation)
             }
-            AppendKey::DropDeparture => journal.next_forget_record().is_some(),
+            AppendKey::ForgetDeparture => journal.next_forget_record().is_some(),
         });
         if self
             .log
@@ -298,8 +298,8 @@
         self.outputs.push(Output::ReadLog);
     }
 
-    /// Another record took the offset, so this append had no effect and never will. The record is
-    /// built again once the other one has been read.
+    /// Handles an append whose offset was taken by another record, so that it had no effect and
+    /// never will. The record is built again once the other one has been read.
     pub(crate) fn on_append_conflict(&mut self, now: Time, number: u64) {
         let Some((key, attempts)) = self.log.appends.finish(number) else {
             return;
@@ -312,9 +312,10 @@
         self.log.append_conflicted = true;
     }
 
-    /// The record may be in the topic all the same; reading the topic shows whether it is. When the
-    /// log fails, all nodes lose their answers together, so the delay doubles with each attempt and
-    /// has a random part. Otherwise all nodes would return at the same time.
+    /// Handles an append that got no answer. Its record may nevertheless be in the topic; reading
+    /// the topic shows whether it is. When the log fails, all nodes lose their answers together, so
+    /// the delay doubles with each attempt and has a random part. Otherwise all nodes would return
+    /// at the same time.
     pub(crate) fn on_append_lost(&mut self, now: Time, number: u64) {
         let Some((key, attempts)) = self.log.appends.finish(number) else {
             return;
--- a/crates/engine/src/members.rs
+++ b/crates/engine/src/members.rs
@@ -71,7 +71,7 @@
     }
 
     pub(crate) fn tick_members(&mut self, now: Time) {
-        if std::mem::take(&mut self.views_changed) {
+        if std::mem::take(&mut self.roster_changed) {
             let effects = self.members.set_roster(now, self.journal.instances());
             self.apply_membership_effects(now, effects);
         }
@@ -92,7 +92,7 @@
     /// does not know yet. Membership is updated once per batch of records, since a start reads the
     /// whole history of the views.
     pub(crate) fn mark_roster_changed(&mut self, _now: Time) {
-        self.views_changed = true;
+        self.roster_changed = true;
     }
 
     pub(crate) fn load_report(&self) -> LoadReport {
@@ -105,8 +105,8 @@
     /// Sends a frame to a node that is in the membership table, or to this node itself.
     pub(crate) fn send_to(&mut self, to: Incarnation, frame: Frame) {
         if to == self.own_instance.incarnation {
-            let me = self.own_instance.clone();
-            return self.send(&me, frame);
+            let own_instance = self.own_instance.clone();
+            return self.send(&own_instance, frame);
         }
         match self.members.get(to) {
             Some(peer) => {
--- a/crates/engine/src/outgoing.rs
+++ b/crates/engine/src/outgoing.rs
@@ -43,10 +43,10 @@
     pub(crate) attempts: u16,
     /// How often this call may still be retried, whatever its action has left.
     pub(crate) retries_left: u16,
-    /// What is left of [`policy::Switches::hop_retries`].
+    /// The remaining retries out of [`policy::Switches::hop_retries`].
     pub(crate) hop_retries: u8,
-    /// The previous attempt, while the answers to both are awaited.
-    pub(crate) earlier: Option<EarlierAttempt>,
+    /// The original attempt of a hedged call, while the answers to both attempts are awaited.
+    pub(crate) original: Option<OriginalAttempt>,
     pub(crate) redirects: u8,
     pub(crate) reattaches: u8,
     /// Nodes that this call must not be sent to again.
@@ -54,9 +54,9 @@
     pub(crate) request: Request,
 }
 
-/// An attempt whose answer is late.
+/// The original attempt of a hedged call.
 #[derive(Debug)]
-pub(crate) struct EarlierAttempt {
+pub(crate) struct OriginalAttempt {
     pub(crate) id: CallId,
     pub(crate) target: Instance,
     pub(crate) delegated_retries: u16,
--- a/crates/engine/src/own_server.rs
+++ b/crates/engine/src/own_server.rs
@@ -1,5 +1,5 @@
-//! The own backend server as it announces itself: its current incarnation, and whether it accepts
-//! work.
+//! This node's backend server as it announces itself: its current incarnation, and whether it
+//! accepts work.
 
 use crate::Announcement;
 use crate::Counter;
@@ -12,7 +12,7 @@
 use std::sync::Arc;
 use stdx::Time;
 
-/// The newest known incarnation of the own backend server.
+/// The newest known incarnation of this node's backend server.
 #[derive(Debug)]
 pub(crate) struct OwnServer {
     heartbeat: Heartbeat,
@@ -185,7 +185,7 @@
         }
     }
 
-    /// Whether the own backend server accepts new work.
+    /// Whether this node's backend server accepts new work.
     pub(crate) fn server_accepts_work(&self) -> bool {
         !self.cfg.server_announces
             || self
--- a/crates/engine/src/peer_diagnostics.rs
+++ b/crates/engine/src/peer_diagnostics.rs
@@ -1,9 +1,9 @@
 //! Diagnostic events about the states of other nodes.
 //!
 //! When many nodes change at the same time, at a start or when a failure domain is lost, an event
-//! for each would add up to the square of the fleet's size over all nodes, in the seconds in which
-//! the processors have other work. The first events of each second are written one by one, which is
-//! enough to follow a single failure; the rest are only counted.
+//! for each would add up to the square of the fleet's size over all nodes, just when the processors
+//! are busy with the change itself. The first events of each second are written one by one, which
+//! is enough to follow a single failure; the rest are only counted.
 
 use crate::diagnostic::PeerCounts;
 use crate::Diagnostic;
--- a/crates/engine/src/quarantine.rs
+++ b/crates/engine/src/quarantine.rs
@@ -21,11 +21,11 @@
 use std::time::Duration;
 use stdx::Time;
 
-/// The most suspect jobs that may wait to be run.
+/// The maximum number of suspect jobs that wait to be run.
 const MAX_WAITING_JOBS: usize = 64;
 
-/// The most crashes that this node reports per second. A server that breaks every connection must
-/// not flood the other nodes with reports.
+/// The maximum number of crashes that this node reports per second. A server that breaks every
+/// connection must not flood the other nodes with reports.
 const MAX_REPORTS_PER_SECOND: u32 = 200;
 
 /// When a report is sent again. A frame is lost together with its connection, and a node without
@@ -92,8 +92,8 @@
         }
         match self.suspects.requests.verdict(now, &request) {
             Verdict::Clear => true,
-            Verdict::Refused(left) => {
-                let refusal = Refusal::new(Reason::Quarantined, left);
+            Verdict::Refused(remaining) => {
+                let refusal = Refusal::new(Reason::Quarantined, remaining);
                 self.end_job(now, run, Outcome::NotRun(refusal));
                 false
             }
@@ -121,8 +121,11 @@
     /// before the ingress node gets its answer, so that they know of the crash when the retry
     /// arrives.
     pub(crate) fn report_crash(&mut self, now: Time, request: Fingerprint) {
-        let me = self.own_instance.incarnation;
-        let crashes = self.suspects.requests.record_crash(now, request, me);
+        let own_incarnation = self.own_instance.incarnation;
+        let crashes = self
+            .suspects
+            .requests
+            .record_crash(now, request, own_incarnation);
         let Some(crashes) = crashes.filter(|_| self.suspects.take_report_permit(now)) else {
             return;
         };
@@ -165,7 +168,7 @@
         }
     }
 
-    pub(crate) fn on_suspect_report(
+    pub(crate) fn on_crash_report(
         &mut self,
         now: Time,
         from: Incarnation,
@@ -208,7 +211,7 @@
             .outgoing_calls
             .verdict(now, &hash_of_call(request))
         {
-            Verdict::Refused(left) => Some(Refusal::new(Reason::Quarantined, left)),
+            Verdict::Refused(remaining) => Some(Refusal::new(Reason::Quarantined, remaining)),
             Verdict::Clear | Verdict::Suspect => None,
         }
     }
--- a/crates/engine/src/quota.rs
+++ b/crates/engine/src/quota.rs
@@ -33,7 +33,7 @@
 /// a refused caller that returns costs another request.
 const MAX_WAIT: Duration = Duration::from_millis(300);
 
-/// The most requests that wait for tokens.
+/// The maximum number of requests that wait for tokens.
 const MAX_WAITING_REQUESTS: usize = 1024;
 
 /// The retry delay for a caller when no lender could be asked.
@@ -155,10 +155,10 @@
         let peers = self.members.peers();
         let alive = peers.filter(|peer| peer.state == PeerState::Alive);
         let peers = alive.map(|peer| peer.instance.incarnation);
-        let me = (!self.stopping).then_some(self.own_instance.incarnation);
+        let own_incarnation = (!self.stopping).then_some(self.own_instance.incarnation);
         let borrower = &self.quota.borrower;
         let nodes = peers
-            .chain(me)
+            .chain(own_incarnation)
             .filter(|node| !borrower.avoids(now, group, *node));
         nodes.max_by_key(|node| (hash64(&(group, node)), *node))
     }
@@ -166,48 +166,48 @@
     fn request_loans(&mut self, now: Time, group: u8, loans: LoanRequest) {
         let LoanRequest {
             lender,
-            request_id: number,
-            vote_stamp: vote,
+            request_id,
+            vote_stamp,
             wanted,
         } = loans;
-        let me = self.own_instance.incarnation;
-        if lender == me {
-            let (stamp, granted) = self.lend(now, group, me, vote, &wanted);
-            return self.on_loans_granted(now, me, group, number, stamp, &granted);
+        let own_incarnation = self.own_instance.incarnation;
+        if lender == own_incarnation {
+            let (stamp, granted) = self.lend(now, group, own_incarnation, vote_stamp, &wanted);
+            return self.on_loans_granted(now, own_incarnation, group, request_id, stamp, &granted);
         }
         let Some(peer) = self.members.get(lender) else {
             return;
         };
         let to = peer.instance.addr;
         let message = QuotaMessage::Borrow {
-            from: me,
+            from: own_incarnation,
             to: lender,
             group,
-            request_id: number,
-            vote_stamp: vote,
+            request_id,
+            vote_stamp,
             wanted,
         };
         self.send_quota(to, message);
     }
 
     pub(crate) fn on_quota_message(&mut self, now: Time, addr: SocketAddr, message: QuotaMessage) {
-        let me = self.own_instance.incarnation;
+        let own_incarnation = self.own_instance.incarnation;
         match message {
             QuotaMessage::Borrow {
                 from,
                 to,
                 group,
-                request_id: number,
-                vote_stamp: vote,
+                request_id,
+                vote_stamp,
                 wanted,
-            } if to == me && group < GROUP_COUNT => {
+            } if to == own_incarnation && group < GROUP_COUNT => {
                 self.refresh_election(now);
-                let (stamp, granted) = self.lend(now, group, from, vote, &wanted);
+                let (stamp, granted) = self.lend(now, group, from, vote_stamp, &wanted);
                 let message = QuotaMessage::Lend {
-                    from: me,
+                    from: own_incarnation,
                     to: from,
                     group,
-                    request_id: number,
+                    request_id,
                     stamp,
                     loans: granted,
                 };
@@ -217,11 +217,11 @@
                 from,
                 to,
                 group,
-                request_id: number,
+                request_id,
                 stamp,
                 loans: granted,
-            } if to == me && group < GROUP_COUNT => {
-                self.on_loans_granted(now, from, group, number, stamp, &granted);
+            } if to == own_incarnation && group < GROUP_COUNT => {
+                self.on_loans_granted(now, from, group, request_id, stamp, &granted);
             }
             // Meant for an earlier incarnation at this address, which no longer lends and holds no
             // votes.
@@ -229,14 +229,14 @@
                 from,
                 to,
                 group,
-                request_id: number,
+                request_id,
                 ..
             } => {
                 let message = QuotaMessage::Lend {
                     from: to,
                     to: from,
                     group,
-                    request_id: number,
+                    request_id,
                     stamp: 0,
                     loans: Vec::new(),
                 };
@@ -251,7 +251,7 @@
         now: Time,
         group: u8,
         from: Incarnation,
-        vote: u64,
+        vote_stamp: u64,
         wanted: &[(OrganisationId, u16)],
     ) -> (u64, Vec<Loan>) {
         if self.stopping {
@@ -259,7 +259,7 @@
         }
         let voters = self.quota.voters;
         let lender = &mut self.quota.lender;
-        lender.on_vote(now, group, from, vote, voters);
+        lender.on_vote(now, group, from, vote_stamp, voters);
         let Some(organisations) = &self.journal.rules.organisations else {
             return (Lender::stamp(now), Vec::new());
         };
@@ -278,12 +278,12 @@
         now: Time,
         from: Incarnation,
         group: u8,
-        number: u64,
+        request_id: u64,
         stamp: u64,
         granted: &[Loan],
     ) {
         let borrower = &mut self.quota.borrower;
-        let loans = borrower.on_lend(now, from, group, number, stamp, granted);
+        let loans = borrower.on_lend(now, from, group, request_id, stamp, granted);
         for loan in loans {
             self.admit_waiting(now, loan.organisation);
         }
@@ -332,7 +332,8 @@
         self.quota.waiting.insert(token, (organisation, arrival));
     }
 
-    /// Removes the waiting request of a caller that has gone. Returns whether there was one.
+    /// Removes the waiting request of a caller that has disconnected. Returns whether there was
+    /// one.
     pub(crate) fn cancel_quota_wait(&mut self, token: RequestToken) -> bool {
         let Some((organisation, _)) = self.quota.waiting.shift_remove(&token) else {
             return false;
@@ -373,7 +374,8 @@
         );
     }
 
-    /// Stops lending because this node is stopping. Nodes that ask later are told so.
+    /// Stops lending because this node is stopping. Nodes that ask later get an answer without
+    /// tokens.
     pub(crate) fn resign_lender(&mut self, now: Time) {
         let voters = self.quota.voters;
         self.quota.lender.release_votes(now, voters);
--- a/crates/engine/src/reattach.rs
+++ b/crates/engine/src/reattach.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 use stdx::Time;
 
-/// How often a call is sent again under the same id over a new connection.
+/// The maximum number of times that a call is sent again under the same id over a new connection.
 const MAX_REATTACHES: u8 = 5;
 
 /// The delay before a call is sent again if the new connection failed too. Doubles each time.
--- a/crates/engine/src/request.rs
+++ b/crates/engine/src/request.rs
@@ -1,4 +1,4 @@
-//! A request from a caller or from the own backend server, as its ingress node holds it.
+//! A request from a caller or from this node's backend server, as its ingress node holds it.
 
 use crate::RequestToken;
 use organisation::QuotaToken;
@@ -82,7 +82,9 @@
 /// What a request says about the run that it is part of.
 #[derive(Debug, Clone)]
 pub(crate) struct ParentInfo {
+    /// The context header, which names the run.
     pub(crate) context: Option<Arc<str>>,
+    /// The id of the request that the run serves, if the id of this one reveals it.
     pub(crate) parent: Option<Arc<str>>,
 }
 
--- a/crates/engine/src/resends.rs
+++ b/crates/engine/src/resends.rs
@@ -1,12 +1,12 @@
 //! Callers that send a request again: a re-send waits for the request in flight, or counts against
 //! a limit.
 //!
-//! Callers that send again when an answer is late, or after a refusal, turn slowness into load.
-//! Here a request from the same caller that is identical in every byte waits for the answer to the
-//! first one. A request that was refused and returns before its retry delay is over counts against
-//! a limit, which the rules set as a share of first requests. A call with an idempotency key is
-//! never counted: only the home of the key knows whether it ran, and that may be what the caller
-//! wants to find out.
+//! Callers that send again when an answer is late, or after a refusal, add load to services that
+//! are already slow. Here a request from the same caller that is identical in every byte waits for
+//! the answer to the first one. A request that was refused and returns before its retry delay is
+//! over counts against a limit, which the rules set as a share of first requests. A call with an
+//! idempotency key is never counted: only the home node of the key knows whether it ran, and that
+//! may be what the caller wants to find out.
 
 use crate::request::RequestDraft;
 use crate::request::RequestHash;
@@ -26,10 +26,10 @@
 use stdx::BoundedMap;
 use stdx::Time;
 
-/// The most refused requests that are remembered.
+/// The maximum number of refused requests that are remembered.
 const MAX_REFUSALS: usize = 8192;
 
-/// The most requests that wait for the same answer.
+/// The maximum number of requests that wait for the same answer.
 const MAX_FOLLOWERS: usize = 16;
 
 /// Requests in flight and refused requests, by their hash.
@@ -117,8 +117,9 @@
         Some(draft)
     }
 
-    /// The request in flight that is identical in every byte, since another request could have the
-    /// same hash. Its deadline must not be later than the one of the re-send.
+    /// The request in flight that is identical to this one. All bytes are compared, because a
+    /// different request could have the same hash. Its deadline must not be later than that of the
+    /// re-send.
     fn find_leader(&self, request_hash: RequestHash, draft: &RequestDraft) -> Option<RequestToken> {
         let token = self.resends.in_flight.get(&request_hash)?;
         let call = self.calls.get(&self.open_requests.get(token)?.call)?;
@@ -139,8 +140,8 @@
         self.count(Counter::ResendAttached);
     }
 
-    /// Handles a caller that has gone, whose request waited for another one's answer or has others
-    /// waiting for it. Returns whether the work is still wanted.
+    /// Handles a disconnected caller whose request waited for another one's answer or has others
+    /// waiting for it. Returns whether the work in flight must continue.
     pub(crate) fn unfollow(&mut self, token: RequestToken) -> bool {
         if let Some(leader) = self.followers.swap_remove(&token) {
             if let Some(leader_request) = self.open_requests.get_mut(&leader) {
@@ -148,7 +149,7 @@
                     .followers
                     .retain(|follower| *follower != token);
             }
-            // Every request must be answered, otherwise its connection would stay open for ever.
+            // Every request must be answered, otherwise its connection would stay open forever.
             self.outputs.push(Output::Answer {
                 token,
                 outcome: Outcome::Unknown(Reason::CallerGone),
--- a/crates/engine/src/routing.rs
+++ b/crates/engine/src/routing.rs
@@ -31,7 +31,7 @@
         self.members.get(chosen).map(|peer| peer.instance.clone())
     }
 
-    /// Adds the own backend server to the candidates. Its load is known exactly.
+    /// Adds this node's backend server to the candidates. Its load is known exactly.
     fn update_own_eligibility(&mut self, now: Time) {
         let eligibility = if self.stopping {
             Eligibility::Excluded
--- a/crates/engine/src/serve.rs
+++ b/crates/engine/src/serve.rs
@@ -1,4 +1,4 @@
-//! Calls from other nodes, and jobs for the own backend server.
+//! Calls from other nodes, and jobs for this node's backend server.
 
 use crate::admission::shed_refusal;
 use crate::answer_cache::CachedAnswer;
@@ -98,7 +98,7 @@
         self.offer(now, run);
     }
 
-    /// Creates a job for the own backend server.
+    /// Creates a job for this node's backend server.
     pub(crate) fn new_job(&mut self, now: Time, owner: JobOwner, call: Call) -> RunId {
         let run = RunId {
             at: self.own_instance.incarnation,
@@ -150,8 +150,8 @@
         let Some(job) = self.jobs.get(&run) else {
             return;
         };
-        // During an outage of the log no new home is assigned, and calls for the keys of this node
-        // would keep coming until the process exits in the middle of one.
+        // During an outage of the log no new home node is assigned, and calls for the keys of this
+        // node would keep coming until the process exits in the middle of one.
         if self.stopping && now >= self.closed_at {
             return self.end_job(now, run, self.not_run(Reason::Draining));
         }
@@ -266,8 +266,9 @@
                 self.clear_suspect(now, fingerprint);
                 Outcome::Completed(response)
             }
-            // The next run would generate the same child keys, which would then no longer be new.
-            // So a run that made child calls never counts as one that did not run.
+            // The next run would generate the same child keys and mark its child calls as first
+            // attempts, although calls with these keys were made before. So a run that made child
+            // calls never counts as one that did not run.
             RunEnd::Refused { .. } if made_child_calls => Outcome::Unknown(Reason::ServerRefused),
             RunEnd::Refused { retry_after } => {
                 let retry_after = retry_after.unwrap_or(crate::refusal::DEFAULT_RETRY_AFTER);
@@ -351,8 +352,8 @@
         }
     }
 
-    /// Cancels a run at its deadline. The cancel message may have been lost, or the node that
-    /// should have sent it, and the work would go on for nobody.
+    /// Cancels a run at its deadline. The cancel message, or the node that should have sent it, may
+    /// have been lost, and the run would go on although nobody waits for its result.
     pub(crate) fn on_run_deadline(&mut self, now: Time, run: RunId) {
         if self.jobs.contains_key(&run) {
             self.cancel_run(now, run);
@@ -369,7 +370,8 @@
         self.end_job(now, run, self.not_run(Reason::CallerGone));
     }
 
-    /// Answers a call when it is no longer known whether it was answered before.
+    /// Answers a call that may have been answered before, when that answer would already have been
+    /// evicted from the cache.
     fn answer_evicted_call(&mut self, from: Incarnation, id: CallId) {
         let answer = Answer {
             outcome: Outcome::Unknown(Reason::PeerLost),
--- a/crates/engine/src/timers.rs
+++ b/crates/engine/src/timers.rs
@@ -16,7 +16,7 @@
         LateRun(RunId),
         /// Crash reports are to be sent again.
         CrashReports,
-        /// The deadline of a job for the own backend server.
+        /// The deadline of a job for this node's backend server.
         RunDeadline(RunId),
         /// A call stops waiting for the transfer of its slot.
         HeldCallTimeout(CallId),
