--- a/crates/engine/tests/allowance.rs
+++ b/crates/engine/tests/allowance.rs
@@ -96,8 +96,8 @@
     in_flight: usize,
 }
 
-/// Delivers messages between all engines, and plays their backend servers with the faults of a call
-/// tree.
+/// Delivers messages between all engines, and simulates their backend servers with the faults of a
+/// call tree.
 struct Simulation {
     calls: Vec<Call>,
     /// The depth of each call in the tree, which is also its service.
@@ -179,7 +179,9 @@
         self.send_request(2 * DEPTH, None, 0);
         self.process_inputs();
         // Apart from leases and reports, only deadlines are due now.
-        self.answer.take().expect("the root request is answered")
+        self.answer
+            .take()
+            .expect("the root request should be answered")
     }
 
     fn process_inputs(&mut self) {
@@ -346,7 +348,7 @@
 fn index(request: &Request) -> usize {
     request.path[1..]
         .parse()
-        .expect("the path is the index of the call")
+        .expect("the path should be the index of the call")
 }
 
 /// Runs a call tree with its faults and checks the number of attempts.
--- a/crates/engine/tests/levels.rs
+++ b/crates/engine/tests/levels.rs
@@ -78,19 +78,19 @@
             now: Time::ZERO,
             calls: 0,
         };
-        node.input(Input::Records(records.collect()));
-        node.input(Input::LogCaughtUp);
+        node.feed(Input::Records(records.collect()));
+        node.feed(Input::LogCaughtUp);
         node
     }
 
-    fn input(&mut self, input: Input) -> Vec<Output> {
+    fn feed(&mut self, input: Input) -> Vec<Output> {
         self.engine.handle(self.now, input)
     }
 
     /// Advances the time.
     fn advance(&mut self, ms: u64) -> Vec<Output> {
         self.now = self.now + Duration::from_millis(ms);
-        self.input(Input::Tick)
+        self.feed(Input::Tick)
     }
 
     /// Receives a lookup with this random value from the node that accepted it.
@@ -118,13 +118,13 @@
         };
         let frame = Frame::Call(Box::new(call));
         let from = Incarnation(u64::from(CALLER));
-        self.input(Input::Frame { from, frame })
+        self.feed(Input::Frame { from, frame })
     }
 
     /// Makes the backend server read from the stock service in this run, and returns the call that
     /// is sent.
     fn read_stock(&mut self, run: RunId) -> Call {
-        let outputs = self.input(Input::Request {
+        let outputs = self.feed(Input::Request {
             credential: None,
             token: RequestToken(self.calls),
             caller: "status".into(),
@@ -162,7 +162,7 @@
         };
         let frame = Frame::Answer(read.id, Box::new(answer));
         let from = Incarnation(u64::from(STOCK));
-        self.input(Input::Frame { from, frame });
+        self.feed(Input::Frame { from, frame });
     }
 }
 
@@ -243,7 +243,7 @@
             body: Bytes::new(),
         };
         let end = RunEnd::Response(response);
-        node.input(Input::RunEnded { run, end });
+        node.feed(Input::RunEnded { run, end });
     }
     node.lookup(HIGH_RANDOM);
     let reports_late = |outputs: Vec<Output>| {
--- a/crates/engine/tests/load.rs
+++ b/crates/engine/tests/load.rs
@@ -1,4 +1,4 @@
-//! Behaviour of an ingress node under load. The test plays the other nodes.
+//! Behaviour of an ingress node under load. The test takes the place of the other nodes.
 
 use bilberry_engine::Config;
 use bilberry_engine::Engine;
@@ -76,12 +76,12 @@
             calls: Vec::new(),
             answers: Vec::new(),
         };
-        ingress.input(Input::Records((0..).zip(records).collect()));
-        ingress.input(Input::LogCaughtUp);
+        ingress.feed(Input::Records((0..).zip(records).collect()));
+        ingress.feed(Input::LogCaughtUp);
         ingress
     }
 
-    fn input(&mut self, input: Input) {
+    fn feed(&mut self, input: Input) {
         for output in self.engine.handle(self.now, input) {
             match output {
                 Output::Send {
@@ -94,15 +94,15 @@
         }
     }
 
-    fn wait(&mut self, ms: u64) {
+    fn advance(&mut self, ms: u64) {
         self.now = self.now + Duration::from_millis(ms);
-        self.input(Input::Tick);
+        self.feed(Input::Tick);
     }
 
     fn send(&mut self, caller: &str, path: &str) -> RequestToken {
         self.last_token += 1;
         let token = RequestToken(self.last_token);
-        self.input(Input::Request {
+        self.feed(Input::Request {
             credential: None,
             token,
             caller: caller.into(),
@@ -125,14 +125,14 @@
             downstream,
         };
         let frame = Frame::Answer(call.id, Box::new(answer));
-        self.input(Input::Frame { from, frame });
+        self.feed(Input::Frame { from, frame });
     }
 
     /// The node of the oldest call reports that its run takes longer than usual.
     fn report_slow_run(&mut self) {
         let (from, call) = &self.calls[0];
         let (from, frame) = (*from, Frame::SlowCall(call.id));
-        self.input(Input::Frame { from, frame });
+        self.feed(Input::Frame { from, frame });
     }
 
     fn outcomes(&mut self) -> Vec<Outcome> {
@@ -180,19 +180,19 @@
     let mut ingress = IngressNode::new();
     let first = ingress.send("a", "/p/1");
     let second = ingress.send("a", "/p/1");
-    ingress.input(Input::CallerGone(first));
+    ingress.feed(Input::CallerGone(first));
     ingress.reply(completed(), DownstreamSummary::default());
     assert!(ingress.answers.contains(&(second, completed())));
 }
 
-/// The caller of a waiting re-send gives up too. Its connection stays open until it is answered;
-/// seed 3 of the random runs found one that never was.
+/// The caller of a waiting re-send gives up too. Its connection stays open until it is answered, so
+/// a missing answer would leave it open forever.
 #[test]
 fn a_resend_that_is_given_up_is_answered() {
     let mut ingress = IngressNode::new();
     ingress.send("a", "/p/1");
     let second = ingress.send("a", "/p/1");
-    ingress.input(Input::CallerGone(second));
+    ingress.feed(Input::CallerGone(second));
     let gone = Outcome::Unknown(Reason::CallerGone);
     assert_eq!(ingress.answers, [(second, gone)]);
     ingress.reply(completed(), DownstreamSummary::default());
@@ -216,7 +216,7 @@
         );
     }
     assert_eq!(limited, 19);
-    ingress.wait(5_000);
+    ingress.advance(5_000);
     ingress.send("a", "/p/1");
     assert_eq!(ingress.calls.len(), 1);
 }
@@ -237,7 +237,7 @@
 fn ingress_sheds_what_a_downstream_service_would_shed() {
     let mut ingress = IngressNode::new();
     for n in 0..20 {
-        ingress.wait(50);
+        ingress.advance(50);
         ingress.send(&n.to_string(), "/p/1");
         let downstream = DownstreamSummary {
             level: 0x4000,
@@ -250,7 +250,7 @@
     let lookups = count_sent_calls(&mut ingress, "/p/2");
     assert!((70..130).contains(&lookups), "{lookups} of 200");
     assert_eq!(count_sent_calls(&mut ingress, "/check/2"), 200);
-    ingress.wait(2_000);
+    ingress.advance(2_000);
     assert_eq!(
         count_sent_calls(&mut ingress, "/p/3"),
         200,
@@ -315,9 +315,9 @@
         calls.filter(|(to, _)| *to == quiet).count()
     };
     assert!(to_quiet(&mut ingress) > 0);
-    ingress.input(Input::PeerQuiet(quiet));
+    ingress.feed(Input::PeerQuiet(quiet));
     assert_eq!(to_quiet(&mut ingress), 0);
-    ingress.input(Input::PeerBack(quiet));
+    ingress.feed(Input::PeerBack(quiet));
     assert!(to_quiet(&mut ingress) > 0);
 }
 
@@ -330,7 +330,7 @@
     for (offset, n) in [(4, 4), (5, 5)] {
         let join = Record::Join(instance(n, "patterns"));
         let records = vec![(offset, proto::encode(&join).into())];
-        ingress.input(Input::Records(records));
+        ingress.feed(Input::Records(records));
     }
     ingress.send("a", "/p/1");
     let downstream = DownstreamSummary {
@@ -448,7 +448,7 @@
         (full_time - return_time..=full_time).contains(&first),
         "{first}"
     );
-    ingress.wait(1500);
+    ingress.advance(1500);
     ingress.report_slow_run();
     let second = ingress.calls[1].1.remaining_ms;
     let left = full_time - 1500;
--- a/crates/engine/tests/log/appends.rs
+++ b/crates/engine/tests/log/appends.rs
@@ -1,5 +1,4 @@
-//! Appends reach the log in spite of lost answers and outages, and in particular joins and leaves
-//! do.
+//! Appends, in particular joins and leaves, reach the log despite lost answers and outages.
 
 use crate::driver::instance;
 use crate::driver::Driver;
--- a/crates/engine/tests/log/propagation.rs
+++ b/crates/engine/tests/log/propagation.rs
@@ -84,10 +84,10 @@
         !(self.is_cut)(from, to) && !(self.is_cut)(to, from)
     }
 
-    fn deliver_after(&mut self, to: usize, wait: Duration, input: Input) {
+    fn deliver_after(&mut self, to: usize, delay: Duration, input: Input) {
         self.sequence += 1;
         self.in_transit
-            .insert((self.now + wait, self.sequence), (to, input));
+            .insert((self.now + delay, self.sequence), (to, input));
     }
 
     pub(super) fn feed(&mut self, node: usize, input: Input) {
@@ -141,7 +141,7 @@
     }
 
     /// Lets some time pass.
-    pub(super) fn run(&mut self, time: Duration) {
+    pub(super) fn advance(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
             self.step(end);
@@ -167,7 +167,7 @@
 /// all nodes have it, and the number of fetches.
 fn propagate(size: u16, readers: usize, knows_outage: bool) -> (Duration, usize) {
     let (mut fleet, stream) = Fleet::new(size);
-    fleet.run(Duration::from_secs(5));
+    fleet.advance(Duration::from_secs(5));
     let record = (stream.len() as u64, proto::encode(&publish(2)).into());
     for node in 0..usize::from(size) {
         if node < readers {
@@ -184,8 +184,8 @@
     (fleet.now.since(started), fleet.fetches)
 }
 
-/// The log is slow for most nodes. If each had to wait for the log itself, callers would meet old
-/// and new rules side by side for as long as that lasts.
+/// The log is slow for most nodes. If each had to wait for the log itself, old and new rules would
+/// be in force side by side for as long as that lasts.
 #[test]
 fn new_rules_reach_all_nodes_in_time() {
     for knows_outage in [true, false] {
--- a/crates/engine/tests/log/shared_reads.rs
+++ b/crates/engine/tests/log/shared_reads.rs
@@ -38,7 +38,7 @@
         fleet.feed(node, Input::Directory(addrs.clone()));
         fleet.feed(node, rules_published(1));
     }
-    fleet.run(STARTUP_TIME);
+    fleet.advance(STARTUP_TIME);
     fleet
 }
 
@@ -77,7 +77,7 @@
             }
         }
         let next = fleet.now + Duration::from_millis(10);
-        fleet.run(next.since(fleet.now));
+        fleet.advance(next.since(fleet.now));
     }
     fleet.now.since(published_at)
 }
@@ -97,7 +97,7 @@
 }
 
 /// Each call to the store costs money. If every node read it, each publication would cost one call
-/// per machine, and a fleet of hundreds would pay more for that than for most incidents of a day.
+/// per machine, and the cost would grow with the size of the fleet.
 #[test]
 fn two_nodes_of_a_failure_domain_read_for_all() {
     check_readers_and_propagation(24, 6);
@@ -105,11 +105,11 @@
     check_readers_and_propagation(195, 9);
 }
 
-/// All nodes of a fleet start at the same time, and later a failure domain is lost. With a line for
-/// each node that another one discovers or considers dead, the logs would grow with the square of
-/// the fleet's size, in the seconds in which its processors have other work.
+/// All nodes of a fleet start at the same time, and later a failure domain is lost. With an event
+/// for each node that another one discovers or considers dead, the logs would grow with the square
+/// of the fleet's size, just when its processors are busy with the change itself.
 #[test]
-fn lines_about_peers_do_not_grow_with_the_fleet() {
+fn peer_events_do_not_grow_with_the_fleet() {
     let most = |fleet: &Fleet| fleet.peer_events.iter().copied().max().unwrap();
     for nodes in [24, 195] {
         let mut fleet = fleet(nodes, 6);
@@ -122,7 +122,7 @@
         );
         let at_start = most(&fleet);
         fleet.is_cut = Box::new(|a, b| domain_of(a, 6) == 0 || domain_of(b, 6) == 0);
-        fleet.run(STARTUP_TIME);
+        fleet.advance(STARTUP_TIME);
         let after_loss = most(&fleet) - at_start;
         assert!(after_loss <= events_per_second * seconds, "{after_loss}");
     }
@@ -154,7 +154,7 @@
     let took = publish(&mut fleet, 2, |_| false);
     assert!(took < MAX_PROPAGATION_TIME, "{took:?}");
     fleet.is_cut = Box::new(|_, _| false);
-    fleet.run(Duration::from_secs(20));
+    fleet.advance(Duration::from_secs(20));
     assert!(!fleet.engines[alone].reads_store(fleet.now));
 }
 
@@ -172,7 +172,7 @@
                 false => fleet.feed(node, rules_published(2)),
             }
         }
-        fleet.run(Duration::from_millis(50));
+        fleet.advance(Duration::from_millis(50));
     }
     assert_eq!(fleet.lagging(2), 0);
 }
--- a/crates/engine/tests/organisations.rs
+++ b/crates/engine/tests/organisations.rs
@@ -134,10 +134,11 @@
     /// Checks the organisation that the server is told, or why the request did not run.
     fn check_request(&mut self, path: &str, key: Option<&str>, expected: Result<&str, Reason>) {
         let outputs = self.request(path, key, None);
-        let (run, got) = match run_or_refusal(&outputs).expect("it runs or is answered") {
-            Ok((run, organisation)) => (Some(run), Ok(organisation)),
-            Err(reason) => (None, Err(reason)),
-        };
+        let (run, got) =
+            match run_or_refusal(&outputs).expect("the request should run or be answered") {
+                Ok((run, organisation)) => (Some(run), Ok(organisation)),
+                Err(reason) => (None, Err(reason)),
+            };
         assert_eq!(
             got.as_deref().map_err(|reason| *reason),
             expected,
@@ -265,7 +266,7 @@
             }
         }
     }
-    // Ten seconds at the rate, the burst, and the tolerance of the quota bounds.
+    // Ten seconds at the rate, the burst, and the tolerance of the quota.
     assert!((100..=132).contains(&admitted), "{admitted} admitted");
     assert!(refused > 800, "{refused} refused");
     driver.check_request("/slots", Some("k2"), Ok("marco"));
--- a/crates/engine/tests/refusals.rs
+++ b/crates/engine/tests/refusals.rs
@@ -80,7 +80,10 @@
                 _ => {}
             }
         }
-        match next.pop().expect("each step leads to a call or an answer") {
+        match next
+            .pop()
+            .expect("each step should lead to a call or an answer")
+        {
             Err(outcome) => break outcome,
             Ok(id) => {
                 sent += 1;
@@ -103,9 +106,9 @@
     );
 }
 
-/// A caller sends a key again while the home of the key is changing. If it were told "not run", it
-/// would assume that no booking exists, although the first attempt may have made it. Only the
-/// record of the key can tell.
+/// A caller sends a key again while the home node of the key is changing. If it were told "not
+/// run", it would assume that no booking exists, although the first attempt may have made it. Only
+/// the record of the key can tell.
 #[test]
 fn a_key_that_may_have_been_sent_before_is_not_reported_as_not_run() {
     check_refusal(Some("k"), Reason::NoLease, 1, "unknown");
@@ -113,15 +116,16 @@
     check_refusal(None, Reason::NoLease, 1, "not-run");
 }
 
-/// The only home that the ingress node knows refuses a call because its slot is moving. If the call
-/// went there again at once, it would get the same refusal over and over and keep the home busy.
+/// The only home node that the ingress node knows refuses a call because its slot is moving. If the
+/// call went there again at once, it would get the same refusal over and over and keep the home
+/// node busy.
 #[test]
-fn a_call_is_not_sent_again_to_a_home_that_refused_it() {
+fn a_call_is_not_sent_again_to_a_home_node_that_refused_it() {
     check_refusal(Some("k"), Reason::Moving, 1, "unknown");
 }
 
 /// A connection stalls while large orders wait to be written to it. They were never sent, so they
-/// go out over the next one. Otherwise they would fail although their home is healthy.
+/// go out over the next one. Otherwise they would fail although their home node is healthy.
 #[test]
 fn an_unsent_call_is_sent_again() {
     let mut engine = ingress_node();
@@ -147,9 +151,9 @@
     assert_eq!((sent, answer.name()), (4, "unknown"));
 }
 
-/// The connection to a home breaks again and again while the home has an order with a key that this
-/// node generated. If the order were sent under another call id, the home would treat it as a first
-/// attempt and could run it twice.
+/// The connection to a home node breaks again and again while the home node has an order with a key
+/// that this node generated. If the order were sent under another call id, the home node would
+/// treat it as a first attempt and could run it twice.
 #[test]
 fn an_order_that_may_have_run_is_not_sent_under_another_id() {
     let mut engine = ingress_node();
