--- a/crates/engine/src/config.rs
+++ b/crates/engine/src/config.rs
@@ -16,7 +16,8 @@
     pub policy: policy::Switches,
     /// Idempotency records and leases.
     pub once: once::Config,
-    /// The most requests from callers and from this node's backend server that may be in flight.
+    /// The maximum number of requests from callers and from this node's backend server that may be
+    /// in flight.
     pub max_open_requests: usize,
     /// The longest `Idempotency-Key`, in bytes.
     pub max_key_len: usize,
@@ -48,7 +49,7 @@
     /// `None`.
     pub revocation_bound: Option<Duration>,
     /// How strictly the quotas of organisations are enforced.
-    pub quota_bounds: organisation::QuotaTolerance,
+    pub quota_tolerance: organisation::QuotaTolerance,
 }
 
 /// How a non-idempotent call without an idempotency key is handled.
@@ -98,7 +99,7 @@
             tree_retries: TreeRetries::PerOperation,
             retry_budget: policy::FleetRetryLimits::default(),
             revocation_bound: None,
-            quota_bounds: organisation::QuotaTolerance::default(),
+            quota_tolerance: organisation::QuotaTolerance::default(),
         }
     }
 }
