--- a/crates/ctl/src/commands.rs
+++ b/crates/ctl/src/commands.rs
@@ -66,7 +66,7 @@
         (Some(file), _) => read_rules(Path::new(file))?.1.into(),
         (None, Some(store)) => {
             let stream = Stream::open(store, &args.stream).await?;
-            println!("version {}", stream.state.version);
+            println!("version {}", stream.state.rules_version);
             stream.state.rules
         }
         (None, None) => return Err(CommandError::BadCall),
@@ -96,7 +96,7 @@
     let state = stream.state;
     println!(
         "in force: version={} operator={} publication={:032x} next_offset={}",
-        state.version, state.operator, state.publication, state.next_offset
+        state.rules_version, state.operator, state.publication, state.next_offset
     );
     Ok(())
 }
--- a/crates/ctl/src/publish.rs
+++ b/crates/ctl/src/publish.rs
@@ -29,7 +29,7 @@
     }
     let store = args.store.ok_or(CommandError::NoAddress)?;
     let mut stream = Stream::open(store, &args.stream).await?;
-    let expected = args.expect.unwrap_or(stream.state.version);
+    let expected = args.expect.unwrap_or(stream.state.rules_version);
     let publication = uuid::Uuid::new_v4().as_u128();
     let record = Record::Publish {
         version: expected + 1,
@@ -59,10 +59,10 @@
         if state.publication == publication {
             return Ok(());
         }
-        if state.version != expected {
+        if state.rules_version != expected {
             return Err(CommandError::Overtaken {
                 expected,
-                version: state.version,
+                version: state.rules_version,
                 operator: state.operator.clone(),
             });
         }
--- a/crates/ctl/src/status.rs
+++ b/crates/ctl/src/status.rs
@@ -30,7 +30,7 @@
     if let Some(state) = state {
         println!(
             "store version={} next_offset={} instances={}",
-            state.version,
+            state.rules_version,
             state.next_offset,
             state.instances().count()
         );
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -175,7 +175,7 @@
                 cfg.policy,
                 defaults.min_concurrency,
                 defaults.max_concurrency,
-                defaults.queue,
+                defaults.max_queue_time,
             ),
             own_server: None,
             open_requests: IndexMap::new(),
@@ -300,7 +300,7 @@
 
     /// The version of the rules in force, or 0 if there are none yet.
     pub fn rules_version(&self) -> u64 {
-        self.journal.version
+        self.journal.rules_version
     }
 
     /// The offset from which the shared log has to be read next.
--- a/crates/engine/src/freshness.rs
+++ b/crates/engine/src/freshness.rs
@@ -93,20 +93,20 @@
                 let age_ms = age.as_millis().saturating_add(1);
                 let report = FreshnessMessage::Report {
                     request_id,
-                    rules: self.journal.version,
+                    rules_version: self.journal.rules_version,
                     age_ms: u32::try_from(age_ms).unwrap_or(u32::MAX),
                 };
                 self.send_freshness(from, report);
             }
             FreshnessMessage::Report {
                 request_id,
-                rules,
+                rules_version,
                 age_ms,
             } => {
-                if rules > self.journal.version {
+                if rules_version > self.journal.rules_version {
                     // The evidence is for newer rules than this node has.
                     let theirs = SyncProgress {
-                        rules_version: rules,
+                        rules_version,
                         next_offset: self.journal.next_offset,
                     };
                     return self.on_peer_progress(now, from, theirs);
@@ -120,7 +120,7 @@
 
     /// The store has confirmed which version is the newest.
     pub(crate) fn on_rules_checked(&mut self, now: Time, asked: Time, version: u64) {
-        if version > self.journal.version {
+        if version > self.journal.rules_version {
             // The rules were passed in before this input, but could not be read.
             return self.on_rules_unchecked(now);
         }
@@ -141,7 +141,7 @@
         }
         self.outputs.push(Output::Diagnostic(Diagnostic::Keys {
             trusted: trusts,
-            rules: self.journal.version,
+            rules: self.journal.rules_version,
             age: self.freshness.age(now),
         }));
     }
--- a/crates/engine/src/gauges.rs
+++ b/crates/engine/src/gauges.rs
@@ -35,7 +35,7 @@
             ("keys", sizes.keys as u64),
             ("peers", self.members.peers().count() as u64),
             ("instances", self.journal.instances().count() as u64),
-            ("rules_version", self.journal.version),
+            ("rules_version", self.journal.rules_version),
             ("home.ready_slots", self.home.ready_slots() as u64),
             (
                 "home.lease_left",
--- a/crates/engine/src/ingress.rs
+++ b/crates/engine/src/ingress.rs
@@ -142,7 +142,7 @@
             request,
             organisation,
             reason,
-            rules: self.journal.version,
+            rules: self.journal.rules_version,
         }));
         self.refuse(token, refusal);
     }
--- a/crates/engine/src/keyed_calls.rs
+++ b/crates/engine/src/keyed_calls.rs
@@ -236,8 +236,8 @@
         let effects = match frame {
             Frame::Transfer(transfer) => self.home.on_transfer(now, *transfer),
             Frame::TransferAck { slot, view } => self.home.on_transfer_ack(now, from, slot, view),
-            Frame::RunFinished(record) => self.home.on_finished(now, from, *record),
-            Frame::RunFinishedAck(key) => self.home.on_finished_ack(now, key),
+            Frame::RunFinished(record) => self.home.on_run_finished(now, from, *record),
+            Frame::RunFinishedAck(key) => self.home.on_run_finished_ack(now, key),
             _ => return false,
         };
         self.apply_home(now, effects);
@@ -320,10 +320,10 @@
                 self.count(Counter::SlotMoved);
                 self.send(&to, Frame::TransferAck { slot, view });
             }
-            Effect::SendFinished { to, record } => {
+            Effect::SendRunFinished { to, record } => {
                 self.send(&to, Frame::RunFinished(Box::new(record)))
             }
-            Effect::AckFinished { to, key } => self.send(&to, Frame::RunFinishedAck(key)),
+            Effect::AckRunFinished { to, key } => self.send(&to, Frame::RunFinishedAck(key)),
             Effect::MoveEnded(slot) => self.release_held_calls(now, |key| key.slot() == slot),
             Effect::LeaseAcquired => self.release_held_calls(now, |_| true),
             Effect::RemoteRunEnded(key) => self.on_run_ended_elsewhere(key),
--- a/crates/engine/src/log.rs
+++ b/crates/engine/src/log.rs
@@ -74,7 +74,7 @@
 
 impl Engine {
     pub(crate) fn on_records(&mut self, now: Time, records: Vec<(u64, Bytes)>) {
-        let old_version = self.journal.version;
+        let old_version = self.journal.rules_version;
         for (offset, value) in records {
             match self.journal.apply(offset, &value) {
                 Change::Unchanged | Change::Stale | Change::Restored => {}
@@ -88,7 +88,7 @@
             }
         }
         // Records that are read at the start are known to the other nodes.
-        if self.log.synced && self.journal.version > old_version {
+        if self.log.synced && self.journal.rules_version > old_version {
             self.announce_progress(true);
         }
     }
@@ -112,7 +112,7 @@
 
     /// Replaces the state after views were missed that the topic no longer holds.
     fn reset_to(&mut self, now: Time, snapshot: State) {
-        let rules_regressed = snapshot.version < self.journal.version;
+        let rules_regressed = snapshot.rules_version < self.journal.rules_version;
         let views_regressed = snapshot.next_offset < self.journal.next_offset;
         if rules_regressed || views_regressed {
             return self.count(Counter::MalformedRecord);
@@ -347,7 +347,7 @@
 
     /// Whether rules are in force that came from a log read to its end, or from a peer.
     pub(crate) fn has_rules(&self) -> bool {
-        self.log.synced && self.journal.version > 0
+        self.log.synced && self.journal.rules_version > 0
     }
 
     /// Whether the views in the log list this incarnation.
--- a/crates/engine/src/own_server.rs
+++ b/crates/engine/src/own_server.rs
@@ -226,7 +226,7 @@
             usable_slots(slots).min(limit.max_concurrency)
         });
         let min = limit.min_concurrency.min(max);
-        self.server.set_bounds(min, max, limit.queue);
+        self.server.set_bounds(min, max, limit.max_queue_time);
     }
 }
 
--- a/crates/journal/src/fold.rs
+++ b/crates/journal/src/fold.rs
@@ -101,13 +101,13 @@
         if operator.len() > MAX_NAME_LEN {
             return Change::Invalid;
         }
-        if version <= self.version {
+        if version <= self.rules_version {
             return Change::Stale;
         }
         let Ok(rules) = Rules::parse(&file) else {
             return Change::Invalid;
         };
-        self.version = version;
+        self.rules_version = version;
         self.publication = publication;
         self.operator = operator;
         self.file = file;
--- a/crates/journal/src/restore.rs
+++ b/crates/journal/src/restore.rs
@@ -88,7 +88,7 @@
     /// Like [`State::adopt`], for rules files in another format.
     pub fn adopt_with_parser(&mut self, other: State, parse: ParseRules) -> Change {
         let (rules_newer, views_newer) = (
-            other.version > self.version,
+            other.rules_version > self.rules_version,
             other.next_offset > self.next_offset,
         );
         if !rules_newer && !views_newer {
@@ -101,7 +101,7 @@
             let Some(rules) = parse(&other.file) else {
                 return Change::Invalid;
             };
-            self.version = other.version;
+            self.rules_version = other.rules_version;
             self.publication = other.publication;
             self.operator = other.operator;
             self.file = other.file;
@@ -128,16 +128,16 @@
     /// let parse = |_: &str| Some(rules::Rules::default());
     /// assert_eq!(state.apply_external_rules(7, "a file", parse), Change::Rules);
     /// assert_eq!(state.apply_external_rules(6, "an older file", parse), Change::Stale);
-    /// assert_eq!((state.version, state.next_offset), (7, 0));
+    /// assert_eq!((state.rules_version, state.next_offset), (7, 0));
     /// ```
     pub fn apply_external_rules(&mut self, version: u64, file: &str, parse: ParseRules) -> Change {
-        if version <= self.version {
+        if version <= self.rules_version {
             return Change::Stale;
         }
         let Some(rules) = parse(file) else {
             return Change::Invalid;
         };
-        self.version = version;
+        self.rules_version = version;
         self.file = file.into();
         self.rules = Arc::new(rules);
         Change::Rules
@@ -157,8 +157,8 @@
     /// Whether the rules or a view are older than those of `earlier`. Versions and views of one
     /// topic are totally ordered, so a state that is ahead in one cannot be behind in the other.
     fn goes_back_from(&self, earlier: &State) -> bool {
-        let rules_older = self.version < earlier.version
-            || (self.version == earlier.version && self.file != earlier.file);
+        let rules_older = self.rules_version < earlier.rules_version
+            || (self.rules_version == earlier.rules_version && self.file != earlier.file);
         // A reader that started late does not know views created by forgotten departures.
         let is_known = |view: &View| {
             self.last_forgotten
--- a/crates/journal/src/state.rs
+++ b/crates/journal/src/state.rs
@@ -35,7 +35,7 @@
         /// The offset of the next record to apply.
         pub next_offset: u64,
         /// The version of the rules in force; 0 if there are none.
-        pub version: u64,
+        pub rules_version: u64,
         /// The id of the publication of these rules.
         pub publication: u128,
         /// The operator who published them.
@@ -59,7 +59,7 @@
     /// How current this state is.
     pub fn progress(&self) -> SyncProgress {
         SyncProgress {
-            rules_version: self.version,
+            rules_version: self.rules_version,
             next_offset: self.next_offset,
         }
     }
--- a/crates/journal/tests/fold.rs
+++ b/crates/journal/tests/fold.rs
@@ -70,7 +70,7 @@
         file: "operation press".into(),
     };
     let state = check(&[publish(1, 1), bad], &[]);
-    assert_eq!((state.version, &*state.file), (1, RULES));
+    assert_eq!((state.rules_version, &*state.file), (1, RULES));
     assert_eq!((state.publication, &*state.operator), (1, "anna"));
 }
 
@@ -79,7 +79,7 @@
 #[test]
 fn a_version_only_increases() {
     let state = check(&[publish(2, 5), publish(1, 4), publish(2, 6)], &[]);
-    assert_eq!((state.version, state.publication), (2, 5));
+    assert_eq!((state.rules_version, state.publication), (2, 5));
 }
 
 /// Records are truncated, followed by trailing bytes, too large or foreign. A reader that stopped
--- a/crates/journal/tests/newest.rs
+++ b/crates/journal/tests/newest.rs
@@ -51,10 +51,10 @@
     let departed = |incarnation| state.departed.contains_key(&Incarnation(incarnation));
     match *step {
         Step::Publish => Some(Record::Publish {
-            version: state.version + 1,
-            publication: u128::from(state.version) + 100,
+            version: state.rules_version + 1,
+            publication: u128::from(state.rules_version) + 100,
             operator: "anna".into(),
-            file: format!("{RULES} {}", state.version).into(),
+            file: format!("{RULES} {}", state.rules_version).into(),
         }),
         Step::Join { incarnation, port } => {
             let is_new = !listed(incarnation) && !departed(incarnation);
@@ -158,7 +158,7 @@
         let restored = topic.state_from_newest();
         prop_assert_eq!(restored.last_forgotten, topic.state.last_forgotten);
         prop_assert_eq!(&restored.departed, &topic.state.departed);
-        prop_assert_eq!(restored.version, topic.state.version);
+        prop_assert_eq!(restored.rules_version, topic.state.rules_version);
         for (service, view) in &topic.state.views {
             let members = restored.view(service).map(|view| view.members.clone());
             prop_assert_eq!(members.unwrap_or_default(), view.members.clone());
@@ -182,7 +182,7 @@
         if change != Change::Restored {
             prop_assert_eq!(&state, &before);
         }
-        prop_assert!(state.version >= before.version);
+        prop_assert!(state.rules_version >= before.rules_version);
         for (service, view) in &before.views {
             prop_assert!(state.view(service).unwrap().number >= view.number);
         }
--- a/crates/node/src/events.rs
+++ b/crates/node/src/events.rs
@@ -84,10 +84,12 @@
     let engine = shell.engine.borrow();
     let journal = engine.journal();
     match counter {
-        Counter::RulesInForce => log::info!("event=rules_in_force version={}", journal.version),
+        Counter::RulesInForce => {
+            log::info!("event=rules_in_force version={}", journal.rules_version)
+        }
         Counter::StateRestored => log::info!(
             "event=state_restored version={} next_offset={}",
-            journal.version,
+            journal.rules_version,
             journal.next_offset
         ),
         Counter::ViewApplied => {
--- a/crates/once/src/effect.rs
+++ b/crates/once/src/effect.rs
@@ -36,14 +36,14 @@
         view: u64,
     },
     /// Send the outcome of a run to the home that its record moved to.
-    SendFinished {
+    SendRunFinished {
         /// The new home.
         to: Instance,
         /// The final record of the run.
         record: KeyRecord,
     },
-    /// Acknowledge a [`Effect::SendFinished`] once its record has been stored.
-    AckFinished {
+    /// Acknowledge a [`Effect::SendRunFinished`] once its record has been stored.
+    AckRunFinished {
         /// The node that executed the run.
         to: Instance,
         /// The key of the run.
--- a/crates/once/src/lease_rounds.rs
+++ b/crates/once/src/lease_rounds.rs
@@ -57,8 +57,8 @@
                 view,
                 round,
             } => self.on_request(now, from, requester, view, round),
-            LeaseMessage::Grant { to, .. } if to != self.me => {}
-            LeaseMessage::Grant {
+            LeaseMessage::Reply { to, .. } if to != self.me => {}
+            LeaseMessage::Reply {
                 from,
                 view,
                 fenced_below,
@@ -90,7 +90,7 @@
         let Some(mine) = &self.view else {
             return;
         };
-        let message = LeaseMessage::Grant {
+        let message = LeaseMessage::Reply {
             from: self.me,
             to: requester,
             view: mine.number,
--- a/crates/once/src/runs.rs
+++ b/crates/once/src/runs.rs
@@ -117,21 +117,26 @@
     }
 
     /// Handles the outcome of a run at an earlier home. It may arrive more than once.
-    pub fn on_finished(&mut self, now: Time, from: Incarnation, record: KeyRecord) -> Vec<Effect> {
+    pub fn on_run_finished(
+        &mut self,
+        now: Time,
+        from: Incarnation,
+        record: KeyRecord,
+    ) -> Vec<Effect> {
         let key = record.key;
         // Without the slot the record cannot be stored yet; the sender will send it again.
         if self.slots[usize::from(key.slot())].is_ready() {
             self.merge_record(now, record);
             let to = self.known_instances.get(&from).cloned();
             self.effects
-                .extend(to.map(|to| Effect::AckFinished { to, key }));
+                .extend(to.map(|to| Effect::AckRunFinished { to, key }));
             self.effects.push(Effect::RemoteRunEnded(key));
         }
         std::mem::take(&mut self.effects)
     }
 
     /// Handles the acknowledgement that the new home has stored the outcome of a run.
-    pub fn on_finished_ack(&mut self, now: Time, key: KeyHash) -> Vec<Effect> {
+    pub fn on_run_finished_ack(&mut self, now: Time, key: KeyHash) -> Vec<Effect> {
         if self
             .moved_runs
             .get(&key)
@@ -263,7 +268,7 @@
             let record = moved.to_message(key, self.retention);
             let effect = to.zip(record);
             self.effects
-                .extend(effect.map(|(to, record)| Effect::SendFinished { to, record }));
+                .extend(effect.map(|(to, record)| Effect::SendRunFinished { to, record }));
         }
     }
 
--- a/crates/once/tests/common/mod.rs
+++ b/crates/once/tests/common/mod.rs
@@ -268,8 +268,8 @@
             Packet::Lease(addr, message) => home.on_lease(now, addr, message),
             Packet::Transfer(transfer) => home.on_transfer(now, transfer),
             Packet::TransferAck(slot, view) => home.on_transfer_ack(now, sender, slot, view),
-            Packet::RunFinished(record) => home.on_finished(now, sender, record),
-            Packet::RunFinishedAck(key) => home.on_finished_ack(now, key),
+            Packet::RunFinished(record) => home.on_run_finished(now, sender, record),
+            Packet::RunFinishedAck(key) => home.on_run_finished_ack(now, key),
             Packet::RunEnds(key, end) => home.finish(now, key, end),
             Packet::View(_) => Vec::new(),
         };
@@ -295,10 +295,10 @@
                 Effect::AckTransfer { to, slot, view } => {
                     (Some(to.incarnation), Packet::TransferAck(*slot, *view))
                 }
-                Effect::SendFinished { to, record } => {
+                Effect::SendRunFinished { to, record } => {
                     (Some(to.incarnation), Packet::RunFinished(record.clone()))
                 }
-                Effect::AckFinished { to, key } => {
+                Effect::AckRunFinished { to, key } => {
                     (Some(to.incarnation), Packet::RunFinishedAck(*key))
                 }
                 Effect::InvariantViolation(fault) => panic!("node {number}: {fault:?}"),
--- a/crates/once/tests/homes.rs
+++ b/crates/once/tests/homes.rs
@@ -126,7 +126,7 @@
 fn delayed_grant_counts_from_request_time() {
     let mut cluster = Cluster::new(2);
     cluster.delays = Box::new(|_, _, packet| match packet {
-        Packet::Lease(_, LeaseMessage::Grant { .. }) => vec![ms(2_900)],
+        Packet::Lease(_, LeaseMessage::Reply { .. }) => vec![ms(2_900)],
         _ => vec![ms(1)],
     });
     cluster.advance(ms(30_000));
@@ -142,7 +142,7 @@
     cluster.join(9, 3);
     let now = cluster.now;
     let view = cluster.home(9).view_number().unwrap();
-    let grant = |from: u64, to: u64| LeaseMessage::Grant {
+    let grant = |from: u64, to: u64| LeaseMessage::Reply {
         from: proto::Incarnation(from),
         to: proto::Incarnation(to),
         view,
--- a/crates/proto/src/datagram.rs
+++ b/crates/proto/src/datagram.rs
@@ -71,7 +71,7 @@
 }
 
 plain! {
-    /// How the home node of a slot renews its lease, which permits it to start runs. A lease needs
+    /// How a home node acquires and renews its lease, which permits it to start runs. A lease needs
     /// grants from a quorum of the nodes in the service's view.
     pub enum LeaseMessage {
         /// Requests a lease.
@@ -80,28 +80,28 @@
             from: Incarnation,
             /// The newest view that the sender knows.
             view: u64,
-            /// Incremented by the sender for each round of requests; a grant repeats it.
+            /// Incremented by the sender for each round of requests; a reply repeats it.
             round: u64,
         },
-        /// Reports the granter's view. A granter that knows a newer view than the requester grants
-        /// nothing until the requester has caught up.
-        Grant {
-            /// The granting node.
+        /// Answers a request with or without a grant, and reports the sender's view. A node that
+        /// knows a newer view than the requester grants nothing until the requester has caught up.
+        Reply {
+            /// The answering node.
             from: Incarnation,
             /// The requesting node. A node that restarts at the same address counts its rounds from
-            /// the start, and without this field would accept a late grant meant for its previous
+            /// the start, and without this field would accept a late reply meant for its previous
             /// incarnation.
             to: Incarnation,
-            /// The newest view that the granter knows.
+            /// The newest view that the answering node knows.
             view: u64,
-            /// All views below this one are fenced, as far as the granter knows.
+            /// All views below this one are fenced, as far as the answering node knows.
             fenced_below: u64,
             /// The round of the request.
             round: u64,
-            /// Milliseconds since the granter, or the node that it got its state from, began
-            /// reading the log to its end.
+            /// Milliseconds since the last time at which, as far as the answering node knows, the
+            /// log held no newer view than `view`.
             log_age_ms: u32,
-            /// Whether the granter gives its vote, which it does if it knows no newer view than the
+            /// Whether the answering node grants the lease, that is, gives its vote to the
             /// requester.
             granted: bool,
         },
@@ -123,8 +123,8 @@
             /// The `request_id` of the query.
             request_id: u64,
             /// The version of the rules that the sender holds.
-            rules: u64,
-            /// Milliseconds between the last time at which `rules` was known to be the newest
+            rules_version: u64,
+            /// Milliseconds between the last time at which `rules_version` was known to be the newest
             /// version and the handling of the query.
             age_ms: u32,
         },
--- a/crates/rules/src/explain.rs
+++ b/crates/rules/src/explain.rs
@@ -93,7 +93,7 @@
                 let (min, max) = (self.min_concurrency, self.max_concurrency);
                 write!(f, "concurrency={min}..{max}")
             }
-            LimitKind::Queue => write!(f, "queue={}", Readable(self.queue)),
+            LimitKind::Queue => write!(f, "queue={}", Readable(self.max_queue_time)),
             LimitKind::KeyRetention => write!(f, "retention={}", Readable(self.key_retention)),
             LimitKind::Resends => write!(f, "percent={}", self.resend_percent),
         }
--- a/crates/rules/src/model.rs
+++ b/crates/rules/src/model.rs
@@ -56,7 +56,7 @@
         /// Upper bound of the adaptive concurrency limit, in calls.
         pub max_concurrency: u16,
         /// Maximum time that a call waits in the queue.
-        pub queue: Duration,
+        pub max_queue_time: Duration,
         /// How long the record of an idempotency key is kept after its run has ended.
         pub key_retention: Duration,
         /// Requests that a caller may re-send, as a percentage of its first sends, enforced at the
@@ -75,7 +75,7 @@
         Self {
             min_concurrency: 2,
             max_concurrency: 400,
-            queue: Duration::from_millis(100),
+            max_queue_time: Duration::from_millis(100),
             key_retention: Duration::from_secs(15 * 60),
             resend_percent: DEFAULT_RESEND_PERCENT,
             origins: IndexMap::new(),
--- a/crates/rules/src/parse/limits.rs
+++ b/crates/rules/src/parse/limits.rs
@@ -33,7 +33,7 @@
                 record_origin(limit, column, LimitKind::Concurrency, &origin)?;
             }
             "queue" => {
-                limit.queue = bounded_duration(value).ok_or((column, BAD_QUEUE))?;
+                limit.max_queue_time = bounded_duration(value).ok_or((column, BAD_QUEUE))?;
                 record_origin(limit, column, LimitKind::Queue, &origin)?;
             }
             _ => return Err((column, RuleErrorKind::UnknownOption(option.to_owned()))),
--- a/crates/trial/src/log.rs
+++ b/crates/trial/src/log.rs
@@ -91,7 +91,7 @@
     /// Publishes a rules file as the operators' tool does: only if `expected` is still the version
     /// in force.
     pub fn publish(&mut self, expected: u64, publication: u128, operator: &str, file: &str) {
-        if self.log.state.version != expected {
+        if self.log.state.rules_version != expected {
             self.trace_event(format!(
                 "publication of {operator} rejected: version {expected} is not in force"
             ));
@@ -160,7 +160,7 @@
         self.schedule_after(self.log.latency(), move |world| {
             let lost =
                 world.log.is_unreachable_from(node) || world.log.extra_latency >= RESPONSE_TIMEOUT;
-            let version = world.log.state.version;
+            let version = world.log.state.rules_version;
             let (wait, input) = match lost {
                 true => (RESPONSE_TIMEOUT, Input::RulesCheckFailed),
                 false => (
--- a/crates/trial/src/node.rs
+++ b/crates/trial/src/node.rs
@@ -121,7 +121,7 @@
         write!(
             f,
             " stop requested at {:?}, rules version {}, next offset {},",
-            self.stop_requested_at, journal.version, journal.next_offset
+            self.stop_requested_at, journal.rules_version, journal.next_offset
         )?;
         write!(
             f,
