--- a/crates/engine/src/routing.rs
+++ b/crates/engine/src/routing.rs
@@ -13,7 +13,7 @@
 impl Engine {
     pub(crate) fn home_of(&self, service: &str, key: KeyHash) -> Option<Instance> {
         let view = self.journal.view(service)?;
-        once::slot_owner(&view.members, key.slot()).cloned()
+        once::slot_home(&view.members, key.slot()).cloned()
     }
 
     pub(crate) fn choose_instance(&mut self, now: Time, call: &OutgoingCall) -> Option<Instance> {
--- a/crates/once/src/home.rs
+++ b/crates/once/src/home.rs
@@ -3,7 +3,6 @@
 use crate::fence::Fence;
 use crate::lease::Lease;
 use crate::moved_run::MovedRun;
-use crate::owner::slot_owner;
 use crate::quorum::is_member;
 use crate::records::Records;
 use crate::slot::Holding;
@@ -11,6 +10,7 @@
 use crate::slot::Move;
 use crate::slot::OutgoingMove;
 use crate::slot::Slot;
+use crate::slot_home::slot_home;
 use crate::Config;
 use crate::Effect;
 use indexmap::IndexMap;
@@ -305,17 +305,16 @@
     /// Enqueues the moves of slots to and from this node.
     fn enqueue_moves(&mut self, now: Time, old: Option<&View>, view: &View) {
         for slot in 0..SLOT_COUNT {
-            let old_owner = old.and_then(|old| slot_owner(&old.members, slot));
-            let new_owner = slot_owner(&view.members, slot);
-            if old_owner.map(|owner| owner.incarnation) == new_owner.map(|owner| owner.incarnation)
-            {
+            let old_home = old.and_then(|old| slot_home(&old.members, slot));
+            let new_home = slot_home(&view.members, slot);
+            if old_home.map(|home| home.incarnation) == new_home.map(|home| home.incarnation) {
                 continue;
             }
-            if old_owner.is_some_and(|owner| owner.incarnation == self.me) {
+            if old_home.is_some_and(|home| home.incarnation == self.me) {
                 self.cancel_queued(slot);
                 self.moving_slots.insert(slot);
                 let entry = &mut self.slots[usize::from(slot)];
-                entry.moves.extend(new_owner.map(|to| {
+                entry.moves.extend(new_home.map(|to| {
                     Move::Outgoing(OutgoingMove {
                         view: view.number,
                         to: to.clone(),
@@ -325,7 +324,7 @@
                     })
                 }));
             }
-            if new_owner.is_none_or(|owner| owner.incarnation != self.me) {
+            if new_home.is_none_or(|home| home.incarnation != self.me) {
                 continue;
             }
             let entry = &mut self.slots[usize::from(slot)];
@@ -335,7 +334,7 @@
                 continue;
             }
             self.moving_slots.insert(slot);
-            let from = old_owner.map(|owner| owner.incarnation);
+            let from = old_home.map(|home| home.incarnation);
             entry.moves.push_back(Move::Incoming(IncomingMove {
                 view: view.number,
                 from,
--- a/crates/once/src/owner.rs
+++ b/crates/once/src/slot_home.rs
@@ -9,9 +9,9 @@
 /// # Examples
 ///
 /// ```
-/// assert_eq!(bilberry_once::slot_owner(&[], 3), None);
+/// assert_eq!(bilberry_once::slot_home(&[], 3), None);
 /// ```
-pub fn slot_owner(members: &[Instance], slot: u16) -> Option<&Instance> {
+pub fn slot_home(members: &[Instance], slot: u16) -> Option<&Instance> {
     members
         .iter()
         .max_by_key(|member| weight(member.incarnation, slot))
--- a/crates/once/src/transfers.rs
+++ b/crates/once/src/transfers.rs
@@ -300,7 +300,7 @@
     /// The home of a key in the newest view, if it is another node.
     pub(crate) fn remote_home(&self, key: KeyHash) -> Option<Instance> {
         let view = self.view.as_ref()?;
-        let home = crate::slot_owner(&view.members, key.slot())?;
+        let home = crate::slot_home(&view.members, key.slot())?;
         (home.incarnation != self.me).then(|| home.clone())
     }
 
--- a/crates/once/tests/common/mod.rs
+++ b/crates/once/tests/common/mod.rs
@@ -322,17 +322,17 @@
         self.in_flight.insert(at, (from, to, packet));
     }
 
-    /// The `nth` key whose slot `number` owns in the newest view.
+    /// The `nth` key whose slot is at home at node `number` in the newest view.
     pub fn key_of(&self, number: u64, nth: usize) -> KeyHash {
         let members = self.members();
-        let owned = |key: &KeyHash| {
-            bilberry_once::slot_owner(&members, key.slot())
+        let is_home = |key: &KeyHash| {
+            bilberry_once::slot_home(&members, key.slot())
                 .unwrap()
                 .incarnation
                 .0
                 == number
         };
-        (0..).map(KeyHash).filter(owned).nth(nth).unwrap()
+        (0..).map(KeyHash).filter(is_home).nth(nth).unwrap()
     }
 
     pub fn ready(&self) -> Vec<(u64, usize)> {
--- a/crates/once/tests/homes.rs
+++ b/crates/once/tests/homes.rs
@@ -65,7 +65,7 @@
     cluster.nodes[&3].paused = true;
     cluster.depart(3, Departure::Evicted);
     cluster.advance(ms(10_000));
-    let new_home = bilberry_once::slot_owner(&cluster.members(), key.slot())
+    let new_home = bilberry_once::slot_home(&cluster.members(), key.slot())
         .unwrap()
         .incarnation
         .0;
@@ -82,7 +82,7 @@
     let key = cluster.key_of(3, 0);
     cluster.nodes[&3].reads_log = false;
     cluster.depart(3, Departure::Evicted);
-    let new_home = bilberry_once::slot_owner(&cluster.members(), key.slot())
+    let new_home = bilberry_once::slot_home(&cluster.members(), key.slot())
         .unwrap()
         .incarnation
         .0;
@@ -113,7 +113,7 @@
     cluster.advance(ms(20_000));
     let now = cluster.now;
     assert!(!cluster.home(3).lease_left(now).is_zero());
-    let new_home = bilberry_once::slot_owner(&cluster.members(), key.slot())
+    let new_home = bilberry_once::slot_home(&cluster.members(), key.slot())
         .unwrap()
         .incarnation
         .0;
@@ -179,7 +179,7 @@
     assert!(cluster.all_ready(), "{:?}", cluster.ready());
     let members = cluster.members();
     let home = |key: &KeyHash| {
-        bilberry_once::slot_owner(&members, key.slot())
+        bilberry_once::slot_home(&members, key.slot())
             .unwrap()
             .incarnation
             .0
@@ -220,7 +220,7 @@
     assert!(cluster.all_ready(), "{:?}", cluster.ready());
     let members = cluster.members();
     for key in &keys {
-        let home = bilberry_once::slot_owner(&members, key.slot())
+        let home = bilberry_once::slot_home(&members, key.slot())
             .unwrap()
             .incarnation
             .0;
@@ -243,7 +243,7 @@
     let key = cluster.key_of(4, 0);
     check(&mut cluster, &[(4, key, BeginResult::Start)]);
     cluster.leave(4);
-    let new_home = bilberry_once::slot_owner(&cluster.members(), key.slot())
+    let new_home = bilberry_once::slot_home(&cluster.members(), key.slot())
         .unwrap()
         .incarnation
         .0;
@@ -279,7 +279,7 @@
     cluster.advance(ms(100));
     cluster.nodes[&3].reads_log = false;
     let mut joined = 4;
-    while bilberry_once::slot_owner(&cluster.members(), key.slot())
+    while bilberry_once::slot_home(&cluster.members(), key.slot())
         .unwrap()
         .incarnation
         .0
@@ -288,7 +288,7 @@
         cluster.join(joined, joined as u16);
         joined += 1;
     }
-    let middle = bilberry_once::slot_owner(&cluster.members(), key.slot())
+    let middle = bilberry_once::slot_home(&cluster.members(), key.slot())
         .unwrap()
         .incarnation
         .0;
@@ -297,7 +297,7 @@
     cluster.nodes[&3].reads_log = true;
     cluster.read_log();
     cluster.advance(ms(2_000));
-    let new_home = bilberry_once::slot_owner(&cluster.members(), key.slot())
+    let new_home = bilberry_once::slot_home(&cluster.members(), key.slot())
         .unwrap()
         .incarnation
         .0;
@@ -375,7 +375,7 @@
     cluster.advance(ms(100));
     cluster.depart(3, Departure::Evicted);
     cluster.advance(ms(1_000));
-    let new_home = bilberry_once::slot_owner(&cluster.members(), key.slot())
+    let new_home = bilberry_once::slot_home(&cluster.members(), key.slot())
         .unwrap()
         .incarnation
         .0;
