--- a/crates/once/src/effect.rs
+++ b/crates/once/src/effect.rs
@@ -57,12 +57,12 @@
     RemoteRunEnded(KeyHash),
     /// Remove this queued run from the queue, because its slot moves away. It did not run.
     CancelQueued(KeyHash),
-    /// A peer knows a newer view: read the log.
+    /// A peer knows a newer view. Read the log.
     ViewOutdated,
     /// The views no longer contain this incarnation, and all its slots were handed over or given
     /// up. The node must continue as a new incarnation.
     Expelled,
-    /// An invariant was violated. This is a bug; in production it is logged and the node continues.
+    /// An invariant was violated, which is a bug. A release build counts it and continues.
     InvariantViolation(InvariantViolation),
 }
 
--- a/crates/once/src/fence.rs
+++ b/crates/once/src/fence.rs
@@ -26,7 +26,7 @@
     number: u64,
     /// `None` stands for all views before the first one that this node read.
     members: Option<Vec<Instance>>,
-    /// When the next view was read from the log.
+    /// When this node read the next view from the log.
     superseded_at: Time,
     /// Since when no quorum can grant a lease in this view.
     ungrantable_since: Option<Time>,
@@ -98,8 +98,8 @@
     }
 
     /// Records that an incarnation certainly starts no runs and grants no leases any more.
-    pub(crate) fn note_stopped(&mut self, who: Incarnation) {
-        self.stopped.insert(who);
+    pub(crate) fn note_stopped(&mut self, incarnation: Incarnation) {
+        self.stopped.insert(incarnation);
         if self.stopped.len() > MAX_TRACKED_PEERS {
             self.stopped.shift_remove_index(0);
         }
@@ -126,8 +126,8 @@
         }
     }
 
-    /// Marks former members as stopped whose replacement is known to have seen the view it joined
-    /// in.
+    /// Marks former members as stopped once the node that replaced them is known to have seen the
+    /// view in which it joined.
     fn note_replaced(&mut self, me: Incarnation) {
         let seen = &self.known_views;
         let has_confirmed = |by, view| by == me || seen.get(&by).is_some_and(|seen| *seen >= view);
@@ -150,14 +150,14 @@
         !self.past_views.is_empty()
     }
 
-    /// Members of views that are not fenced yet; they may be asked which view they know.
+    /// Members of the superseded views that are not fenced yet. They are asked which view they know.
     pub(crate) fn unfenced_members(&self) -> impl Iterator<Item = &Instance> {
         self.past_views
             .iter()
             .flat_map(|past| past.members.iter().flatten())
     }
 
-    /// Fences all views that can be fenced now. Returns whether there were any.
+    /// Fences all views that can be fenced now. Returns whether any view was fenced.
     pub(crate) fn poll(&mut self, now: Time, cfg: &Config, me: Incarnation) -> bool {
         self.note_replaced(me);
         let current = self.current;
--- a/crates/once/src/home.rs
+++ b/crates/once/src/home.rs
@@ -44,7 +44,8 @@
     pub(crate) joined: bool,
     /// Whether this node has permanently stopped starting runs and granting leases.
     pub(crate) leaving: bool,
-    /// Since when the views no longer contain this incarnation. Cleared when the driver is told.
+    /// Since when the views no longer contain this incarnation. Cleared when this is reported to the
+    /// driver.
     expelled_since: Option<Time>,
     pub(crate) lease: Lease,
     pub(crate) next_lease_round_at: Option<Time>,
@@ -109,7 +110,7 @@
         self.max_run_time = max_run_time;
     }
 
-    /// Number of the newest view. The first record of a stream makes view 0.
+    /// Number of the newest view, which is the offset of the log record that created it.
     pub fn view_number(&self) -> Option<u64> {
         self.view.as_ref().map(|view| view.number)
     }
@@ -144,7 +145,7 @@
         (self.records.len(), self.records.bytes())
     }
 
-    /// Whether nothing is left to hand over.
+    /// Whether all slots and outcomes that this node had to hand over have arrived or were given up.
     pub fn is_handed_over(&self) -> bool {
         self.moved_runs.is_empty() && self.moving_slots.is_empty()
     }
@@ -203,15 +204,16 @@
         std::mem::take(&mut self.effects)
     }
 
-    /// Records that the log was read to its end.
+    /// Records that a read of the log to its end has completed. It may have begun
+    /// [`Config::max_log_read_duration`] ago, and missed what was appended since.
     pub fn on_log_read(&mut self, now: Time) {
-        let began = Time::ZERO + now.since(Time::ZERO + self.cfg.max_log_read_duration);
-        self.log_current_at = self.log_current_at.max(Some(began));
+        let read_began_at = Time::ZERO + now.since(Time::ZERO + self.cfg.max_log_read_duration);
+        self.log_current_at = self.log_current_at.max(Some(read_began_at));
     }
 
     /// Permanently stops starting runs and granting leases. The departure may be written to the log
     /// only after this call, because the other nodes take the record as proof that this node starts
-    /// nothing any more.
+    /// no runs any more.
     pub fn leave(&mut self, _now: Time) -> Vec<Effect> {
         self.leaving = true;
         for slot in 0..SLOT_COUNT {
@@ -277,17 +279,17 @@
 
     /// Updates the fence and pending moves for members that departed with this view.
     fn apply_departures(&mut self, now: Time, view: &View) {
-        for (who, how) in &view.departed {
+        for (incarnation, departure) in &view.departed {
             // A node records its departure only after it has stopped.
-            if *how == Departure::Left {
-                self.fence.note_stopped(*who);
+            if *departure == Departure::Left {
+                self.fence.note_stopped(*incarnation);
             }
-            let lost = match how {
+            let lost_at = match departure {
                 Departure::Evicted => now,
                 Departure::Left => now + self.cfg.transfer_timeout,
             };
             for slot in &mut self.slots {
-                mark_peer_lost(slot, *who, lost);
+                mark_peer_lost(slot, *incarnation, lost_at);
             }
         }
     }
@@ -374,22 +376,22 @@
     let Some(from) = from else {
         return Some(now);
     };
-    let departed = view.departed.iter().find(|(who, _)| *who == from);
-    departed.map(|(_, how)| match how {
+    let departed = view.departed.iter().find(|(member, _)| *member == from);
+    departed.map(|(_, departure)| match departure {
         Departure::Evicted => now,
         Departure::Left => now + cfg.transfer_timeout,
     })
 }
 
 /// Marks the pending moves of a slot whose source or target is gone.
-fn mark_peer_lost(slot: &mut Slot, who: Incarnation, at: Time) {
-    for step in &mut slot.moves {
-        match step {
-            Move::Incoming(incoming) if incoming.from == Some(who) => {
-                incoming.peer_lost_at.get_or_insert(at);
+fn mark_peer_lost(slot: &mut Slot, peer: Incarnation, lost_at: Time) {
+    for pending in &mut slot.moves {
+        match pending {
+            Move::Incoming(incoming) if incoming.from == Some(peer) => {
+                incoming.peer_lost_at.get_or_insert(lost_at);
             }
-            Move::Outgoing(outgoing) if outgoing.to.incarnation == who => {
-                outgoing.peer_lost_at.get_or_insert(at);
+            Move::Outgoing(outgoing) if outgoing.to.incarnation == peer => {
+                outgoing.peer_lost_at.get_or_insert(lost_at);
             }
             _ => {}
         }
--- a/crates/once/src/lease_rounds.rs
+++ b/crates/once/src/lease_rounds.rs
@@ -36,7 +36,7 @@
         if self.leaving || !is_member(&view.members, self.me) {
             return Duration::ZERO;
         }
-        let granted = self
+        let lease_expires_at = self
             .lease
             .expires_at(now, &view.members, self.me, self.cfg.lease);
         // After `max_log_staleness` without reading the log, another node may take over on the
@@ -45,8 +45,8 @@
         let log_valid_until = self
             .log_current_at
             .map(|read_at| read_at + self.cfg.max_log_staleness);
-        let until = granted.min(log_valid_until).unwrap_or(Time::ZERO);
-        now.until(until).saturating_sub(self.cfg.margin)
+        let expires_at = lease_expires_at.min(log_valid_until).unwrap_or(Time::ZERO);
+        now.until(expires_at).saturating_sub(self.cfg.margin)
     }
 
     /// Handles a lease message.
@@ -113,7 +113,8 @@
             return;
         };
         self.lease.record_grant(from, sent);
-        // When the granter read the log, it contained no view newer than that of this node.
+        // When the granter read the log, it contained no view newer than that of this node. The
+        // difference saturates at `Time::ZERO`.
         let log_read_at = sent.since(Time::ZERO + log_age);
         if !self.lacks_view(view) && !log_read_at.is_zero() {
             self.log_current_at = self.log_current_at.max(Some(Time::ZERO + log_read_at));
@@ -140,9 +141,9 @@
             return;
         };
         self.next_lease_round_at = Some(now + self.round_interval(now, &view.members));
-        let asked = self.choose_granters(now, &view.members);
+        let granters = self.choose_granters(now, &view.members);
         let round = self.lease.begin_round(now);
-        for to in asked {
+        for to in granters {
             let message = LeaseMessage::Request {
                 from: self.me,
                 view: view.number,
@@ -158,8 +159,8 @@
     /// that a network partition is not flooded with requests.
     fn round_interval(&mut self, now: Time, members: &[Instance]) -> Duration {
         let interval = self.cfg.lease / ROUNDS_PER_LEASE;
-        let leased = self.lease.expires_at(now, members, self.me, self.cfg.lease);
-        if leased.is_some_and(|until| until > now + self.cfg.margin) {
+        let expires_at = self.lease.expires_at(now, members, self.me, self.cfg.lease);
+        if expires_at.is_some_and(|expires_at| expires_at > now + self.cfg.margin) {
             return interval;
         }
         self.rounds_without_lease = self.rounds_without_lease.saturating_add(1);
@@ -182,9 +183,9 @@
         others.sort_by_cached_key(|other| (distance(mine, other), self.tie_break(other)));
         let needed = (0..=others.len())
             .find(|count| {
-                is_quorum(members, |who| {
+                is_quorum(members, |member| {
                     let chosen = &others[..*count];
-                    who == self.me || chosen.iter().any(|other| other.incarnation == who)
+                    member == self.me || chosen.iter().any(|other| other.incarnation == member)
                 })
             })
             .unwrap_or(others.len());
--- a/crates/once/src/quorum.rs
+++ b/crates/once/src/quorum.rs
@@ -14,11 +14,14 @@
 /// [`crate::Config::max_log_staleness`] has passed. So both must agree.
 const MAX_WITHOUT_TIE_BREAK: usize = 2;
 
-/// The votes of a member, or 0 if `who` is not one. The oldest member has one more vote if there is
-/// a tie-break.
-fn votes(members: &[Instance], who: Incarnation) -> u32 {
+/// The votes of a member; 0 if `incarnation` is not a member. The oldest member has one more vote if
+/// there is a tie-break.
+fn votes(members: &[Instance], incarnation: Incarnation) -> u32 {
     let tie_break = members.len() > MAX_WITHOUT_TIE_BREAK && members.len() % 2 == 0;
-    match members.iter().position(|member| member.incarnation == who) {
+    match members
+        .iter()
+        .position(|member| member.incarnation == incarnation)
+    {
         Some(0) if tie_break => VOTES_PER_MEMBER + 1,
         Some(_) => VOTES_PER_MEMBER,
         None => 0,
@@ -26,8 +29,10 @@
 }
 
 /// Whether a view contains this instance.
-pub(crate) fn is_member(members: &[Instance], who: Incarnation) -> bool {
-    members.iter().any(|member| member.incarnation == who)
+pub(crate) fn is_member(members: &[Instance], incarnation: Incarnation) -> bool {
+    members
+        .iter()
+        .any(|member| member.incarnation == incarnation)
 }
 
 /// The smallest number of votes that is more than half of all votes.
@@ -35,22 +40,23 @@
     total_votes(members, |_| true) / 2 + 1
 }
 
-fn total_votes(members: &[Instance], has: impl Fn(Incarnation) -> bool) -> u32 {
+fn total_votes(members: &[Instance], is_counted: impl Fn(Incarnation) -> bool) -> u32 {
     members
         .iter()
         .map(|member| member.incarnation)
-        .filter(|member| has(*member))
+        .filter(|member| is_counted(*member))
         .map(|member| votes(members, member))
         .sum()
 }
 
-/// Whether the members for which `has` returns true form a quorum. Any two quorums share a member.
+/// Whether the members for which `is_counted` returns true form a quorum. Any two quorums share a
+/// member.
 ///
 /// # Examples
 ///
 /// ```
 /// assert!(!bilberry_once::is_quorum(&[], |_| true));
 /// ```
-pub fn is_quorum(members: &[Instance], has: impl Fn(Incarnation) -> bool) -> bool {
-    total_votes(members, has) >= quorum(members)
+pub fn is_quorum(members: &[Instance], is_counted: impl Fn(Incarnation) -> bool) -> bool {
+    total_votes(members, is_counted) >= quorum(members)
 }
--- a/crates/once/src/records.rs
+++ b/crates/once/src/records.rs
@@ -26,7 +26,7 @@
     pub(crate) expires_at: Option<Time>,
 }
 
-/// The state of a key's run. A run only ever moves down this list.
+/// The state of a key's run. It only ever advances in the order of the variants.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum RunState {
     /// Waiting here to be started. Such a record is never transferred, because its run can still be
@@ -94,8 +94,8 @@
     pub(crate) fn put(&mut self, key: KeyHash, record: Record) {
         self.remove(key);
         self.bytes += self.size(&record);
-        if let Some(ends) = record.expires_at {
-            self.expiries.insert((ends, key));
+        if let Some(expires_at) = record.expires_at {
+            self.expiries.insert((expires_at, key));
         }
         self.slots[usize::from(key.slot())].insert(key, record);
     }
@@ -104,8 +104,8 @@
     pub(crate) fn remove(&mut self, key: KeyHash) -> Option<Record> {
         let record = self.slots[usize::from(key.slot())].swap_remove(&key)?;
         self.bytes -= self.size(&record);
-        if let Some(ends) = record.expires_at {
-            self.expiries.remove(&(ends, key));
+        if let Some(expires_at) = record.expires_at {
+            self.expiries.remove(&(expires_at, key));
         }
         Some(record)
     }
@@ -132,13 +132,13 @@
 
     /// A key whose record has expired.
     pub(crate) fn next_expired(&self, now: Time) -> Option<KeyHash> {
-        let (ends, key) = self.expiries.first()?;
-        (*ends <= now).then_some(*key)
+        let (expires_at, key) = self.expiries.first()?;
+        (*expires_at <= now).then_some(*key)
     }
 
     /// When the next record expires.
     pub(crate) fn next_expiry(&self) -> Option<Time> {
-        self.expiries.first().map(|(ends, _)| *ends)
+        self.expiries.first().map(|(expires_at, _)| *expires_at)
     }
 
     /// Total size of all records in bytes.
@@ -162,7 +162,9 @@
 ) -> Option<KeyRecord> {
     let left = match record.state {
         RunState::Running | RunState::RunningAt(_) => retention,
-        _ => record.expires_at.map_or(retention, |ends| now.until(ends)),
+        _ => record
+            .expires_at
+            .map_or(retention, |expires_at| now.until(expires_at)),
     };
     Some(KeyRecord {
         key,
--- a/crates/once/src/runs.rs
+++ b/crates/once/src/runs.rs
@@ -36,8 +36,8 @@
         if let Some(record) = self.records.get(key) {
             return begin_result(record, fingerprint);
         }
-        if let Some(begin) = self.check_slot(now, key.slot(), first_attempt) {
-            return begin;
+        if let Some(result) = self.check_slot(now, key.slot(), first_attempt) {
+            return result;
         }
         if self.lease_left(now).is_zero() {
             return self.lease_wait_result(now);
@@ -56,7 +56,7 @@
         BeginResult::Start
     }
 
-    /// Looks up the state of a key, for callers that waited for the end of its run.
+    /// How to answer callers that waited for the end of a key's run.
     pub fn lookup(&self, key: KeyHash) -> BeginResult {
         match self.records.get(key) {
             Some(record) => begin_result(record, record.fingerprint),
@@ -69,16 +69,16 @@
     ///
     /// # Errors
     ///
-    /// Returns why the run may not start. It did not run, and [`Home::finish`] must be called with
-    /// that outcome.
+    /// Why the run may not start. [`Home::finish`] must then be called with
+    /// [`RunOutcome::NotRun`].
     pub fn start(&mut self, now: Time, key: KeyHash) -> Result<Duration, Reason> {
         // The slot may have moved, or the lease may have expired, while the run was queued. Without
         // this check a run here and one at the new home could both start.
-        let left = self.lease_left(now);
+        let lease_left = self.lease_left(now);
         if !self.slots[usize::from(key.slot())].is_ready() {
             return Err(Reason::Moving);
         }
-        if left.is_zero() {
+        if lease_left.is_zero() {
             return Err(Reason::NoLease);
         }
         match self.records.get(key) {
@@ -88,10 +88,10 @@
                     ..record.clone()
                 };
                 self.records.put(key, record);
-                Ok(left)
+                Ok(lease_left)
             }
             _ => {
-                debug_assert!(false, "a run that is not queued was started");
+                debug_assert!(false, "started a run that was not queued: {key:?}");
                 self.report_violation(InvariantViolation::RunNotInFlight(key));
                 Err(Reason::RecordLost)
             }
@@ -124,7 +124,7 @@
         record: KeyRecord,
     ) -> Vec<Effect> {
         let key = record.key;
-        // Without the slot the record cannot be stored yet; the sender will send it again.
+        // While the slot is not ready the record cannot be stored; the sender will send it again.
         if self.slots[usize::from(key.slot())].is_ready() {
             self.merge_record(now, record);
             let to = self.known_instances.get(&from).cloned();
@@ -168,7 +168,8 @@
         }
     }
 
-    /// After a change of view, grants arrive within milliseconds.
+    /// How to answer a call while this node has no lease. Shortly after a change of view the call is
+    /// held, because grants usually arrive within milliseconds.
     fn lease_wait_result(&self, now: Time) -> BeginResult {
         if now < self.lease_wait_until && !self.leaving {
             BeginResult::Wait
@@ -177,6 +178,7 @@
         }
     }
 
+    /// How to answer a call while its slot is moving to this node.
     fn slot_wait_result(&self, now: Time, incoming: &IncomingMove) -> BeginResult {
         if incoming.peer_lost_at.is_some_and(|lost| lost <= now) {
             BeginResult::NotRun(Reason::NoLease)
@@ -197,8 +199,8 @@
             RunOutcome::Done(response) if self.response_fits(response.size()) => {
                 RunState::Done(response)
             }
-            // The run took place and its response is delivered, but a re-send can only be told that
-            // it ran.
+            // The waiting callers get the response, but it is not stored, so the outcome is unknown
+            // to callers that re-send the request.
             RunOutcome::Done(_) => RunState::Unknown,
         };
         let record = Record {
--- a/crates/once/src/slot.rs
+++ b/crates/once/src/slot.rs
@@ -8,10 +8,10 @@
 use std::collections::VecDeque;
 use stdx::Time;
 
-/// What this node holds of a slot, and the moves that must end before the slot is ready.
+/// Whether this node holds a slot, and the moves that must end before the slot is ready.
 #[derive(Debug, Default)]
 pub(crate) struct Slot {
-    /// Set while this node holds all that is known of the slot's keys.
+    /// Set while this node holds the slot, i.e. has all known records of its keys.
     pub(crate) held: Option<Holding>,
     /// Pending moves of the slot to or from this node, in the order of their views.
     pub(crate) moves: VecDeque<Move>,
@@ -55,7 +55,8 @@
     pub(crate) peer_lost_at: Option<Time>,
     /// Total number of parts, once known.
     pub(crate) expected_parts: Option<u16>,
-    /// Until when the records of the previous home are incomplete.
+    /// Until this time, keys without a record may have run nevertheless, as reported by the previous
+    /// home.
     pub(crate) uncertain_until: Time,
     /// The parts received so far, by number.
     pub(crate) parts: IndexMap<u16, Vec<KeyRecord>>,
@@ -69,7 +70,7 @@
     /// The parts of the transfer, built once all earlier moves have ended.
     pub(crate) parts: Vec<SlotTransfer>,
     pub(crate) send_at: Time,
-    /// When to give up, because the new home is gone.
+    /// When to give up the move, because the new home is gone.
     pub(crate) peer_lost_at: Option<Time>,
 }
 
@@ -79,15 +80,15 @@
         self.held.is_some() && self.moves.is_empty()
     }
 
-    /// The pending move to this node by `view`.
+    /// The pending move to this node that was caused by `view`.
     pub(crate) fn incoming(&mut self, view: u64) -> Option<&mut IncomingMove> {
-        self.moves.iter_mut().find_map(|step| match step {
+        self.moves.iter_mut().find_map(|pending| match pending {
             Move::Incoming(incoming) if incoming.view == view => Some(incoming),
             _ => None,
         })
     }
 
-    /// The pending move from this node, if it is the next one.
+    /// The next pending move, if it is from this node.
     pub(crate) fn next_outgoing(&mut self) -> Option<&mut OutgoingMove> {
         match self.moves.front_mut() {
             Some(Move::Outgoing(outgoing)) => Some(outgoing),
--- a/crates/once/src/slot_home.rs
+++ b/crates/once/src/slot_home.rs
@@ -1,4 +1,4 @@
-//! Assigns slots to the members of a view by rendezvous hashing (Thaler and Ravishankar, 1998).
+//! Determines the home of each slot among the members of a view by rendezvous hashing (Thaler and Ravishankar, 1998).
 
 use proto::hash64;
 use proto::Incarnation;
--- a/crates/once/src/transfers.rs
+++ b/crates/once/src/transfers.rs
@@ -25,12 +25,13 @@
     /// never.
     pub fn on_transfer(&mut self, now: Time, transfer: SlotTransfer) -> Vec<Effect> {
         let slot = usize::from(transfer.slot);
-        // The view is not known here yet; the sender will send the part again.
+        // While this node does not know the view it cannot place the part; the sender will send it
+        // again.
         if slot >= self.slots.len() || self.lacks_view(transfer.view) {
             self.effects.push(Effect::ViewOutdated);
             return std::mem::take(&mut self.effects);
         }
-        let (number, view, from) = (transfer.slot, transfer.view, transfer.from);
+        let (slot_number, view, from) = (transfer.slot, transfer.view, transfer.from);
         let complete = match self.slots[slot].incoming(view) {
             Some(incoming) if incoming.from != Some(from) => return Vec::new(),
             Some(incoming) => add_part(now, incoming, transfer),
@@ -40,7 +41,7 @@
             }
         };
         if complete {
-            self.ack_transfer(from, number, view);
+            self.ack_transfer(from, slot_number, view);
         }
         self.advance(now);
         std::mem::take(&mut self.effects)
@@ -85,15 +86,15 @@
 
     /// Advances the next move of a slot by one step. Returns whether another step may follow.
     fn advance_slot(&mut self, now: Time, slot: u16) -> bool {
-        let below = self.fence.fenced_below();
+        let fenced_below = self.fence.fenced_below();
         match self.slots[usize::from(slot)].moves.front() {
             None => false,
             Some(Move::Incoming(incoming)) if incoming.is_complete() => {
                 self.complete_incoming(now, slot)
             }
             Some(Move::Incoming(incoming)) => {
-                let fenced =
-                    incoming.peer_lost_at.is_some_and(|lost| lost <= now) && below >= incoming.view;
+                let fenced = incoming.peer_lost_at.is_some_and(|lost| lost <= now)
+                    && fenced_below >= incoming.view;
                 if fenced {
                     self.take_over(now, slot);
                 }
@@ -132,9 +133,10 @@
         true
     }
 
-    /// Takes over a slot whose previous home is gone and can start nothing any more. The runs of
-    /// that home are not known: a call whose key it may have seen is answered with "unknown" until
-    /// no record of that key could still be retained.
+    /// Takes over a slot whose previous home is gone and can start no runs any more. The runs of that
+    /// home are not known, so a call whose key it may have seen is answered with
+    /// [`BeginResult::Unknown`](crate::BeginResult::Unknown) until any record of the key would have
+    /// expired.
     fn take_over(&mut self, now: Time, slot: u16) {
         let entry = &mut self.slots[usize::from(slot)];
         let Some(Move::Incoming(incoming)) = entry.moves.pop_front() else {
@@ -158,8 +160,8 @@
             return;
         }
         if transfer.parts == 1 {
-            // The transfer is complete, and its sender had stopped: all that it knew is known here
-            // now.
+            // This part is the whole transfer, and its sender had stopped starting runs, so no
+            // record is missing any more.
             held.uncertain_until = now + from_ms(transfer.uncertain_ms);
             held.takeover_view = None;
         }
@@ -266,18 +268,18 @@
         if keep_existing {
             return;
         }
-        let left = from_ms(record.retention_ms);
-        let (state, left) = match record.state {
-            // The slot came back while the run is in flight. `restore_moved_runs` then restores
-            // what is still known of it.
-            RecordState::Running(at) if at == self.me => (RunState::Unknown, left),
+        let retention_left = from_ms(record.retention_ms);
+        let (state, lifetime) = match record.state {
+            // A run of this node whose slot has come back. `restore_moved_runs` then restores what
+            // is still known of it.
+            RecordState::Running(at) if at == self.me => (RunState::Unknown, retention_left),
             // The run has a deadline; well after that, no outcome will arrive any more.
             RecordState::Running(at) => (
                 RunState::RunningAt(at),
                 self.max_run_time + self.max_run_time,
             ),
-            RecordState::Done(response) => (RunState::Done(response), left),
-            RecordState::Unknown => (RunState::Unknown, left),
+            RecordState::Done(response) => (RunState::Done(response), retention_left),
+            RecordState::Unknown => (RunState::Unknown, retention_left),
             RecordState::NotRun => {
                 self.records.remove(key);
                 return;
@@ -286,7 +288,7 @@
         let record = Record {
             fingerprint: record.fingerprint,
             state,
-            expires_at: Some(now + left),
+            expires_at: Some(now + lifetime),
         };
         self.records.put(key, record);
     }
--- a/crates/once/tests/common/mod.rs
+++ b/crates/once/tests/common/mod.rs
@@ -43,7 +43,7 @@
     pub paused: bool,
     pub reads_log: bool,
     pub views_read: usize,
-    /// Effects that are not messages.
+    /// Effects other than messages to send, in the order of their occurrence.
     pub driver_effects: Vec<Effect>,
 }
 
@@ -205,14 +205,14 @@
         if begin != BeginResult::Start {
             return begin;
         }
-        let end = match self.home(number).start(now, key) {
+        let outcome = match self.home(number).start(now, key) {
             Ok(_) => {
                 *self.starts.entry(key).or_default() += 1;
                 RunOutcome::Done(response())
             }
             Err(_) => RunOutcome::NotRun,
         };
-        self.enqueue(number, number, self.run_time, Packet::RunEnds(key, end));
+        self.enqueue(number, number, self.run_time, Packet::RunEnds(key, outcome));
         begin
     }
 
@@ -270,7 +270,7 @@
             Packet::TransferAck(slot, view) => home.on_transfer_ack(now, sender, slot, view),
             Packet::RunFinished(record) => home.on_run_finished(now, sender, record),
             Packet::RunFinishedAck(key) => home.on_run_finished_ack(now, key),
-            Packet::RunEnds(key, end) => home.finish(now, key, end),
+            Packet::RunEnds(key, outcome) => home.finish(now, key, outcome),
             Packet::View(_) => Vec::new(),
         };
         self.apply(to, effects);
@@ -282,11 +282,11 @@
                 Effect::SendLease { to, message } => {
                     let bytes = proto::encode(message).len();
                     *self.lease_bytes.entry(number).or_default() += bytes;
-                    let mine = self.nodes[&number].instance.addr;
-                    let at = self.nodes.values().find(|node| node.instance.addr == *to);
+                    let sender = self.nodes[&number].instance.addr;
+                    let receiver = self.nodes.values().find(|node| node.instance.addr == *to);
                     (
-                        at.map(|node| node.instance.incarnation),
-                        Packet::Lease(mine, *message),
+                        receiver.map(|node| node.instance.incarnation),
+                        Packet::Lease(sender, *message),
                     )
                 }
                 Effect::SendTransfer { to, transfer } => {
@@ -301,7 +301,7 @@
                 Effect::AckRunFinished { to, key } => {
                     (Some(to.incarnation), Packet::RunFinishedAck(*key))
                 }
-                Effect::InvariantViolation(fault) => panic!("node {number}: {fault:?}"),
+                Effect::InvariantViolation(violation) => panic!("node {number}: {violation:?}"),
                 _ => {
                     self.nodes[&number].driver_effects.push(effect);
                     continue;
@@ -335,14 +335,18 @@
         (0..).map(KeyHash).filter(is_home).nth(nth).unwrap()
     }
 
+    /// Number of ready slots, by node.
     pub fn ready(&self) -> Vec<(u64, usize)> {
         let ready = |(number, node): (&u64, &Node)| (*number, node.home.ready_slots());
         self.nodes.iter().map(ready).collect()
     }
 
     pub fn all_ready(&self) -> bool {
-        let ready: IndexSet<u64> = self.members().iter().map(|m| m.incarnation.0).collect();
-        let ready = self.ready().into_iter().filter(|(n, _)| ready.contains(n));
+        let members: IndexSet<u64> = self.members().iter().map(|m| m.incarnation.0).collect();
+        let ready = self
+            .ready()
+            .into_iter()
+            .filter(|(n, _)| members.contains(n));
         ready.map(|(_, ready)| ready).sum::<usize>() == usize::from(proto::SLOT_COUNT)
     }
 }
--- a/crates/once/tests/homes.rs
+++ b/crates/once/tests/homes.rs
@@ -89,18 +89,19 @@
     for _ in 0..80 {
         cluster.advance(ms(100));
         let now = cluster.now;
-        let slot_taken = cluster.call(new_home, key, true) == BeginResult::Start;
+        let successor_started = cluster.call(new_home, key, true) == BeginResult::Start;
         let lease = cluster.home(3).lease_left(now);
-        assert!(!slot_taken || lease.is_zero(), "{lease:?}");
-        if slot_taken {
+        assert!(!successor_started || lease.is_zero(), "{lease:?}");
+        if successor_started {
             return;
         }
     }
-    panic!("the successor never started");
+    panic!("node {new_home} did not start the run within 8 s of the eviction");
 }
 
-/// A node uses an old view in which enough other members lag behind as well to form a quorum. Newer
-/// views must be fenced for it too before its successor starts, or both hold a lease.
+/// A node uses a view several changes old, and enough of that view's members lag behind as well to
+/// form a quorum and grant it a lease. Its successor must wait until all earlier views are fenced,
+/// not only the last one, or both hold a lease.
 #[test]
 fn successor_waits_for_members_lagging_several_views() {
     let mut cluster = Cluster::new(3);
@@ -135,7 +136,8 @@
 }
 
 /// A node is killed and another one starts at its address. A grant for the first one reaches the
-/// second, whose rounds have the same numbers.
+/// second, whose rounds have the same numbers. Counted for the second, it would give it a lease that
+/// no member granted.
 #[test]
 fn grant_to_previous_incarnation_at_same_address_is_ignored() {
     let mut cluster = Cluster::new(3);
@@ -288,12 +290,12 @@
         cluster.join(joined, joined as u16);
         joined += 1;
     }
-    let middle = bilberry_once::slot_home(&cluster.members(), key.slot())
+    let intermediate = bilberry_once::slot_home(&cluster.members(), key.slot())
         .unwrap()
         .incarnation
         .0;
-    cluster.leave(middle);
-    assert!(!cluster.home(middle).is_handed_over());
+    cluster.leave(intermediate);
+    assert!(!cluster.home(intermediate).is_handed_over());
     cluster.nodes[&3].reads_log = true;
     cluster.read_log();
     cluster.advance(ms(2_000));
@@ -305,7 +307,7 @@
         &mut cluster,
         &[(new_home, key, BeginResult::Done(response()))],
     );
-    assert!(cluster.home(middle).is_handed_over());
+    assert!(cluster.home(intermediate).is_handed_over());
 }
 
 /// The log is unavailable for an hour while all instances are up. Runs must still start. After two
@@ -349,7 +351,8 @@
     }
 }
 
-/// Two groups of regions lose contact, and each has half of a service. Exactly one half must go on.
+/// Two groups of regions lose contact, and each has half of a service. Exactly one half must keep
+/// its leases.
 #[test]
 fn even_split_leaves_leases_on_one_side_only() {
     let mut cluster = Cluster::new(6);
@@ -365,7 +368,7 @@
     assert_eq!(leased, [1, 2, 3]);
 }
 
-/// A live node is evicted by mistake and reads of it. Its records must reach the new homes, and
+/// A live node is evicted by mistake and reads this in the log. Its records must reach the new homes, and
 /// then it must be told to restart as a new incarnation.
 #[test]
 fn evicted_node_hands_over_records_and_is_expelled() {
@@ -389,7 +392,7 @@
         .contains(&bilberry_once::Effect::Expelled));
 }
 
-/// A node starts that reaches the store but no other node, and the others evict it. It holds no
+/// A node that has just started reaches the store but no other node, and the others evict it. It holds no
 /// slot and expects no message, so only a timer can wake it up. Left running, it would never be in
 /// a view again, and the service would be short of one instance until an operator noticed.
 #[test]
--- a/crates/once/tests/random.rs
+++ b/crates/once/tests/random.rs
@@ -8,10 +8,11 @@
 use proptest::prelude::*;
 use proto::KeyHash;
 
-/// A random event. The numbers select one of the current members.
+/// A random event. Numbers of nodes select one of the current members.
 #[derive(Debug, Clone)]
 enum Event {
-    /// A call with a key is made at all nodes, as if each caller assumed a different home.
+    /// A call with a key is made at all nodes that are not paused, as if each caller assumed a
+    /// different home.
     Call(u8),
     /// Time passes, in milliseconds.
     Advance(u16),
--- a/crates/proto/src/codec.rs
+++ b/crates/proto/src/codec.rs
@@ -27,7 +27,7 @@
 /// assert_eq!(decode::<Frame>(&bytes), Ok(Frame::Ping(4)));
 /// ```
 pub fn encode<T: Serialize>(message: &T) -> Vec<u8> {
-    postcard::to_stdvec(message).expect("plain messages always encode")
+    postcard::to_stdvec(message).expect("messages contain only types that postcard can encode")
 }
 
 /// Decodes a message that occupies all of `bytes`.
--- a/crates/proto/src/datagram.rs
+++ b/crates/proto/src/datagram.rs
@@ -12,7 +12,7 @@
     pub struct SyncProgress {
         /// The version of the rules in force; 0 if there are none yet.
         pub rules_version: u64,
-        /// Offset of the next record to read from the topic of views.
+        /// Offset of the next record to read from the log, the topic that holds rules and views.
         pub next_offset: u64,
     }
 }
@@ -122,7 +122,7 @@
         Report {
             /// The `request_id` of the query.
             request_id: u64,
-            /// The version of the rules that the sender holds.
+            /// The version of the rules in force at the sender.
             rules_version: u64,
             /// Milliseconds between the last time at which `rules_version` was known to be the newest
             /// version and the handling of the query.
--- a/crates/proto/src/frame.rs
+++ b/crates/proto/src/frame.rs
@@ -64,13 +64,14 @@
         RunFinished(Box<KeyRecord>),
         /// The receiver of [`Frame::RunFinished`] has stored the record.
         RunFinishedAck(KeyHash),
-        /// Requests state newer than this; sent by a node that gets no answer from the store.
+        /// Requests state newer than this; sent by a node that does not or cannot
+        /// read it from the store.
         FetchState(SyncProgress),
-        /// The receiver's state, as encoded by the journal package.
+        /// Answers [`Frame::FetchState`] with the sender's state, as encoded by the journal package.
         State(Bytes),
         /// Requests the status page; sent by `bilberryctl`.
         FetchStatus,
-        /// The status page, as lines of a key and a value.
+        /// Answers [`Frame::FetchStatus`] with the status page, as lines of a key and a value.
         Status(Bytes),
         /// The call with this id is running and has exceeded the usual latency of its operation, so
         /// the caller may send a second attempt elsewhere.
--- a/crates/proto/src/ids.rs
+++ b/crates/proto/src/ids.rs
@@ -1,4 +1,5 @@
-//! Identifiers. None is ever reused.
+//! Identifiers. An incarnation, and thus every call and run id, is never reused; the ids of actions
+//! and organisations are hashes of what they identify.
 
 use siphasher::sip128::Hasher128;
 use siphasher::sip128::SipHasher13;
@@ -15,7 +16,7 @@
 }
 
 plain! {
-    /// Stands in for an organisation's name in messages and tables.
+    /// Hash of an organisation's name, used instead of the name in messages and tables.
     #[derive(Hash, PartialOrd, Ord)]
     pub struct OrganisationId(pub u64);
 }
--- a/crates/proto/src/key.rs
+++ b/crates/proto/src/key.rs
@@ -7,7 +7,8 @@
 use stdx::data;
 use stdx::plain;
 
-/// Number of slots that the key space of a service is divided into. Ownership moves in whole slots.
+/// Number of slots that the key space of a service is divided into. Keys move between home nodes
+/// only as whole slots.
 pub const SLOT_COUNT: u16 = 256;
 
 data! {
--- a/crates/proto/src/transfer.rs
+++ b/crates/proto/src/transfer.rs
@@ -27,7 +27,7 @@
         Running(Incarnation),
         /// The run ended with this complete response.
         Done(Response),
-        /// The request may have been executed, and there is no way left to find out.
+        /// The request may have been executed, and its outcome can no longer be determined.
         Unknown,
         /// The request was certainly not executed; the record is void and the key may be reused.
         NotRun,
@@ -41,7 +41,7 @@
         pub service: std::sync::Arc<str>,
         /// The slot.
         pub slot: u16,
-        /// The view that moved it.
+        /// The number of the view that moved it.
         pub view: u64,
         /// The previous home node, which no longer starts runs for this slot.
         pub from: Incarnation,
@@ -52,8 +52,9 @@
         pub parts: u16,
         /// The live records of the slot that are in this part.
         pub records: Vec<KeyRecord>,
-        /// Milliseconds during which a key without a record may still have been executed, because
-        /// an earlier home node was lost together with its records; 0 if no records were lost.
+        /// Remaining milliseconds during which a request whose key has no record may have been
+        /// executed, because an earlier home node was lost together with its records; 0 if no
+        /// records were lost.
         pub uncertain_ms: u32,
     }
 }
