--- a/crates/journal/src/fold.rs
+++ b/crates/journal/src/fold.rs
@@ -22,8 +22,8 @@
 /// Maximum number of services that ever had a view.
 pub const MAX_SERVICES: usize = 256;
 
-/// Number of departed incarnations that the topic keeps records of; beyond it the oldest are
-/// forgotten. Each has two records of about 100 bytes, so a starting node reads at most 200 KB of
+/// Maximum number of departed incarnations whose records stay in the topic; beyond it the oldest
+/// are deleted. Each has two records of about 100 bytes, so a starting node reads at most 200 KB of
 /// them.
 pub const MAX_DEPARTED: usize = 1024;
 
@@ -64,9 +64,9 @@
         }
     }
 
-    /// Continues at a later offset. The records in between were superseded or deleted.
-    pub fn skip_to(&mut self, next: u64) {
-        self.next_offset = self.next_offset.max(next);
+    /// Continues at a later offset, because the records in between were superseded or deleted.
+    pub fn skip_to(&mut self, next_offset: u64) {
+        self.next_offset = self.next_offset.max(next_offset);
     }
 
     fn fold(&mut self, offset: u64, record: Record) -> Change {
@@ -130,7 +130,7 @@
         Change::View(service)
     }
 
-    /// Evicts the member at the address of a joining instance, which proves that the member's
+    /// Evicts the member at the address of a joining instance. The join proves that the member's
     /// process has ended.
     fn evict_at_address(&mut self, offset: u64, joining: &Instance) {
         let old = self.instances().find(|old| old.addr == joining.addr);
@@ -141,7 +141,7 @@
 
     fn leave(&mut self, offset: u64, incarnation: Incarnation) -> Change {
         let change = self.depart(offset, incarnation, Departure::Left);
-        // Also prevents a later join of an incarnation that has not joined yet.
+        // The `Leave` may precede the `Join` of its incarnation, which is then ignored.
         self.remember_departed(offset, incarnation);
         change
     }
@@ -188,8 +188,8 @@
         })
     }
 
-    /// Whether a `Join` of this instance would be accepted. One that would not must not be
-    /// appended, because a reader that starts after other instances were forgotten could accept it.
+    /// Whether a `Join` of this instance is within the limits. Otherwise it must not be appended,
+    /// because a reader that starts after other instances were forgotten could accept it.
     pub fn can_join(&self, instance: &Instance) -> bool {
         let has_view = self.views.contains_key(&instance.service);
         has_valid_names(instance)
--- a/crates/journal/src/lib.rs
+++ b/crates/journal/src/lib.rs
@@ -1,6 +1,7 @@
-//! The replicated state shared by all nodes: the records of a topic on the store, and the fold that
-//! computes the state from them. Every reader computes the same state, whether it reads all records
-//! or starts from the newest record of each key.
+//! The replicated state shared by all nodes: the rules in force and the views of each service. It
+//! is computed by a fold over the records of one topic of the store, which other packages call the
+//! log. Every reader computes the same state, whether it reads all records or starts from the
+//! newest record of each key.
 //!
 //! This package does no I/O. It knows nothing about how records are transported, or about calls and
 //! leases.
--- a/crates/journal/src/record.rs
+++ b/crates/journal/src/record.rs
@@ -22,8 +22,8 @@
         Publish {
             /// One more than the previous version.
             version: u64,
-            /// Chosen by the operator's tool, so that after a lost answer it can find out by
-            /// reading whether the record was appended.
+            /// Random id chosen by the operator's tool. If the answer of the store is lost, the
+            /// tool reads the topic and can tell by the id whether the record was appended.
             publication: u128,
             /// The operator who publishes.
             operator: Arc<str>,
@@ -32,7 +32,7 @@
         },
         /// A node joins.
         Join(Instance),
-        /// A node leaves as planned. It has stopped starting work for the keys that it owns.
+        /// A node leaves as planned. It has stopped starting runs for the keys that it is home to.
         Leave(Incarnation),
         /// A node is evicted by another one that considers it dead.
         Evict {
@@ -51,7 +51,7 @@
     }
 }
 
-/// A key of the topic and its new value; an empty value deletes the key.
+/// A key of the topic and its new value. An empty value deletes the key.
 pub type TopicEntry = (Arc<str>, Bytes);
 
 impl Record {
--- a/crates/journal/src/restore.rs
+++ b/crates/journal/src/restore.rs
@@ -17,8 +17,8 @@
 /// none can be forgotten.
 const MAX_PEER_DEPARTED: usize = 8 * crate::fold::MAX_DEPARTED;
 
-/// Sorts the newest values of all keys by offset, without those at or after `end`. Those were
-/// appended while the pages were read; they are read again in order, starting at `end`.
+/// Sorts the newest values of all keys by offset, and drops those at or after `end`. They were
+/// appended while the values were read page by page, and are read again in order from `end` on.
 ///
 /// # Examples
 ///
@@ -58,15 +58,17 @@
     }
 
     /// Whether this state, built from the newest records, contains all departures since `offset`.
-    /// Otherwise a reader that has read up to `offset` would miss a view.
+    /// If it does not, a reader that has read up to `offset` must not continue with it, because it
+    /// would miss a view.
     pub fn is_complete_since(&self, offset: u64) -> bool {
         self.last_forgotten.is_none_or(|departed| departed < offset)
     }
 
-    /// Adopts the parts of another reader's state that are newer, unless any part would go back.
+    /// Adopts the parts of another reader's state that are newer, unless any part is older than
+    /// here.
     ///
     /// Without this check a stale copy could put older rules in force, or an older view could
-    /// determine which instance owns a key.
+    /// determine which instance is home to a key.
     ///
     /// # Examples
     ///
@@ -94,7 +96,7 @@
         if !rules_newer && !views_newer {
             return Change::Stale;
         }
-        if !other.is_within_limits() || (views_newer && other.goes_back_from(self)) {
+        if !other.is_within_limits() || (views_newer && other.regresses_from(self)) {
             return Change::Invalid;
         }
         if rules_newer {
@@ -143,7 +145,7 @@
         Change::Rules
     }
 
-    /// Whether the state keeps the limits that the fold enforces, as every correct state does.
+    /// Whether the state is within the limits that the fold enforces, as every valid state is.
     fn is_within_limits(&self) -> bool {
         self.instances().count() <= MAX_INSTANCES
             && self.views.len() <= MAX_SERVICES
@@ -156,7 +158,7 @@
 
     /// Whether the rules or a view are older than those of `earlier`. Versions and views of one
     /// topic are totally ordered, so a state that is ahead in one cannot be behind in the other.
-    fn goes_back_from(&self, earlier: &State) -> bool {
+    fn regresses_from(&self, earlier: &State) -> bool {
         let rules_older = self.rules_version < earlier.rules_version
             || (self.rules_version == earlier.rules_version && self.file != earlier.file);
         // A reader that started late does not know views created by forgotten departures.
--- a/crates/journal/src/state.rs
+++ b/crates/journal/src/state.rs
@@ -36,7 +36,7 @@
         pub next_offset: u64,
         /// The version of the rules in force; 0 if there are none.
         pub rules_version: u64,
-        /// The id of the publication of these rules.
+        /// The id of the publication that put these rules in force; see [`crate::Record::Publish`].
         pub publication: u128,
         /// The operator who published them.
         pub operator: Arc<str>,
@@ -56,7 +56,7 @@
 }
 
 impl State {
-    /// How current this state is.
+    /// How far this state has caught up.
     pub fn progress(&self) -> SyncProgress {
         SyncProgress {
             rules_version: self.rules_version,
--- a/crates/journal/src/view.rs
+++ b/crates/journal/src/view.rs
@@ -9,10 +9,11 @@
 const MAX_RECENT_CHANGES: usize = 16;
 
 data! {
-    /// The members of a service at one point in the topic. The number only increases.
+    /// The members of a service as of one offset of the topic.
     #[derive(Default)]
     pub struct View {
-        /// The offset of the record that created this view.
+        /// The offset of the record that created this view, so that later views of the service have
+        /// higher numbers.
         pub number: u64,
         /// The members, in the order of joining.
         pub members: Vec<Instance>,
--- a/crates/journal/tests/newest.rs
+++ b/crates/journal/tests/newest.rs
@@ -1,5 +1,5 @@
-//! All records but the newest of each key expire. A reader that starts from the newest ones must
-//! compute the same state as one that read all records.
+//! The topic keeps only the newest record of each key permanently. A reader that starts from those
+//! must compute the same state as one that read all records.
 
 use bilberry_journal::Change;
 use bilberry_journal::Record;
@@ -130,7 +130,7 @@
     #![proptest_config(config())]
 
     /// A node starts after the first records have expired. If it computed another state than the
-    /// others, it would use other rules or consider another instance the owner of a key, and an
+    /// others, it would use other rules or consider another instance the home of a key, and an
     /// order could run twice.
     #[test]
     fn the_newest_records_fold_to_the_same_state(
@@ -169,7 +169,7 @@
     /// A node receives a stale copy of the state from a peer. Adopting it would put replaced rules
     /// back in force.
     #[test]
-    fn adopting_a_copy_never_goes_back(
+    fn adopting_a_copy_never_regresses_the_state(
         steps in prop::collection::vec(step(), 1..60),
         other_steps in prop::collection::vec(step(), 1..60),
         next_offset in 0..200u64,
--- a/crates/membership/src/apply_updates.rs
+++ b/crates/membership/src/apply_updates.rs
@@ -17,7 +17,7 @@
         }
     }
 
-    /// Applies what a message's sender says about itself, and records that it was heard.
+    /// Applies what a message's sender says about itself, and records when it was last heard.
     pub(crate) fn apply_sender(&mut self, now: Time, sender: &PeerUpdate, load: LoadReport) {
         self.apply_update(now, sender);
         if let Some(entry) = self.peers.get_mut(&sender.instance.incarnation) {
@@ -68,8 +68,8 @@
         *occupant == incarnation || self.peers.get(occupant).is_none_or(PeerEntry::is_dead)
     }
 
-    /// Overrides a wrong update about this node. Only this node assigns its own revisions, so a
-    /// higher one takes precedence over what others say about it.
+    /// Overrides a wrong update about this node by a higher revision. Only this node assigns its
+    /// own revisions, so a higher one takes precedence over what others say about it.
     fn refute(&mut self, update: &PeerUpdate) {
         let is_wrong = update.state != self.my_state();
         if update.revision > self.revision || (update.revision == self.revision && is_wrong) {
--- a/crates/membership/src/config.rs
+++ b/crates/membership/src/config.rs
@@ -7,10 +7,10 @@
 pub struct Config {
     /// Time between two probes by this node.
     pub probe_interval: Duration,
-    /// How long an ack may take before other nodes are asked to probe the peer. They have the rest
-    /// of the probe interval.
+    /// How long an ack may take before other nodes are asked to probe the peer. The indirect probes
+    /// have the rest of the probe interval to succeed.
     pub ack_timeout: Duration,
-    /// How long a suspect may refute before it is considered dead.
+    /// How long a suspect has to refute the suspicion before it is considered dead.
     pub suspicion_timeout: Duration,
     /// Number of nodes that are asked to probe a peer that did not ack.
     pub indirect_probes: usize,
@@ -23,11 +23,13 @@
     pub gossip_fanout: usize,
     /// Each update is sent this many times the binary logarithm of the fleet size.
     pub retransmit_mult: u32,
-    /// Time between two comparisons of the whole table by this node.
+    /// Minimum time between two pulls by this node. After a pull that brought news, it is only
+    /// `probe_interval`.
     pub sync_interval: Duration,
     /// How long a listed peer may be dead before it is evicted.
     pub evict_after: Duration,
-    /// Additional delay for each further member, in case the one before has not evicted the peer.
+    /// Additional delay before each next node requests the eviction, in case the one before it
+    /// could not reach the log.
     pub evict_stagger: Duration,
     /// Maximum number of evictions that this node requests per minute.
     pub evictions_per_minute: usize,
--- a/crates/membership/src/digest.rs
+++ b/crates/membership/src/digest.rs
@@ -1,8 +1,8 @@
 //! Digests of the peer table, which let two nodes detect cheaply that their tables differ, and
 //! where.
 //!
-//! Updates are sent a limited number of times, so without digests a node that was partitioned, or
-//! that joined on the other side of a partition, would never become known. Every probe carries a
+//! Each update is sent a limited number of times, so without digests a node that was partitioned,
+//! or that joined on the other side of a partition, would never become known. Every probe carries a
 //! digest, and nodes whose digests differ exchange only the buckets that differ.
 
 use crate::members::Membership;
@@ -17,7 +17,7 @@
 use std::net::SocketAddr;
 use stdx::Time;
 
-/// With 700 nodes, a bucket fills about one datagram.
+/// Number of buckets. With 700 nodes, the entries of one bucket fill about one datagram.
 const BUCKETS: usize = 32;
 
 /// Maximum number of datagrams in response to one pull.
@@ -27,7 +27,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct Digests {
     buckets: Option<[u32; BUCKETS]>,
-    next_pull: Time,
+    next_pull_at: Time,
 }
 
 impl Digests {
@@ -63,12 +63,12 @@
         buckets
     }
 
-    /// Asks for the differing buckets if a pull is due.
+    /// Requests the entries in differing buckets from a node with another digest, if a pull is due.
     pub(crate) fn pull_if_different(&mut self, now: Time, with: SocketAddr, digest: u64) {
-        if now < self.digests.next_pull || digest == self.digest() {
+        if now < self.digests.next_pull_at || digest == self.digest() {
             return;
         }
-        self.digests.next_pull = now + self.cfg.sync_interval;
+        self.digests.next_pull_at = now + self.cfg.sync_interval;
         let digests = self.buckets().to_vec();
         self.send(with, MemberMessage::Pull { digests });
     }
@@ -107,11 +107,11 @@
     pub(crate) fn on_pull_reply(&mut self, now: Time, updates: &[PeerUpdate]) {
         let before = self.effects.len();
         self.apply_updates(now, updates);
-        let learned = self.effects[before..]
+        let has_news = self.effects[before..]
             .iter()
             .any(|effect| matches!(effect, Effect::PeerChanged { .. }));
-        if learned {
-            self.digests.next_pull = now + self.cfg.probe_interval;
+        if has_news {
+            self.digests.next_pull_at = now + self.cfg.probe_interval;
         }
     }
 }
--- a/crates/membership/src/domain.rs
+++ b/crates/membership/src/domain.rs
@@ -21,13 +21,14 @@
 /// node per second, and is probed about as often.
 const ISOLATED_AFTER: Duration = Duration::from_millis(1500);
 
-/// A node that has just started knows few others yet. If it decided by those, nearly all nodes of a
-/// fleet that starts at once would read the store.
+/// How long after its start a node does not read the store for its domain. It knows few others yet;
+/// if it decided by those, nearly all nodes of a fleet that starts at once would read the store.
 const STARTUP_GRACE: Duration = Duration::from_secs(2);
 
 impl Membership {
-    /// Whether this node reads the store, as far as it knows. Nodes that know different peers may
-    /// decide differently; until they agree, more or fewer nodes read the store.
+    /// Whether this node reads new content from the store, as far as it knows. Nodes that know
+    /// different peers may decide differently; until they agree, more or fewer nodes read the
+    /// store.
     pub fn is_store_reader(&self, now: Time) -> bool {
         let started = self.started_at.unwrap_or(now);
         if now.since(started) < STARTUP_GRACE {
@@ -36,17 +37,19 @@
         let isolated = self
             .last_message_at
             .is_none_or(|at| now.since(at) >= ISOLATED_AFTER);
-        isolated || (!self.leaving && self.lower_live_in_domain() < STORE_READERS_PER_DOMAIN)
+        isolated
+            || (!self.leaving
+                && self.live_lower_incarnations_in_domain() < STORE_READERS_PER_DOMAIN)
     }
 
-    /// Whether this node queries the store on behalf of its failure domain. One node per domain
-    /// does, so that the number of queries grows with the number of failure domains rather than
-    /// nodes.
+    /// Whether this node regularly asks the store for the newest rules version on behalf of its
+    /// failure domain. One node per domain does, so that the number of queries grows with the
+    /// number of failure domains rather than nodes.
     pub fn is_domain_leader(&self, now: Time) -> bool {
         let is_settled = self
             .started_at
             .is_some_and(|started| now.since(started) >= STARTUP_GRACE);
-        is_settled && !self.leaving && self.lower_live_in_domain() == 0
+        is_settled && !self.leaving && self.live_lower_incarnations_in_domain() == 0
     }
 
     /// The `nth` live peer of this node's failure domain, ordered by incarnation.
@@ -65,7 +68,7 @@
     }
 
     /// Number of live peers of this node's failure domain that have a lower incarnation.
-    fn lower_live_in_domain(&self) -> usize {
+    fn live_lower_incarnations_in_domain(&self) -> usize {
         let peers = self.peers().filter(|peer| {
             self.is_live_in_own_domain(peer) && peer.instance.incarnation < self.me.incarnation
         });
--- a/crates/membership/src/evict.rs
+++ b/crates/membership/src/evict.rs
@@ -27,9 +27,10 @@
 /// How long a requested eviction may take to show in the roster before it is requested again.
 const EVICTION_RETRY_INTERVAL: Duration = Duration::from_secs(10);
 
+/// The evictions that this node requests.
 #[derive(Debug, Default)]
 pub(crate) struct Evictions {
-    /// When this node requested its recent evictions.
+    /// When each eviction of the last [`EVICTION_RATE_WINDOW`] was requested.
     recent: VecDeque<Time>,
     check: Option<ConnectivityCheck>,
 }
@@ -107,7 +108,7 @@
         }
     }
 
-    /// Dead peers that this node has to evict by now.
+    /// Dead peers whose eviction this node has to request by now.
     fn due_evictions(&self, now: Time) -> Vec<Incarnation> {
         if !self.listed || self.leaving {
             return Vec::new();
@@ -130,9 +131,9 @@
         due.map(|(incarnation, _)| *incarnation).collect()
     }
 
-    /// Number of live members of the dead peer's service that precede this node by rendezvous hash.
-    /// If the service has no live member, all live members count. `None` if this node is not a
-    /// candidate.
+    /// The position of this node in the order in which nodes request the eviction: the number of
+    /// live listed members of the dead peer's service with a higher rendezvous hash. If the service
+    /// has none, those of all services count. `None` if this node is not a candidate.
     fn rank(&self, dead: Incarnation, service: &str) -> Option<u32> {
         let my_hash = hash64(&(self.me.incarnation, dead));
         let live = || {
@@ -151,7 +152,7 @@
         }
     }
 
-    /// Whether more than half of all nodes known to this one, itself included, are alive.
+    /// Whether more than half of all known nodes, including this one, are alive.
     pub(crate) fn sees_live_majority(&self) -> bool {
         let known = self.peers.values().filter(|entry| !entry.retired);
         let known = known.filter(|entry| entry.listed || !entry.is_dead());
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -4,8 +4,9 @@
 //! on the messages that it sends anyway, and compares digests so that lost updates are recovered
 //! (Das, Gupta and Motivala, "SWIM", DSN 2002). See docs/MEMBERSHIP.md for the reasons.
 //!
-//! This crate does no I/O and reads no clock. It knows nothing about calls, keys or the log; the
-//! views in the log are passed to it as a roster.
+//! This crate does no I/O and reads no clock. It knows nothing about calls, keys or the log. The
+//! members of all current views in the log are passed to it as a roster, and a peer on it is called
+//! listed.
 
 mod apply_updates;
 mod config;
--- a/crates/membership/src/members.rs
+++ b/crates/membership/src/members.rs
@@ -40,8 +40,8 @@
 /// so a few live ones are enough to discover all peers.
 const MAX_CONTACT_PINGS: usize = 32;
 
-/// How long after the start contacts count as nodes although no node was heard of there. Some
-/// contact addresses are out of date.
+/// How long after the start a contact address at which no node was heard of counts as a node. It
+/// does not count forever, because some contact addresses are out of date.
 const UNSEEN_CONTACT_WINDOW: Duration = Duration::from_secs(60);
 
 /// An action for the driver to perform.
@@ -54,16 +54,16 @@
         /// The message.
         message: MemberMessage,
     },
-    /// The state of a peer changed, or whether it accepts work.
+    /// A peer changed its state or started or stopped accepting new work.
     PeerChanged {
         /// The peer.
         incarnation: Incarnation,
         /// Its current state.
         state: PeerState,
     },
-    /// Ask the log to remove a peer.
+    /// Append the eviction of this peer to the log.
     Evict(Incarnation),
-    /// The table is full: a peer known only from updates was left out.
+    /// The table is full, so a peer known only from updates was not added.
     TableFull,
 }
 
@@ -202,8 +202,8 @@
         .min()
     }
 
-    /// Announces that this instance is leaving: directly to recently heard peers, to the others by
-    /// gossip.
+    /// Announces that this instance is leaving: directly to peers that were heard recently, to the
+    /// others by gossip.
     pub fn leave(&mut self, now: Time) -> Vec<Effect> {
         if !self.leaving {
             self.leaving = true;
@@ -231,7 +231,7 @@
     }
 
     /// Announces by gossip whether this node's backend server accepts new work. Gossip reaches a
-    /// large fleet in a few rounds, while a load report would reach most nodes only with the next
+    /// large fleet in a few rounds, while a load report reaches another node only with the next
     /// probe between the two. Returns whether the value changed.
     pub fn set_accepting_work(&mut self, accepts_work: bool) -> bool {
         let changed = self.accepts_work != accepts_work;
@@ -242,8 +242,8 @@
         changed
     }
 
-    /// Pings the nodes at these addresses and keeps the addresses as contacts. Some may be gone;
-    /// those that answer tell of the other nodes.
+    /// Keeps these addresses as contacts and pings some of them, in random order. Nodes that answer
+    /// pass on what they know of other nodes.
     pub fn add_contacts(&mut self, addrs: &[SocketAddr]) -> Vec<Effect> {
         let others = addrs.iter().filter(|addr| **addr != self.me.addr);
         let mut others: Vec<SocketAddr> = others.copied().collect();
@@ -289,9 +289,9 @@
     }
 
     /// Number of nodes that may be operating, including this one. Unlike [`Membership::fleet_size`]
-    /// it excludes nodes that have announced their leave, and includes contact addresses at which
-    /// no node was heard of yet: a node that starts in a small part of a partitioned fleet must not
-    /// consider that part the whole fleet.
+    /// it excludes nodes that have ended after announcing that they were leaving, and includes
+    /// contact addresses at which no node was heard of yet: a node that starts in a small part of a
+    /// partitioned fleet must not consider that part the whole fleet.
     pub fn voter_count(&self, now: Time) -> usize {
         let peers = self.incarnation_by_addr.iter().filter(|(addr, occupant)| {
             let entry = self.peers.get(*occupant);
@@ -346,7 +346,7 @@
         }
     }
 
-    /// The updates for one datagram, with `first` at the front.
+    /// The updates to send in one datagram, with `first` at the front.
     pub(crate) fn take_updates(&mut self, first: Option<PeerUpdate>) -> Vec<PeerUpdate> {
         let mine = self.my_update();
         self.update_queue.take(first, |peer| {
--- a/crates/membership/src/peer.rs
+++ b/crates/membership/src/peer.rs
@@ -19,6 +19,7 @@
     pub accepts_work: bool,
 }
 
+/// An entry of the peer table.
 #[derive(Debug)]
 pub(crate) struct PeerEntry {
     pub(crate) peer: Peer,
@@ -34,7 +35,7 @@
     pub(crate) state_since: Time,
     /// When this node last received a message from the peer itself.
     pub(crate) last_heard: Option<Time>,
-    /// When the peer is considered dead unless it refutes.
+    /// When the peer, a suspect, is considered dead unless it refutes the suspicion.
     pub(crate) suspicion_deadline: Option<Time>,
     /// When this node last requested the eviction of the peer.
     pub(crate) eviction_requested_at: Option<Time>,
@@ -61,7 +62,7 @@
         }
     }
 
-    /// Whether the process has ended after announcing that it was leaving.
+    /// Whether the peer announced that it was leaving and is now considered dead.
     pub(crate) fn has_left(&self) -> bool {
         self.was_leaving && self.is_dead()
     }
--- a/crates/membership/src/probe.rs
+++ b/crates/membership/src/probe.rs
@@ -24,7 +24,7 @@
 /// Maximum number of addresses waiting to be checked for a new incarnation.
 const MAX_ADDR_CHECKS: usize = 64;
 
-/// In one of this many periods, a dead peer and a contact are pinged as well.
+/// Once in this many periods a contact, and once a dead peer, is pinged in addition to the probe.
 const RECONNECT_EVERY: u64 = 8;
 
 /// A probe that waits for its ack.
@@ -130,6 +130,7 @@
         }
     }
 
+    /// Ends the current probe. Its target becomes a suspect if no ack has arrived.
     fn conclude_probe(&mut self, now: Time) {
         let Some(probe) = self.probes.current.take() else {
             return;
--- a/crates/membership/src/roster.rs
+++ b/crates/membership/src/roster.rs
@@ -1,4 +1,5 @@
-//! Lists and retires peers, by the log's roster and by which incarnation answers at an address.
+//! Marks peers as listed or retired, according to the log's roster and to which incarnation answers
+//! at an address.
 
 use crate::members::Membership;
 use crate::Effect;
@@ -10,10 +11,10 @@
 use stdx::Time;
 
 impl Membership {
-    /// Applies the log's roster. A peer that was listed and no longer is will not come back, unless
-    /// the log lists it again. It is not considered dead before it stops answering, because it may
-    /// still be finishing its work in flight. These changes are not gossiped: the other nodes read
-    /// the same log, and those that cannot find the difference by digests.
+    /// Applies the log's roster. A peer that is no longer listed is retired until the log lists it
+    /// again. It is not considered dead before it stops answering, because it may still be
+    /// finishing its work in flight. These changes are not gossiped: the other nodes read the same
+    /// log, and those that cannot read it find the difference by digests.
     pub fn set_roster<'a>(
         &mut self,
         now: Time,
@@ -26,16 +27,16 @@
             .map(|(incarnation, _)| (*incarnation, ()))
             .collect();
         self.listed = false;
-        let mut listed = Vec::new();
+        let mut newly_listed = Vec::new();
         for instance in roster {
             if unlisted.swap_remove(&instance.incarnation).is_none() {
-                listed.push(instance);
+                newly_listed.push(instance);
             }
         }
         for (incarnation, ()) in unlisted {
             self.on_unlisted(now, incarnation);
         }
-        for instance in listed {
+        for instance in newly_listed {
             self.on_listed(now, instance);
         }
         std::mem::take(&mut self.effects)
@@ -147,7 +148,8 @@
         }
     }
 
-    /// Removes entries of peers that have been dead for long and are not listed.
+    /// Removes the entries of unlisted peers that have been dead for
+    /// [`crate::Config::forget_after`].
     pub(crate) fn forget_dead_peers(&mut self, now: Time) {
         let after = self.cfg.forget_after;
         let incarnation_by_addr = &mut self.incarnation_by_addr;
@@ -162,7 +164,7 @@
     }
 }
 
-/// The state assumed for a listed peer before it was heard.
+/// The update assumed for a listed peer from which no message has arrived yet.
 fn initial_update(instance: &Instance, state: PeerState) -> PeerUpdate {
     PeerUpdate {
         instance: instance.clone(),
--- a/crates/membership/src/suspects.rs
+++ b/crates/membership/src/suspects.rs
@@ -1,4 +1,4 @@
-//! Suspects, and the time they have to refute.
+//! Suspects, and the period in which they may refute the suspicion.
 
 use crate::members::Membership;
 use proto::Incarnation;
@@ -9,7 +9,7 @@
 const MAX_PINGS_AFTER_PAUSE: usize = 32;
 
 impl Membership {
-    /// Starts the period in which the peer may refute, unless it is already running.
+    /// Starts the period in which the peer may refute the suspicion, unless it is already running.
     pub(crate) fn start_suspicion(&mut self, now: Time, incarnation: Incarnation) {
         let at = now + self.cfg.suspicion_timeout;
         if let Some(entry) = self.peers.get_mut(&incarnation) {
@@ -20,6 +20,7 @@
         }
     }
 
+    /// Marks suspects as dead whose period to refute has ended.
     pub(crate) fn expire_suspicions(&mut self, now: Time) {
         while let Some((at, incarnation)) = self.suspects.first().copied() {
             if at > now {
@@ -30,9 +31,9 @@
                 continue;
             };
             entry.suspicion_deadline = None;
-            let is_recent = |at: Time| now.since(at) < self.cfg.suspicion_timeout;
-            // The suspicion of a leaving peer is not announced, so it cannot refute it. Having been
-            // heard is enough.
+            let is_recent = |heard_at: Time| now.since(heard_at) < self.cfg.suspicion_timeout;
+            // The suspicion of a leaving peer is not announced, so the peer cannot refute it. Any
+            // message received from it meanwhile ends the suspicion instead.
             let leaving = entry.peer.state == PeerState::Leaving;
             if leaving && entry.last_heard.is_some_and(is_recent) {
                 continue;
--- a/crates/membership/src/update_queue.rs
+++ b/crates/membership/src/update_queue.rs
@@ -1,11 +1,11 @@
-//! Updates that still have to be passed on.
+//! Queue of the updates to send with the next messages.
 
 use indexmap::IndexMap;
 use proto::Incarnation;
 use proto::PeerUpdate;
 
-/// Maximum size of the updates in one datagram. The rest of a message included, it stays below
-/// 1,200 bytes, which no usual path fragments.
+/// Maximum size of the updates in one datagram. Together with the rest of the message, a datagram
+/// stays below 1,200 bytes, which common network paths do not fragment.
 const MAX_UPDATE_BYTES: usize = 1000;
 
 /// Peers with pending updates, and how often each update is still to be sent.
--- a/crates/membership/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -28,7 +28,9 @@
     pub evictions: Vec<Incarnation>,
     /// Number of times that this node suspected a peer or learned of a suspicion.
     pub suspected: u32,
-    pub died: u32,
+    /// Number of times that this node considered a peer dead or learned that it was.
+    pub deaths: u32,
+    /// Sequence number of the last ping that this node sent.
     pub last_ping: u64,
     pub sent: u64,
     pub sent_bytes: u64,
@@ -97,7 +99,7 @@
             up: true,
             evictions: Vec::new(),
             suspected: 0,
-            died: 0,
+            deaths: 0,
             last_ping: 0,
             sent: 0,
             sent_bytes: 0,
@@ -183,7 +185,7 @@
                 Effect::PeerChanged { state, .. } => {
                     let node = &mut self.nodes[number];
                     node.suspected += u32::from(state == PeerState::Suspect);
-                    node.died += u32::from(state == PeerState::Dead);
+                    node.deaths += u32::from(state == PeerState::Dead);
                 }
                 Effect::TableFull => {}
             }
--- a/crates/membership/tests/evict.rs
+++ b/crates/membership/tests/evict.rs
@@ -18,7 +18,8 @@
     all
 }
 
-/// Runs a fleet with these nodes down, and checks which evictions were requested by then.
+/// Runs a fleet with these nodes down for `time` seconds, and checks which evictions were requested
+/// by then.
 fn check(seed: u64, down: &[usize], time: u64, expected: &[usize]) -> Fleet {
     let mut fleet = Fleet::listed(seed, 12);
     fleet.run(secs(5));
@@ -47,21 +48,25 @@
     fleet.list_all();
     fleet.run(secs(30));
     assert_eq!(fleet.evicted(), incarnations(&fleet, [5].into_iter()));
-    let asked: Vec<_> = fleet
+    let requesters: Vec<_> = fleet
         .nodes
         .iter()
         .filter(|node| !node.evictions.is_empty())
         .collect();
-    assert_eq!(asked.len(), 1);
-    assert_eq!(asked[0].instance.service, fleet.nodes[5].instance.service);
+    assert_eq!(requesters.len(), 1);
+    assert_eq!(
+        requesters[0].instance.service,
+        fleet.nodes[5].instance.service
+    );
 }
 
 #[test]
 fn next_member_evicts_if_first_cannot_reach_log() {
-    // The member that is first in order may be unable to reach the log.
+    // The member that is first in order may be unable to reach the log. Here the log never removes
+    // the dead instance, so further members request its eviction as well.
     let fleet = check(1, &[5], 40, &[5]);
-    let asked = fleet.nodes.iter().filter(|node| !node.evictions.is_empty());
-    assert!(asked.count() > 1);
+    let requesters = fleet.nodes.iter().filter(|node| !node.evictions.is_empty());
+    assert!(requesters.count() > 1);
 }
 
 #[test]
--- a/crates/membership/tests/probes.rs
+++ b/crates/membership/tests/probes.rs
@@ -252,12 +252,12 @@
     fleet.loss_rate = 0.0;
     let suspects = (1..24).filter(|subject| fleet.state(0, *subject) == Some(PeerState::Suspect));
     assert!(suspects.count() > 0);
-    let died = fleet.nodes[0].died;
+    let deaths_before = fleet.nodes[0].deaths;
     fleet.nodes[0].up = false;
     fleet.run(secs(20));
     fleet.nodes[0].up = true;
     fleet.run(secs(10));
-    assert_eq!(fleet.nodes[0].died, died);
+    assert_eq!(fleet.nodes[0].deaths, deaths_before);
 }
 
 #[test]
--- a/crates/once/src/fence.rs
+++ b/crates/once/src/fence.rs
@@ -150,7 +150,8 @@
         !self.past_views.is_empty()
     }
 
-    /// Members of the superseded views that are not fenced yet. They are asked which view they know.
+    /// Members of the superseded views that are not fenced yet. They are asked which view they
+    /// know.
     pub(crate) fn unfenced_members(&self) -> impl Iterator<Item = &Instance> {
         self.past_views
             .iter()
--- a/crates/once/src/home.rs
+++ b/crates/once/src/home.rs
@@ -44,8 +44,8 @@
     pub(crate) joined: bool,
     /// Whether this node has permanently stopped starting runs and granting leases.
     pub(crate) leaving: bool,
-    /// Since when the views no longer contain this incarnation. Cleared when this is reported to the
-    /// driver.
+    /// Since when the views no longer contain this incarnation. Cleared when this is reported to
+    /// the driver.
     expelled_since: Option<Time>,
     pub(crate) lease: Lease,
     pub(crate) next_lease_round_at: Option<Time>,
@@ -145,7 +145,8 @@
         (self.records.len(), self.records.bytes())
     }
 
-    /// Whether all slots and outcomes that this node had to hand over have arrived or were given up.
+    /// Whether all slots and outcomes that this node had to hand over have arrived or were given
+    /// up.
     pub fn is_handed_over(&self) -> bool {
         self.moved_runs.is_empty() && self.moving_slots.is_empty()
     }
--- a/crates/once/src/quorum.rs
+++ b/crates/once/src/quorum.rs
@@ -14,8 +14,8 @@
 /// [`crate::Config::max_log_staleness`] has passed. So both must agree.
 const MAX_WITHOUT_TIE_BREAK: usize = 2;
 
-/// The votes of a member; 0 if `incarnation` is not a member. The oldest member has one more vote if
-/// there is a tie-break.
+/// The votes of a member; 0 if `incarnation` is not a member. The oldest member has one more vote
+/// if there is a tie-break.
 fn votes(members: &[Instance], incarnation: Incarnation) -> u32 {
     let tie_break = members.len() > MAX_WITHOUT_TIE_BREAK && members.len() % 2 == 0;
     match members
--- a/crates/once/src/runs.rs
+++ b/crates/once/src/runs.rs
@@ -168,8 +168,8 @@
         }
     }
 
-    /// How to answer a call while this node has no lease. Shortly after a change of view the call is
-    /// held, because grants usually arrive within milliseconds.
+    /// How to answer a call while this node has no lease. Shortly after a change of view the call
+    /// is held, because grants usually arrive within milliseconds.
     fn lease_wait_result(&self, now: Time) -> BeginResult {
         if now < self.lease_wait_until && !self.leaving {
             BeginResult::Wait
--- a/crates/once/src/slot.rs
+++ b/crates/once/src/slot.rs
@@ -55,8 +55,8 @@
     pub(crate) peer_lost_at: Option<Time>,
     /// Total number of parts, once known.
     pub(crate) expected_parts: Option<u16>,
-    /// Until this time, keys without a record may have run nevertheless, as reported by the previous
-    /// home.
+    /// Until this time, keys without a record may have run nevertheless, as reported by the
+    /// previous home.
     pub(crate) uncertain_until: Time,
     /// The parts received so far, by number.
     pub(crate) parts: IndexMap<u16, Vec<KeyRecord>>,
--- a/crates/once/src/slot_home.rs
+++ b/crates/once/src/slot_home.rs
@@ -1,4 +1,5 @@
-//! Determines the home of each slot among the members of a view by rendezvous hashing (Thaler and Ravishankar, 1998).
+//! Determines the home of each slot among the members of a view by rendezvous hashing (Thaler and
+//! Ravishankar, 1998).
 
 use proto::hash64;
 use proto::Incarnation;
--- a/crates/once/src/transfers.rs
+++ b/crates/once/src/transfers.rs
@@ -133,8 +133,8 @@
         true
     }
 
-    /// Takes over a slot whose previous home is gone and can start no runs any more. The runs of that
-    /// home are not known, so a call whose key it may have seen is answered with
+    /// Takes over a slot whose previous home is gone and can start no runs any more. The runs of
+    /// that home are not known, so a call whose key it may have seen is answered with
     /// [`BeginResult::Unknown`](crate::BeginResult::Unknown) until any record of the key would have
     /// expired.
     fn take_over(&mut self, now: Time, slot: u16) {
--- a/crates/once/tests/homes.rs
+++ b/crates/once/tests/homes.rs
@@ -136,8 +136,8 @@
 }
 
 /// A node is killed and another one starts at its address. A grant for the first one reaches the
-/// second, whose rounds have the same numbers. Counted for the second, it would give it a lease that
-/// no member granted.
+/// second, whose rounds have the same numbers. Accepting it would give the second a lease that no
+/// member granted it.
 #[test]
 fn grant_to_previous_incarnation_at_same_address_is_ignored() {
     let mut cluster = Cluster::new(3);
@@ -368,8 +368,8 @@
     assert_eq!(leased, [1, 2, 3]);
 }
 
-/// A live node is evicted by mistake and reads this in the log. Its records must reach the new homes, and
-/// then it must be told to restart as a new incarnation.
+/// A live node is evicted by mistake and reads this in the log. Its records must reach the new
+/// homes, and then it must be told to restart as a new incarnation.
 #[test]
 fn evicted_node_hands_over_records_and_is_expelled() {
     let mut cluster = Cluster::new(6);
@@ -392,9 +392,10 @@
         .contains(&bilberry_once::Effect::Expelled));
 }
 
-/// A node that has just started reaches the store but no other node, and the others evict it. It holds no
-/// slot and expects no message, so only a timer can wake it up. Left running, it would never be in
-/// a view again, and the service would be short of one instance until an operator noticed.
+/// A node that has just started reaches the store but no other node, and the others evict it. It
+/// holds no slot and expects no message, so only a timer can wake it up. Left running, it would
+/// never be in a view again, and the service would be short of one instance until an operator
+/// noticed.
 #[test]
 fn evicted_node_that_never_received_a_slot_is_expelled() {
     let cluster = Cluster::new(6);
--- a/crates/proto/src/datagram.rs
+++ b/crates/proto/src/datagram.rs
@@ -124,8 +124,8 @@
             request_id: u64,
             /// The version of the rules in force at the sender.
             rules_version: u64,
-            /// Milliseconds between the last time at which `rules_version` was known to be the newest
-            /// version and the handling of the query.
+            /// Milliseconds between the last time at which `rules_version` was known to be the
+            /// newest version and the handling of the query.
             age_ms: u32,
         },
     }
--- a/crates/proto/src/frame.rs
+++ b/crates/proto/src/frame.rs
@@ -67,7 +67,8 @@
         /// Requests state newer than this; sent by a node that does not or cannot
         /// read it from the store.
         FetchState(SyncProgress),
-        /// Answers [`Frame::FetchState`] with the sender's state, as encoded by the journal package.
+        /// Answers [`Frame::FetchState`] with the sender's state, as encoded by the journal
+        /// package.
         State(Bytes),
         /// Requests the status page; sent by `bilberryctl`.
         FetchStatus,
--- a/crates/rules/src/explain.rs
+++ b/crates/rules/src/explain.rs
@@ -12,13 +12,13 @@
     /// A limit of a service.
     #[derive(Hash, PartialOrd, Ord)]
     pub enum LimitKind {
-        /// Concurrent calls on one backend server.
+        /// Bounds of the concurrency limit of a backend server.
         Concurrency,
-        /// Waiting time in the queue.
+        /// Maximum time that a call waits in the queue.
         Queue,
         /// Retention of idempotency key records.
         KeyRetention,
-        /// Requests re-sent by a caller.
+        /// Percentage of requests that a caller may re-send.
         Resends,
     }
 }
@@ -94,7 +94,9 @@
                 write!(f, "concurrency={min}..{max}")
             }
             LimitKind::Queue => write!(f, "queue={}", Readable(self.max_queue_time)),
-            LimitKind::KeyRetention => write!(f, "retention={}", Readable(self.key_retention)),
+            LimitKind::KeyRetention => {
+                write!(f, "retention={}", Readable(self.key_retention))
+            }
             LimitKind::Resends => write!(f, "percent={}", self.resend_percent),
         }
     }
@@ -125,7 +127,7 @@
     }
 }
 
-/// Formats a duration as in rules, in the largest unit that divides it.
+/// Formats a duration as in a rules file, in the largest unit that divides it.
 struct Readable(Duration);
 
 impl fmt::Display for Readable {
--- a/crates/rules/src/model.rs
+++ b/crates/rules/src/model.rs
@@ -11,7 +11,7 @@
 use stdx::data;
 
 data! {
-    /// The line of a rule and the person who requested it.
+    /// Where a rule stands in the file, and who requested it.
     pub struct RuleOrigin {
         /// The line number, from 1.
         pub line: u32,
@@ -165,12 +165,12 @@
 
 impl Operation {
     fn matches(&self, service: &str, method: &str, path: &str) -> bool {
-        let method_fits = &*self.method == "*" || &*self.method == method;
-        let path_fits = match self.path.strip_suffix('*') {
+        let method_matches = &*self.method == "*" || &*self.method == method;
+        let path_matches = match self.path.strip_suffix('*') {
             Some(prefix) => path.starts_with(prefix),
             None => &*self.path == path,
         };
-        &*self.service == service && method_fits && path_fits
+        &*self.service == service && method_matches && path_matches
     }
 
     /// Whether this rule matches every call that `later` matches.
--- a/crates/rules/src/organisation.rs
+++ b/crates/rules/src/organisation.rs
@@ -159,7 +159,7 @@
         Ok(())
     }
 
-    /// Returns the organisation that a key belongs to.
+    /// Returns the organisation that has the key with this digest.
     pub fn find(&self, key: &KeyDigest) -> Option<(OrganisationId, &Organisation)> {
         let id = self.by_key.get(key)?;
         Some((*id, &self.by_id[id]))
--- a/crates/rules/src/parse.rs
+++ b/crates/rules/src/parse.rs
@@ -88,14 +88,14 @@
         return Ok(false);
     }
     let end_column = column_at(line, rule.len());
-    let by = comment
+    let requester = comment
         .and_then(|comment| comment.trim().strip_prefix("asked by "))
         .map(str::trim)
-        .filter(|by| !by.is_empty())
+        .filter(|requester| !requester.is_empty())
         .ok_or((end_column, RuleErrorKind::MissingRequester))?;
     let origin = RuleOrigin {
         line: number,
-        requested_by: by.into(),
+        requested_by: requester.into(),
     };
     let (column, keyword) = words.remove(0);
     match keyword {
--- a/crates/rules/src/parse/limits.rs
+++ b/crates/rules/src/parse/limits.rs
@@ -1,5 +1,5 @@
 //! `limit SERVICE [concurrency=MIN..MAX] [queue=TIME]`, `keys SERVICE retention=TIME` and
-//! `resends SERVICE percent=N`
+//! `resends SERVICE percent=N`.
 
 use super::words::bounded_duration;
 use super::words::parse_name;
--- a/crates/rules/src/parse/operation.rs
+++ b/crates/rules/src/parse/operation.rs
@@ -1,5 +1,5 @@
 //! `operation SERVICE METHOD PATH class=CLASS deadline=TIME [priority=N] [retries=N] [idempotent]
-//! [public]`
+//! [public]`.
 
 use super::words::bounded_duration;
 use super::words::parse_name;
--- a/crates/rules/src/parse/organisation.rs
+++ b/crates/rules/src/parse/organisation.rs
@@ -1,4 +1,4 @@
-//! `organisation NAME keys=DIGEST[,DIGEST...] [rate=N] [burst=N] [priority=N]`
+//! `organisation NAME keys=DIGEST[,DIGEST...] [rate=N] [burst=N] [priority=N]`.
 
 use super::operation::parse_priority;
 use super::operation::BAD_PRIORITY;
--- a/crates/rules/src/parse/words.rs
+++ b/crates/rules/src/parse/words.rs
@@ -44,7 +44,8 @@
 pub(super) fn parse_name<'a>(words: &[Word<'a>], end_column: u32) -> LineResult<&'a str> {
     let (column, name) = positional_word(words, 0, "service", end_column)?;
     let is_allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
-    // No instance can have any other name, and `-` refers to the node itself in a path.
+    // Nodes accept the same service names in their settings, so no instance has any other. In a
+    // request path, `-` in place of a service refers to the node itself.
     let has_valid_form = name.len() <= MAX_NAME_BYTES && name.chars().all(is_allowed);
     if !has_valid_form || matches!(name, "-" | "." | "..") {
         return Err((column, BAD_NAME));
--- a/crates/rules/tests/parse.rs
+++ b/crates/rules/tests/parse.rs
@@ -9,7 +9,8 @@
 
 const VALID_RULE: &str = "operation press POST /slots class=booking deadline=2s # asked by Anna\n";
 
-/// Parses `before` followed by `last` and compares the errors with the messages an operator sees.
+/// Parses `before` followed by `last` and compares the error messages with those that an operator
+/// must see.
 fn check(before: &str, last: &str, expected: &[&str]) {
     let messages = match Rules::parse(&format!("{before}{last}")) {
         Ok(_) => Vec::new(),
@@ -238,8 +239,8 @@
     }
 }
 
-/// The explanation must show the line that set a priority and its requester, as the reason why one
-/// lookup is shed before another.
+/// The explanation must show the line that set a priority and its requester, because the priority
+/// may be the reason why one lookup was shed before another.
 #[test]
 fn explanation_includes_the_priority() {
     let text =
--- a/crates/rules/tests/routes.rs
+++ b/crates/rules/tests/routes.rs
@@ -57,7 +57,8 @@
     check("", None);
 }
 
-/// Shares must follow the weights over the whole range of random values.
+/// The share of each target must be proportional to its weight over the whole range of random
+/// values.
 #[test]
 fn requests_are_split_by_weight() {
     let route = route(&[("a", 90), ("b", 10)]);
