--- a/crates/membership/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -237,7 +237,7 @@
         Some(peer.state)
     }
 
-    /// The distinct states in which the nodes that are up have `subject`.
+    /// The distinct states that the nodes that are up assign to `subject`.
     pub fn states(&self, subject: usize) -> Vec<Option<PeerState>> {
         let observers = (0..self.nodes.len()).filter(|at| *at != subject && self.nodes[*at].up);
         let mut states: Vec<_> = observers.map(|at| self.state(at, subject)).collect();
--- a/crates/membership/tests/mass_loss.rs
+++ b/crates/membership/tests/mass_loss.rs
@@ -40,7 +40,8 @@
     lost
 }
 
-/// Number of pairs of a node that is up and one of `lost` that it would still give new work.
+/// Number of pairs of a node that is up and a lost one that it still considers alive, and so would
+/// give new work.
 fn pairs_in_use(fleet: &Fleet, lost: &[usize]) -> usize {
     let up = (0..fleet.nodes.len()).filter(|node| fleet.nodes[*node].up);
     let pairs = up.flat_map(|node| {
--- a/crates/membership/tests/probes.rs
+++ b/crates/membership/tests/probes.rs
@@ -1,4 +1,4 @@
-//! The states in which nodes have each other after faults.
+//! The states that nodes assign to each other after faults.
 
 mod common;
 
--- a/crates/once/src/config.rs
+++ b/crates/once/src/config.rs
@@ -5,7 +5,8 @@
 /// Limits and durations of a [`Home`](crate::Home).
 ///
 /// All nodes of a service must use the same `lease`, `margin` and `max_log_staleness`, because a
-/// fence waits out leases granted under the configuration of other nodes.
+/// node that fences a view relies on these values to tell when the leases of other nodes have
+/// expired.
 #[derive(Debug, Clone)]
 pub struct Config {
     /// Maximum size of all records: keys, fingerprints and responses.
@@ -20,11 +21,12 @@
     /// Duration of a lease, counted from when the round that acquired it was sent.
     pub lease: Duration,
     /// Minimum remaining lease required to start a run. It also allows for clocks that run at
-    /// different rates: a fence waits for `lease` + `margin`.
+    /// different rates: a view is fenced only `lease` + `margin` after its last possible grant.
     pub margin: Duration,
     /// A node that has not read the log to its end for this long holds no lease.
     pub max_log_staleness: Duration,
-    /// Maximum duration of one read of the log, and thus the maximum age of what was read.
+    /// Maximum duration of one read of the log, and thus the maximum age of its result when the
+    /// read completes.
     pub max_log_read_duration: Duration,
     /// How long to wait for a transfer from a node that left as planned.
     pub transfer_timeout: Duration,
--- a/crates/rules/src/explain.rs
+++ b/crates/rules/src/explain.rs
@@ -94,9 +94,7 @@
                 write!(f, "concurrency={min}..{max}")
             }
             LimitKind::Queue => write!(f, "queue={}", Readable(self.max_queue_time)),
-            LimitKind::KeyRetention => {
-                write!(f, "retention={}", Readable(self.key_retention))
-            }
+            LimitKind::KeyRetention => write!(f, "retention={}", Readable(self.key_retention)),
             LimitKind::Resends => write!(f, "percent={}", self.resend_percent),
         }
     }
