--- a/crates/membership/src/domain.rs
+++ b/crates/membership/src/domain.rs
@@ -21,8 +21,8 @@
 /// node per second, and is probed about as often.
 const ISOLATED_AFTER: Duration = Duration::from_millis(1500);
 
-/// How long after its start a node does not read the store for its domain. It knows few others yet;
-/// if it decided by those, nearly all nodes of a fleet that starts at once would read the store.
+/// How long after its start a node is no reader of the store. It knows few others yet; if it
+/// decided by those, nearly all nodes of a fleet that starts at once would read the store.
 const STARTUP_GRACE: Duration = Duration::from_secs(2);
 
 impl Membership {
--- a/crates/once/src/home.rs
+++ b/crates/once/src/home.rs
@@ -110,7 +110,8 @@
         self.max_run_time = max_run_time;
     }
 
-    /// Number of the newest view, which is the offset of the log record that created it.
+    /// Number of the newest view, which is the offset of the log record that created it and may
+    /// be 0.
     pub fn view_number(&self) -> Option<u64> {
         self.view.as_ref().map(|view| view.number)
     }
--- a/crates/once/src/transfers.rs
+++ b/crates/once/src/transfers.rs
@@ -160,8 +160,8 @@
             return;
         }
         if transfer.parts == 1 {
-            // This part is the whole transfer, and its sender had stopped starting runs, so no
-            // record is missing any more.
+            // This part is the whole transfer, and its sender had stopped starting runs, so all
+            // that the sender knew is known here now.
             held.uncertain_until = now + from_ms(transfer.uncertain_ms);
             held.takeover_view = None;
         }
--- a/crates/proto/src/datagram.rs
+++ b/crates/proto/src/datagram.rs
@@ -101,8 +101,8 @@
             /// Milliseconds since the last time at which, as far as the answering node knows, the
             /// log held no newer view than `view`.
             log_age_ms: u32,
-            /// Whether the answering node grants the lease, that is, gives its vote to the
-            /// requester.
+            /// Whether the answering node grants the lease, i.e. gives its vote. It does if it
+            /// knows no newer view than the requester and is not leaving.
             granted: bool,
         },
     }
