--- a/crates/journal/tests/newest.rs
+++ b/crates/journal/tests/newest.rs
@@ -1,5 +1,5 @@
-//! All records but the newest of each key expire. A reader that starts from the newest ones must
-//! compute the same state as one that read all records.
+//! The topic keeps only the newest record of each key permanently. A reader that starts from those
+//! must compute the same state as one that read all records.
 
 use bilberry_journal::Change;
 use bilberry_journal::Record;
@@ -51,10 +51,10 @@
     let departed = |incarnation| state.departed.contains_key(&Incarnation(incarnation));
     match *step {
         Step::Publish => Some(Record::Publish {
-            version: state.version + 1,
-            publication: u128::from(state.version) + 100,
+            version: state.rules_version + 1,
+            publication: u128::from(state.rules_version) + 100,
             operator: "anna".into(),
-            file: format!("{RULES} {}", state.version).into(),
+            file: format!("{RULES} {}", state.rules_version).into(),
         }),
         Step::Join { incarnation, port } => {
             let is_new = !listed(incarnation) && !departed(incarnation);
@@ -130,7 +130,7 @@
     #![proptest_config(config())]
 
     /// A node starts after the first records have expired. If it computed another state than the
-    /// others, it would use other rules or consider another instance the owner of a key, and an
+    /// others, it would use other rules or consider another instance the home of a key, and an
     /// order could run twice.
     #[test]
     fn the_newest_records_fold_to_the_same_state(
@@ -158,7 +158,7 @@
         let restored = topic.state_from_newest();
         prop_assert_eq!(restored.last_forgotten, topic.state.last_forgotten);
         prop_assert_eq!(&restored.departed, &topic.state.departed);
-        prop_assert_eq!(restored.version, topic.state.version);
+        prop_assert_eq!(restored.rules_version, topic.state.rules_version);
         for (service, view) in &topic.state.views {
             let members = restored.view(service).map(|view| view.members.clone());
             prop_assert_eq!(members.unwrap_or_default(), view.members.clone());
@@ -169,7 +169,7 @@
     /// A node receives a stale copy of the state from a peer. Adopting it would put replaced rules
     /// back in force.
     #[test]
-    fn adopting_a_copy_never_goes_back(
+    fn adopting_a_copy_never_regresses_the_state(
         steps in prop::collection::vec(step(), 1..60),
         other_steps in prop::collection::vec(step(), 1..60),
         next_offset in 0..200u64,
@@ -182,7 +182,7 @@
         if change != Change::Restored {
             prop_assert_eq!(&state, &before);
         }
-        prop_assert!(state.version >= before.version);
+        prop_assert!(state.rules_version >= before.rules_version);
         for (service, view) in &before.views {
             prop_assert!(state.view(service).unwrap().number >= view.number);
         }
--- a/crates/once/src/effect.rs
+++ b/crates/once/src/effect.rs
@@ -36,14 +36,14 @@
         view: u64,
     },
     /// Send the outcome of a run to the home that its record moved to.
-    SendFinished {
+    SendRunFinished {
         /// The new home.
         to: Instance,
         /// The final record of the run.
         record: KeyRecord,
     },
-    /// Acknowledge a [`Effect::SendFinished`] once its record has been stored.
-    AckFinished {
+    /// Acknowledge a [`Effect::SendRunFinished`] once its record has been stored.
+    AckRunFinished {
         /// The node that executed the run.
         to: Instance,
         /// The key of the run.
@@ -57,12 +57,12 @@
     RemoteRunEnded(KeyHash),
     /// Remove this queued run from the queue, because its slot moves away. It did not run.
     CancelQueued(KeyHash),
-    /// A peer knows a newer view: read the log.
+    /// A peer knows a newer view. Read the log.
     ViewOutdated,
     /// The views no longer contain this incarnation, and all its slots were handed over or given
     /// up. The node must continue as a new incarnation.
     Expelled,
-    /// An invariant was violated. This is a bug; in production it is logged and the node continues.
+    /// An invariant was violated, which is a bug. A release build counts it and continues.
     InvariantViolation(InvariantViolation),
 }
 
--- a/crates/once/src/home.rs
+++ b/crates/once/src/home.rs
@@ -3,7 +3,6 @@
 use crate::fence::Fence;
 use crate::lease::Lease;
 use crate::moved_run::MovedRun;
-use crate::owner::slot_owner;
 use crate::quorum::is_member;
 use crate::records::Records;
 use crate::slot::Holding;
@@ -11,6 +10,7 @@
 use crate::slot::Move;
 use crate::slot::OutgoingMove;
 use crate::slot::Slot;
+use crate::slot_home::slot_home;
 use crate::Config;
 use crate::Effect;
 use indexmap::IndexMap;
@@ -44,7 +44,8 @@
     pub(crate) joined: bool,
     /// Whether this node has permanently stopped starting runs and granting leases.
     pub(crate) leaving: bool,
-    /// Since when the views no longer contain this incarnation. Cleared when the driver is told.
+    /// Since when the views no longer contain this incarnation. Cleared when this is reported to
+    /// the driver.
     expelled_since: Option<Time>,
     pub(crate) lease: Lease,
     pub(crate) next_lease_round_at: Option<Time>,
@@ -109,7 +110,8 @@
         self.max_run_time = max_run_time;
     }
 
-    /// Number of the newest view. The first record of a stream makes view 0.
+    /// Number of the newest view, which is the offset of the log record that created it and may
+    /// be 0.
     pub fn view_number(&self) -> Option<u64> {
         self.view.as_ref().map(|view| view.number)
     }
@@ -144,7 +146,8 @@
         (self.records.len(), self.records.bytes())
     }
 
-    /// Whether nothing is left to hand over.
+    /// Whether all slots and outcomes that this node had to hand over have arrived or were given
+    /// up.
     pub fn is_handed_over(&self) -> bool {
         self.moved_runs.is_empty() && self.moving_slots.is_empty()
     }
@@ -203,15 +206,16 @@
         std::mem::take(&mut self.effects)
     }
 
-    /// Records that the log was read to its end.
+    /// Records that a read of the log to its end has completed. It may have begun
+    /// [`Config::max_log_read_duration`] ago, and missed what was appended since.
     pub fn on_log_read(&mut self, now: Time) {
-        let began = Time::ZERO + now.since(Time::ZERO + self.cfg.max_log_read_duration);
-        self.log_current_at = self.log_current_at.max(Some(began));
+        let read_began_at = Time::ZERO + now.since(Time::ZERO + self.cfg.max_log_read_duration);
+        self.log_current_at = self.log_current_at.max(Some(read_began_at));
     }
 
     /// Permanently stops starting runs and granting leases. The departure may be written to the log
     /// only after this call, because the other nodes take the record as proof that this node starts
-    /// nothing any more.
+    /// no runs any more.
     pub fn leave(&mut self, _now: Time) -> Vec<Effect> {
         self.leaving = true;
         for slot in 0..SLOT_COUNT {
@@ -277,17 +281,17 @@
 
     /// Updates the fence and pending moves for members that departed with this view.
     fn apply_departures(&mut self, now: Time, view: &View) {
-        for (who, how) in &view.departed {
+        for (incarnation, departure) in &view.departed {
             // A node records its departure only after it has stopped.
-            if *how == Departure::Left {
-                self.fence.note_stopped(*who);
+            if *departure == Departure::Left {
+                self.fence.note_stopped(*incarnation);
             }
-            let lost = match how {
+            let lost_at = match departure {
                 Departure::Evicted => now,
                 Departure::Left => now + self.cfg.transfer_timeout,
             };
             for slot in &mut self.slots {
-                mark_peer_lost(slot, *who, lost);
+                mark_peer_lost(slot, *incarnation, lost_at);
             }
         }
     }
@@ -305,17 +309,16 @@
     /// Enqueues the moves of slots to and from this node.
     fn enqueue_moves(&mut self, now: Time, old: Option<&View>, view: &View) {
         for slot in 0..SLOT_COUNT {
-            let old_owner = old.and_then(|old| slot_owner(&old.members, slot));
-            let new_owner = slot_owner(&view.members, slot);
-            if old_owner.map(|owner| owner.incarnation) == new_owner.map(|owner| owner.incarnation)
-            {
+            let old_home = old.and_then(|old| slot_home(&old.members, slot));
+            let new_home = slot_home(&view.members, slot);
+            if old_home.map(|home| home.incarnation) == new_home.map(|home| home.incarnation) {
                 continue;
             }
-            if old_owner.is_some_and(|owner| owner.incarnation == self.me) {
+            if old_home.is_some_and(|home| home.incarnation == self.me) {
                 self.cancel_queued(slot);
                 self.moving_slots.insert(slot);
                 let entry = &mut self.slots[usize::from(slot)];
-                entry.moves.extend(new_owner.map(|to| {
+                entry.moves.extend(new_home.map(|to| {
                     Move::Outgoing(OutgoingMove {
                         view: view.number,
                         to: to.clone(),
@@ -325,7 +328,7 @@
                     })
                 }));
             }
-            if new_owner.is_none_or(|owner| owner.incarnation != self.me) {
+            if new_home.is_none_or(|home| home.incarnation != self.me) {
                 continue;
             }
             let entry = &mut self.slots[usize::from(slot)];
@@ -335,7 +338,7 @@
                 continue;
             }
             self.moving_slots.insert(slot);
-            let from = old_owner.map(|owner| owner.incarnation);
+            let from = old_home.map(|home| home.incarnation);
             entry.moves.push_back(Move::Incoming(IncomingMove {
                 view: view.number,
                 from,
@@ -375,22 +378,22 @@
     let Some(from) = from else {
         return Some(now);
     };
-    let departed = view.departed.iter().find(|(who, _)| *who == from);
-    departed.map(|(_, how)| match how {
+    let departed = view.departed.iter().find(|(member, _)| *member == from);
+    departed.map(|(_, departure)| match departure {
         Departure::Evicted => now,
         Departure::Left => now + cfg.transfer_timeout,
     })
 }
 
 /// Marks the pending moves of a slot whose source or target is gone.
-fn mark_peer_lost(slot: &mut Slot, who: Incarnation, at: Time) {
-    for step in &mut slot.moves {
-        match step {
-            Move::Incoming(incoming) if incoming.from == Some(who) => {
-                incoming.peer_lost_at.get_or_insert(at);
+fn mark_peer_lost(slot: &mut Slot, peer: Incarnation, lost_at: Time) {
+    for pending in &mut slot.moves {
+        match pending {
+            Move::Incoming(incoming) if incoming.from == Some(peer) => {
+                incoming.peer_lost_at.get_or_insert(lost_at);
             }
-            Move::Outgoing(outgoing) if outgoing.to.incarnation == who => {
-                outgoing.peer_lost_at.get_or_insert(at);
+            Move::Outgoing(outgoing) if outgoing.to.incarnation == peer => {
+                outgoing.peer_lost_at.get_or_insert(lost_at);
             }
             _ => {}
         }
--- a/crates/once/src/owner.rs
+++ b/crates/once/src/slot_home.rs
@@ -1,4 +1,5 @@
-//! Assigns slots to the members of a view by rendezvous hashing (Thaler and Ravishankar, 1998).
+//! Determines the home of each slot among the members of a view by rendezvous hashing (Thaler and
+//! Ravishankar, 1998).
 
 use proto::hash64;
 use proto::Incarnation;
@@ -9,9 +10,9 @@
 /// # Examples
 ///
 /// ```
-/// assert_eq!(bilberry_once::slot_owner(&[], 3), None);
+/// assert_eq!(bilberry_once::slot_home(&[], 3), None);
 /// ```
-pub fn slot_owner(members: &[Instance], slot: u16) -> Option<&Instance> {
+pub fn slot_home(members: &[Instance], slot: u16) -> Option<&Instance> {
     members
         .iter()
         .max_by_key(|member| weight(member.incarnation, slot))
--- a/crates/once/tests/homes.rs
+++ b/crates/once/tests/homes.rs
@@ -65,7 +65,7 @@
     cluster.nodes[&3].paused = true;
     cluster.depart(3, Departure::Evicted);
     cluster.advance(ms(10_000));
-    let new_home = bilberry_once::slot_owner(&cluster.members(), key.slot())
+    let new_home = bilberry_once::slot_home(&cluster.members(), key.slot())
         .unwrap()
         .incarnation
         .0;
@@ -82,25 +82,26 @@
     let key = cluster.key_of(3, 0);
     cluster.nodes[&3].reads_log = false;
     cluster.depart(3, Departure::Evicted);
-    let new_home = bilberry_once::slot_owner(&cluster.members(), key.slot())
+    let new_home = bilberry_once::slot_home(&cluster.members(), key.slot())
         .unwrap()
         .incarnation
         .0;
     for _ in 0..80 {
         cluster.advance(ms(100));
         let now = cluster.now;
-        let slot_taken = cluster.call(new_home, key, true) == BeginResult::Start;
+        let successor_started = cluster.call(new_home, key, true) == BeginResult::Start;
         let lease = cluster.home(3).lease_left(now);
-        assert!(!slot_taken || lease.is_zero(), "{lease:?}");
-        if slot_taken {
+        assert!(!successor_started || lease.is_zero(), "{lease:?}");
+        if successor_started {
             return;
         }
     }
-    panic!("the successor never started");
+    panic!("node {new_home} did not start the run within 8 s of the eviction");
 }
 
-/// A node uses an old view in which enough other members lag behind as well to form a quorum. Newer
-/// views must be fenced for it too before its successor starts, or both hold a lease.
+/// A node uses a view several changes old, and enough of that view's members lag behind as well to
+/// form a quorum and grant it a lease. Its successor must wait until all earlier views are fenced,
+/// not only the last one, or both hold a lease.
 #[test]
 fn successor_waits_for_members_lagging_several_views() {
     let mut cluster = Cluster::new(3);
@@ -113,7 +114,7 @@
     cluster.advance(ms(20_000));
     let now = cluster.now;
     assert!(!cluster.home(3).lease_left(now).is_zero());
-    let new_home = bilberry_once::slot_owner(&cluster.members(), key.slot())
+    let new_home = bilberry_once::slot_home(&cluster.members(), key.slot())
         .unwrap()
         .incarnation
         .0;
@@ -126,7 +127,7 @@
 fn delayed_grant_counts_from_request_time() {
     let mut cluster = Cluster::new(2);
     cluster.delays = Box::new(|_, _, packet| match packet {
-        Packet::Lease(_, LeaseMessage::Grant { .. }) => vec![ms(2_900)],
+        Packet::Lease(_, LeaseMessage::Reply { .. }) => vec![ms(2_900)],
         _ => vec![ms(1)],
     });
     cluster.advance(ms(30_000));
@@ -135,14 +136,15 @@
 }
 
 /// A node is killed and another one starts at its address. A grant for the first one reaches the
-/// second, whose rounds have the same numbers.
+/// second, whose rounds have the same numbers. Accepting it would give the second a lease that no
+/// member granted it.
 #[test]
 fn grant_to_previous_incarnation_at_same_address_is_ignored() {
     let mut cluster = Cluster::new(3);
     cluster.join(9, 3);
     let now = cluster.now;
     let view = cluster.home(9).view_number().unwrap();
-    let grant = |from: u64, to: u64| LeaseMessage::Grant {
+    let grant = |from: u64, to: u64| LeaseMessage::Reply {
         from: proto::Incarnation(from),
         to: proto::Incarnation(to),
         view,
@@ -179,7 +181,7 @@
     assert!(cluster.all_ready(), "{:?}", cluster.ready());
     let members = cluster.members();
     let home = |key: &KeyHash| {
-        bilberry_once::slot_owner(&members, key.slot())
+        bilberry_once::slot_home(&members, key.slot())
             .unwrap()
             .incarnation
             .0
@@ -220,7 +222,7 @@
     assert!(cluster.all_ready(), "{:?}", cluster.ready());
     let members = cluster.members();
     for key in &keys {
-        let home = bilberry_once::slot_owner(&members, key.slot())
+        let home = bilberry_once::slot_home(&members, key.slot())
             .unwrap()
             .incarnation
             .0;
@@ -243,7 +245,7 @@
     let key = cluster.key_of(4, 0);
     check(&mut cluster, &[(4, key, BeginResult::Start)]);
     cluster.leave(4);
-    let new_home = bilberry_once::slot_owner(&cluster.members(), key.slot())
+    let new_home = bilberry_once::slot_home(&cluster.members(), key.slot())
         .unwrap()
         .incarnation
         .0;
@@ -279,7 +281,7 @@
     cluster.advance(ms(100));
     cluster.nodes[&3].reads_log = false;
     let mut joined = 4;
-    while bilberry_once::slot_owner(&cluster.members(), key.slot())
+    while bilberry_once::slot_home(&cluster.members(), key.slot())
         .unwrap()
         .incarnation
         .0
@@ -288,16 +290,16 @@
         cluster.join(joined, joined as u16);
         joined += 1;
     }
-    let middle = bilberry_once::slot_owner(&cluster.members(), key.slot())
+    let intermediate = bilberry_once::slot_home(&cluster.members(), key.slot())
         .unwrap()
         .incarnation
         .0;
-    cluster.leave(middle);
-    assert!(!cluster.home(middle).is_handed_over());
+    cluster.leave(intermediate);
+    assert!(!cluster.home(intermediate).is_handed_over());
     cluster.nodes[&3].reads_log = true;
     cluster.read_log();
     cluster.advance(ms(2_000));
-    let new_home = bilberry_once::slot_owner(&cluster.members(), key.slot())
+    let new_home = bilberry_once::slot_home(&cluster.members(), key.slot())
         .unwrap()
         .incarnation
         .0;
@@ -305,7 +307,7 @@
         &mut cluster,
         &[(new_home, key, BeginResult::Done(response()))],
     );
-    assert!(cluster.home(middle).is_handed_over());
+    assert!(cluster.home(intermediate).is_handed_over());
 }
 
 /// The log is unavailable for an hour while all instances are up. Runs must still start. After two
@@ -349,7 +351,8 @@
     }
 }
 
-/// Two groups of regions lose contact, and each has half of a service. Exactly one half must go on.
+/// Two groups of regions lose contact, and each has half of a service. Exactly one half must keep
+/// its leases.
 #[test]
 fn even_split_leaves_leases_on_one_side_only() {
     let mut cluster = Cluster::new(6);
@@ -365,8 +368,8 @@
     assert_eq!(leased, [1, 2, 3]);
 }
 
-/// A live node is evicted by mistake and reads of it. Its records must reach the new homes, and
-/// then it must be told to restart as a new incarnation.
+/// A live node is evicted by mistake and reads this in the log. Its records must reach the new
+/// homes, and then it must be told to restart as a new incarnation.
 #[test]
 fn evicted_node_hands_over_records_and_is_expelled() {
     let mut cluster = Cluster::new(6);
@@ -375,7 +378,7 @@
     cluster.advance(ms(100));
     cluster.depart(3, Departure::Evicted);
     cluster.advance(ms(1_000));
-    let new_home = bilberry_once::slot_owner(&cluster.members(), key.slot())
+    let new_home = bilberry_once::slot_home(&cluster.members(), key.slot())
         .unwrap()
         .incarnation
         .0;
@@ -389,9 +392,10 @@
         .contains(&bilberry_once::Effect::Expelled));
 }
 
-/// A node starts that reaches the store but no other node, and the others evict it. It holds no
-/// slot and expects no message, so only a timer can wake it up. Left running, it would never be in
-/// a view again, and the service would be short of one instance until an operator noticed.
+/// A node that has just started reaches the store but no other node, and the others evict it. It
+/// holds no slot and expects no message, so only a timer can wake it up. Left running, it would
+/// never be in a view again, and the service would be short of one instance until an operator
+/// noticed.
 #[test]
 fn evicted_node_that_never_received_a_slot_is_expelled() {
     let cluster = Cluster::new(6);
--- a/crates/rules/src/model.rs
+++ b/crates/rules/src/model.rs
@@ -11,7 +11,7 @@
 use stdx::data;
 
 data! {
-    /// The line of a rule and the person who requested it.
+    /// Where a rule stands in the file, and who requested it.
     pub struct RuleOrigin {
         /// The line number, from 1.
         pub line: u32,
@@ -56,7 +56,7 @@
         /// Upper bound of the adaptive concurrency limit, in calls.
         pub max_concurrency: u16,
         /// Maximum time that a call waits in the queue.
-        pub queue: Duration,
+        pub max_queue_time: Duration,
         /// How long the record of an idempotency key is kept after its run has ended.
         pub key_retention: Duration,
         /// Requests that a caller may re-send, as a percentage of its first sends, enforced at the
@@ -75,7 +75,7 @@
         Self {
             min_concurrency: 2,
             max_concurrency: 400,
-            queue: Duration::from_millis(100),
+            max_queue_time: Duration::from_millis(100),
             key_retention: Duration::from_secs(15 * 60),
             resend_percent: DEFAULT_RESEND_PERCENT,
             origins: IndexMap::new(),
@@ -165,12 +165,12 @@
 
 impl Operation {
     fn matches(&self, service: &str, method: &str, path: &str) -> bool {
-        let method_fits = &*self.method == "*" || &*self.method == method;
-        let path_fits = match self.path.strip_suffix('*') {
+        let method_matches = &*self.method == "*" || &*self.method == method;
+        let path_matches = match self.path.strip_suffix('*') {
             Some(prefix) => path.starts_with(prefix),
             None => &*self.path == path,
         };
-        &*self.service == service && method_fits && path_fits
+        &*self.service == service && method_matches && path_matches
     }
 
     /// Whether this rule matches every call that `later` matches.
--- a/crates/rules/src/parse/limits.rs
+++ b/crates/rules/src/parse/limits.rs
@@ -1,5 +1,5 @@
 //! `limit SERVICE [concurrency=MIN..MAX] [queue=TIME]`, `keys SERVICE retention=TIME` and
-//! `resends SERVICE percent=N`
+//! `resends SERVICE percent=N`.
 
 use super::words::bounded_duration;
 use super::words::parse_name;
@@ -33,7 +33,7 @@
                 record_origin(limit, column, LimitKind::Concurrency, &origin)?;
             }
             "queue" => {
-                limit.queue = bounded_duration(value).ok_or((column, BAD_QUEUE))?;
+                limit.max_queue_time = bounded_duration(value).ok_or((column, BAD_QUEUE))?;
                 record_origin(limit, column, LimitKind::Queue, &origin)?;
             }
             _ => return Err((column, RuleErrorKind::UnknownOption(option.to_owned()))),
