--- a/crates/node/src/platform_mode.rs
+++ b/crates/node/src/platform_mode.rs
@@ -328,7 +328,7 @@
             shell.handle_input(Input::Server(announcement));
             Ok(())
         }
-        Err(platform::HeartbeatError::UnknownEndpoint) => Err(Reason::NoSuchOperation),
+        Err(platform::AnnouncementError::UnknownEndpoint) => Err(Reason::NoSuchOperation),
         Err(e) => {
             let path = req.path();
             log::warn!("event=heartbeat_refused path={path} error=\"{e}\"");
