--- a/crates/node/src/backend.rs
+++ b/crates/node/src/backend.rs
@@ -43,6 +43,7 @@
 /// Idle connections, all to the same incarnation of the server.
 #[derive(Default)]
 struct IdleConnections {
+    /// The server's incarnation.
     server: Option<Arc<str>>,
     pool: Pool,
 }
@@ -51,7 +52,9 @@
 pub(crate) struct BackendRun {
     pub(crate) run: RunId,
     pub(crate) request: Request,
+    /// The incarnation of the server that may run the request.
     pub(crate) expected_server: Option<Arc<str>>,
+    /// The time that the server has for its response.
     pub(crate) remaining: Duration,
     /// The run must not start after this time.
     pub(crate) start_by: Option<Time>,
@@ -168,7 +171,7 @@
         let pooled = {
             let mut idle = self.idle.borrow_mut();
             if idle.server != backend_run.expected_server {
-                // These lead to a previous incarnation.
+                // The pooled connections lead to another incarnation.
                 idle.pool.clear();
                 idle.server = backend_run.expected_server.clone();
             }
--- a/crates/node/src/clock.rs
+++ b/crates/node/src/clock.rs
@@ -16,8 +16,8 @@
 #[cfg(test)]
 mod tests;
 
-/// The two clocks are read one after the other, so a smaller gain is only the time between the
-/// reads.
+/// Shortest suspension that is recognised. The two clocks are read one after the other, so a
+/// smaller difference may just be the time between the reads.
 const MIN_SUSPENSION: Duration = Duration::from_millis(10);
 
 /// Returns how far the boot-time clock is ahead of the monotonic clock.
--- a/crates/node/src/dialect/native.rs
+++ b/crates/node/src/dialect/native.rs
@@ -57,7 +57,8 @@
 /// Headers that the node sets itself, removed from the backend server's responses.
 const NODE_SET_HEADERS: [&str; 3] = [CONTEXT_HEADER, DEADLINE_HEADER, ORGANISATION_HEADER];
 
-/// Headers of requests that are not passed on: those, and the organisation's API key.
+/// Request headers that are not forwarded: those that the node sets itself, and the organisation's
+/// API key.
 const STRIPPED_REQUEST_HEADERS: [&str; 4] = [
     CONTEXT_HEADER,
     DEADLINE_HEADER,
--- a/crates/node/src/events.rs
+++ b/crates/node/src/events.rs
@@ -1,5 +1,5 @@
-//! The log: `key=value` lines. Decisions about requests that did not succeed and changes of the
-//! node's state are logged at info, successful requests at debug.
+//! Log lines of the form `key=value`. Requests that did not succeed and changes of the node's state
+//! are logged at info, successful requests at debug.
 
 use crate::shell::Shell;
 use engine::Counter;
@@ -10,9 +10,9 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Most decisions about requests that are logged per second. Under overload every request is
-/// refused individually; without a limit the log lines would cost more than the requests.
-const MAX_PER_SECOND: u32 = 50;
+/// Maximum number of log lines about requests per second. Under overload every request is refused
+/// individually; without a limit the log lines would cost more than the requests.
+const MAX_LINES_PER_SECOND: u32 = 50;
 
 /// Limits the rate of log lines about requests.
 #[derive(Debug)]
@@ -42,7 +42,7 @@
                 log::info!("event=lines_left_out count={suppressed}");
             }
         }
-        if self.written.get() >= MAX_PER_SECOND {
+        if self.written.get() >= MAX_LINES_PER_SECOND {
             self.suppressed.set(self.suppressed.get() + 1);
             return false;
         }
--- a/crates/node/src/link.rs
+++ b/crates/node/src/link.rs
@@ -2,7 +2,7 @@
 //!
 //! A slow peer is not dead: it is only considered silent if it sends nothing at all, not even part
 //! of a frame, after this end has sent something. Reading and writing do not block each other, so
-//! this end still hears a peer that does not read, and can still close the link.
+//! this end still receives from a peer that does not read, and can still close the link.
 
 use crate::framing::read_frame;
 use crate::framing::FramedStream;
@@ -42,7 +42,7 @@
 const PING_DELAY: Duration = Duration::from_millis(150);
 
 /// How long the peer may stay silent, even to a ping, before it gets no new calls. A live process
-/// answers within the round trip, 40 ms between regions. With [`SILENT_TIMEOUT`] alone, a machine
+/// answers within one round trip, which takes 40 ms between regions. With [`SILENT_TIMEOUT`] alone, a machine
 /// that is paused would hold up everything sent to it for two seconds.
 const QUIET_TIMEOUT: Duration = Duration::from_millis(350);
 
@@ -93,8 +93,10 @@
     /// Calls whose answers are expected on this link.
     awaited_calls: RefCell<IndexSet<CallId>>,
     wake: Notify,
+    /// The number of a received ping that is not answered yet.
     pending_pong: Cell<Option<u64>>,
     ping_requested: Cell<bool>,
+    /// Whether another link has replaced this one.
     retired: Cell<bool>,
     aborted: Notify,
 }
@@ -331,14 +333,14 @@
         {
             activity.unanswered_since.set(None);
         }
-        // A large frame that still makes progress counts as a sign of life.
+        // Progress within a large frame shows that the peer is alive.
         let last_progress = |started: Instant| started.max(progress.last_write.get());
         let write_progress = activity.write_started.get().map(last_progress);
         if write_progress.is_some_and(|at| now - at >= WRITE_STALL_TIMEOUT) {
             return LinkEnd::Stalled;
         }
         let awaits_answer = !queue.awaited_calls.borrow().is_empty();
-        // A write that hangs is unanswered as well, even if the peer was heard after it started.
+        // A stalled write counts as unanswered too, even if bytes were received after it started.
         let unanswered_since = match (activity.unanswered_since.get(), write_progress) {
             (Some(since), Some(write_progress)) => Some(since.max(write_progress)),
             (since, write_progress) => since.or(write_progress),
@@ -359,8 +361,8 @@
             None if awaits_answer && now - last_read >= PING_DELAY => queue.send_ping(),
             _ => {}
         }
-        // Part of a large frame has arrived. Until it is complete the peer would hear nothing and
-        // consider this end silent.
+        // Part of a large frame has arrived. Until it is complete, this end has nothing to answer,
+        // and the peer would consider it silent.
         if last_read > activity.last_frame.get() {
             queue.answer_ping(0);
         }
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -39,9 +39,9 @@
     pub(crate) datagrams_out: Cell<u64>,
     /// Datagrams received.
     pub(crate) datagrams_in: Cell<u64>,
-    /// Values read from the store topic.
+    /// Values read from the log topic of the store.
     pub(crate) store_in: Cell<u64>,
-    /// Values appended to the store topic.
+    /// Values appended to the log topic of the store.
     pub(crate) store_out: Cell<u64>,
 }
 
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -58,7 +58,9 @@
 struct Link {
     id: u64,
     queue: Rc<SendQueue>,
+    /// Whether this node dialled, rather than accepted the connection.
     dialled: bool,
+    /// When the link was registered.
     opened_at: Instant,
 }
 
@@ -109,8 +111,9 @@
         actix_rt::spawn(dial(shell.clone(), to, link_id, queue));
     }
 
-    /// A call that does not fit was not sent and may be routed elsewhere. An answer has no other
-    /// way: closing the link makes the caller notice, re-attach and fetch the answer then.
+    /// A call that does not fit was not sent and may be routed elsewhere. An answer can only go to
+    /// the calling node: closing the link makes that node re-attach to the call and fetch the
+    /// answer then.
     fn on_queue_full(shell: &Rc<Shell>, peer: Incarnation, queue: &SendQueue, frame: Frame) {
         shell.count(Counter::Link(LinkEvent::QueueFull));
         match frame {
@@ -167,8 +170,8 @@
 
     /// Registers a link that the peer dialled. If both ends dialled at the same time, both use the
     /// link dialled by the lower incarnation; with the newer link instead, each end could retire
-    /// the one that the other uses. A link dialled here earlier may already be lost at the other
-    /// end, so it is always replaced.
+    /// the one that the other uses. A link that this node dialled longer ago than
+    /// [`CONNECT_TIMEOUT`] may already be lost at the other end, so it is always replaced.
     fn register_accepted_link(
         &self,
         own_incarnation: Incarnation,
@@ -285,8 +288,8 @@
     let Some(to) = to else {
         return fetch::serve_request(&shell, &mut stream).await;
     };
-    // The peer expects an earlier incarnation at this address; closing tells it that this one is
-    // gone.
+    // The peer expects an earlier incarnation at this address. Closing the connection tells it that
+    // the earlier incarnation is gone.
     if to != shell.own_instance.incarnation {
         return;
     }
--- a/crates/node/src/pipeline.rs
+++ b/crates/node/src/pipeline.rs
@@ -3,7 +3,7 @@
 //!
 //! The dispatcher of `actix-http` runs one request after another, so a caller with nine pipelined
 //! requests would get the last response after the sum of their times. Here it gets it after the
-//! longest of them (1.0 s instead of 2.6 s for one request of 1 s and eight of 0.2 s).
+//! longest of them.
 
 mod requests;
 
@@ -38,8 +38,8 @@
 use tokio::time::Instant;
 use tokio_util::codec::Encoder;
 
-/// Requests of one connection that may run concurrently. With the largest responses of a day, 30 KB
-/// each, they hold half a megabyte for a caller that does not read.
+/// Requests of one connection that may run concurrently. With responses of up to 30 KB each, they
+/// hold half a megabyte for a caller that does not read.
 const MAX_PIPELINED: usize = 16;
 
 /// While this many bytes are unwritten, no further response is encoded and no further request is
--- a/crates/node/src/platform_mode.rs
+++ b/crates/node/src/platform_mode.rs
@@ -40,14 +40,15 @@
 
 /// Minimum time a node that has just started waits for a peer to send the configuration; a random
 /// delay up to the same length is added. Of nodes that start together, a few read the store and
-/// tell the others.
+/// send the configuration to the others.
 const PEER_CONFIG_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// One in this many of the nodes already in the directory reads the store at once.
+/// One in this many of the nodes already in the directory reads the configuration from the store
+/// without waiting for a peer.
 const DIRECT_READER_STRIDE: usize = 8;
 
-/// This many of the nodes not yet in the directory, the first to announce themselves, also read the
-/// store at once.
+/// Of the nodes not yet in the directory, this many, the first to announce themselves, do not wait
+/// for a peer either.
 const DIRECT_READER_ANNOUNCEMENTS: u64 = 16;
 
 /// How often a waiting node checks whether it has received a configuration.
@@ -79,7 +80,7 @@
     cfg.tree_retries = TreeRetries::ScaledByCalls(CALLS_PER_RETRY);
     cfg.stop_grace_period = STOP_GRACE_PERIOD;
     // Servers announce their slots and queue excess work themselves. A limit estimated from latency
-    // fell to 2 of 14 slots when one class mixed work of 55 ms and 180 ms.
+    // falls to a fraction of the slots when one class mixes short and long work.
     cfg.policy.adaptive_limit = false;
     // Each attempt has its own id, so identical requests cannot be recognised.
     cfg.policy.resend_limit = false;
@@ -157,9 +158,9 @@
                 let version = shell.latest_rules.get().1;
                 shell.handle_input(Input::RulesChecked { asked, version });
             }
-            StoreBatch::Records { items, .. } => {
-                apply_configs(shell, &items);
-                if let Some(last) = items.last() {
+            StoreBatch::Records { records, .. } => {
+                apply_configs(shell, &records);
+                if let Some(last) = records.last() {
                     advance_rules_offset(shell, last.offset + 1);
                 }
             }
@@ -193,14 +194,14 @@
             .store
             .read(platform::CONFIG_TOPIC, from, Duration::ZERO);
         if let Records::Available {
-            records: items,
-            next_offset: next,
-            end_offset: end,
+            records,
+            next_offset,
+            end_offset,
         } = read.await?
         {
-            apply_configs(shell, &items);
-            if next >= end {
-                advance_rules_offset(shell, next);
+            apply_configs(shell, &records);
+            if next_offset >= end_offset {
+                advance_rules_offset(shell, next_offset);
                 return Ok(shell.latest_rules.get().1);
             }
         }
@@ -211,13 +212,13 @@
     Ok(shell.latest_rules.get().1)
 }
 
-fn advance_rules_offset(shell: &Shell, next: u64) {
+fn advance_rules_offset(shell: &Shell, next_offset: u64) {
     let current = shell.next_rules_offset.get();
-    shell.next_rules_offset.set(current.max(Some(next)));
+    shell.next_rules_offset.set(current.max(Some(next_offset)));
 }
 
-fn apply_configs(shell: &Rc<Shell>, items: &[StoreRecord]) {
-    for StoreRecord { key, value, offset } in items {
+fn apply_configs(shell: &Rc<Shell>, records: &[StoreRecord]) {
+    for StoreRecord { key, value, offset } in records {
         if &**key != platform::CONFIG_KEY || value.is_empty() {
             continue;
         }
@@ -237,7 +238,7 @@
     }
 }
 
-/// Returns the version of a configuration and its text with API keys replaced by digests.
+/// Returns the version of a configuration, and its text with API keys replaced by digests.
 fn parse_config(value: &[u8]) -> Result<(u64, Arc<str>), ConfigError> {
     let text = std::str::from_utf8(value).map_err(|_| ConfigError::Malformed)?;
     let version = platform::config_version(text)?;
@@ -252,7 +253,7 @@
             Ok(newest) => {
                 backoff.record_success("directory");
                 let addrs = newest.records.iter();
-                let addrs = addrs.filter_map(|item| item.key.parse().ok());
+                let addrs = addrs.filter_map(|record| record.key.parse().ok());
                 let addrs: Vec<SocketAddr> = addrs.collect();
                 log::info!("event=directory nodes={}", addrs.len());
                 return addrs;
@@ -279,9 +280,9 @@
     }
 }
 
-/// Reads the directory again while no peer is known. Later nodes find this one through its
-/// announcement, so reading the directory once is normally enough. Of nodes that start together,
-/// those that read before any had announced itself are found by those that read later.
+/// Reads the directory again while no peer is known. One read is normally enough: nodes that read
+/// the directory later find this one through its announcement, also those that started together
+/// with it.
 async fn rediscover_when_isolated(shell: Rc<Shell>) {
     loop {
         tokio::time::sleep(REDISCOVERY_INTERVAL).await;
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -51,10 +51,10 @@
     pub caller_header: String,
     /// The address of the store, which holds durable state.
     pub store_addr: SocketAddr,
-    /// The store stream with rules and views. Unused on the users' platform, which has its own
-    /// rules and no owners of keys.
+    /// The store stream that holds the log of rules and views. Unused on the users' platform, which
+    /// has its own rules and no home nodes for keys.
     pub store_stream: String,
-    /// The users' platform, if this node serves its servers and clients.
+    /// Set if this node runs on the users' platform.
     pub platform: Option<PlatformSettings>,
     /// The log level.
     pub log_level: log::LevelFilter,
@@ -119,7 +119,6 @@
 const METRICS_HTTP_ADDR: Key = Key::new("metrics", "http_addr");
 const METRICS_ADDR: Key = Key::new("metrics", "addr");
 
-/// All known keys.
 const KNOWN_KEYS: [Key; 27] = [
     SERVICE,
     FAILURE_DOMAIN,
--- a/crates/node/src/settings/error.rs
+++ b/crates/node/src/settings/error.rs
@@ -58,7 +58,7 @@
                 write!(f, "[{section}] {key} = {value}: takes {allowed}")
             }
             SettingsError::Duplicate { section, key } => {
-                write!(f, "[{section}] {key}: stands twice")
+                write!(f, "[{section}] {key}: set twice")
             }
             SettingsError::Unknown { section, key } => {
                 write!(f, "[{section}] {key}: unknown section or key")
--- a/crates/node/src/settings/value.rs
+++ b/crates/node/src/settings/value.rs
@@ -145,9 +145,10 @@
 pub(super) fn parse_number(min: f64, max: f64) -> impl Fn(&str) -> ParseResult<f64> {
     move |value| {
         let number: Option<f64> = value.parse().ok();
-        number
-            .filter(|number| (min..=max).contains(number))
-            .ok_or("a number: ratio 0 to 1, spare 0 to 1000000, window_s 1 to 300")
+        number.filter(|number| (min..=max).contains(number)).ok_or(
+            "a number: ratio and quota_over 0 to 1, spare and quota_slack 0 to 1000000, \
+                 window_s and quota_window_s 1 to 300, revocation_s 1 to 3600",
+        )
     }
 }
 
@@ -158,6 +159,6 @@
     move |value| {
         rules::parse_duration(value)
             .filter(|duration| (min..=max).contains(duration))
-            .ok_or("a number with ms, s, m or h: body_timeout 1ms to 300s, retention 10m to 8760h")
+            .ok_or("a number with ms, s, m or h: body_timeout 1ms to 300s")
     }
 }
--- a/crates/node/src/shell.rs
+++ b/crates/node/src/shell.rs
@@ -134,10 +134,10 @@
     pub(crate) store: StoreClient,
     /// Wakes the store reader when the engine is missing something from the store.
     pub(crate) store_read_requested: Notify,
-    /// Offset from which to read newer rules; `None` until the rules topic was read for the first
-    /// time.
+    /// Offset in the operators' topic from which to read newer rules; `None` until that topic was
+    /// read for the first time. Used only on the users' platform.
     pub(crate) next_rules_offset: Cell<Option<u64>>,
-    /// Offset and version of the newest rules read from that topic.
+    /// Offset and version of the newest rules read from the operators' topic.
     pub(crate) latest_rules: Cell<(u64, u64)>,
     pub(crate) metrics: Metrics,
     pub(crate) log_limiter: LogRateLimiter,
@@ -222,7 +222,7 @@
     let platform_addrs = match &shell.settings.platform {
         Some(cfg) => Some(platform_mode::start(&shell, cfg).await?),
         None => {
-            actix_rt::spawn(store_reader::follow_views(shell.clone()));
+            actix_rt::spawn(store_reader::follow_log(shell.clone()));
             None
         }
     };
@@ -245,8 +245,9 @@
     })
 }
 
-/// Reduces the fleet-wide retry limits to what nodes plan with. Others may count the same sends in
-/// a different window, and a node knows the fleet size only approximately.
+/// Reduces the fleet-wide retry limits to what nodes plan with. The limits may be checked over
+/// windows that start at other times than a node's own, and a node knows the fleet size only
+/// approximately.
 fn with_safety_margin(limits: FleetRetryLimits) -> FleetRetryLimits {
     FleetRetryLimits {
         ratio: limits.ratio * PLANNED_RATIO_SHARE,
@@ -256,7 +257,7 @@
 }
 
 /// Binds TCP and UDP to the same port. A port that the OS picked for TCP may already be taken for
-/// UDP, so this retries.
+/// UDP; another port is then tried.
 async fn bind_peer(addr: SocketAddr) -> Result<(TcpListener, UdpSocket), StartError> {
     let bind_error = |e| StartError::Bind(addr, e);
     let mut attempt = 0;
@@ -377,7 +378,7 @@
                 start_within,
             } => {
                 // Measured from when the engine decided, not from now: a pause in between would
-                // extend the permit to start, and the key's next owner could start a second run.
+                // extend the permit to start, and the key's next home node could start a second run.
                 let start_by = start_within.map(|delay| decided_at + delay);
                 let backend_run = BackendRun {
                     run,
--- a/crates/node/src/store_reader.rs
+++ b/crates/node/src/store_reader.rs
@@ -13,8 +13,8 @@
 use stdx::Time;
 use tokio::time::Instant;
 
-/// How long one read waits for new records. An owner of keys may rely on its lease only if it has
-/// read the topic to the end recently.
+/// How long one read of the log waits for new records. A home node may rely on its lease only if it
+/// has read the log to the end recently.
 const LOG_POLL_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Delay after the first failed store call; doubled up to [`MAX_BACKOFF`].
@@ -69,7 +69,7 @@
     /// Records in log order.
     Records {
         /// The records.
-        items: Vec<StoreRecord>,
+        records: Vec<StoreRecord>,
         /// Whether they reach the end of the topic.
         at_end: bool,
     },
@@ -130,25 +130,25 @@
     };
     Ok(match shell.store.read(topic, from, poll_timeout).await? {
         Records::Available {
-            records: items,
-            next_offset: next,
-            end_offset: end,
+            records,
+            next_offset,
+            end_offset,
         } => {
-            let at_end = next >= end;
-            Some((next, StoreBatch::Records { items, at_end }))
+            let at_end = next_offset >= end_offset;
+            Some((next_offset, StoreBatch::Records { records, at_end }))
         }
         Records::Expired { .. } => None,
     })
 }
 
-/// Follows the topic that holds views and rules.
-pub(crate) async fn follow_views(shell: Rc<Shell>) {
+/// Follows the log, the topic that holds views and rules.
+pub(crate) async fn follow_log(shell: Rc<Shell>) {
     let topic = platform::stream_topic(&shell.settings.store_stream);
-    let on_batch = |shell: &Rc<Shell>, _, batch| apply_views(shell, batch);
+    let on_batch = |shell: &Rc<Shell>, _, batch| apply_log_batch(shell, batch);
     follow_topic(shell, &topic, LOG_POLL_TIMEOUT, |_| true, on_batch).await;
 }
 
-/// Checks whether the topic of views and rules has newer rules.
+/// Checks whether the log has newer rules.
 pub(crate) fn check_rules(shell: &Rc<Shell>) {
     let shell = shell.clone();
     actix_rt::spawn(async move {
@@ -158,7 +158,7 @@
         let input = match read_once(&shell, &topic, Some(from), Duration::ZERO).await {
             Ok(Some((_, batch))) => {
                 let is_complete = !matches!(batch, StoreBatch::Records { at_end: false, .. });
-                apply_views(&shell, batch);
+                apply_log_batch(&shell, batch);
                 let version = shell.engine.borrow().rules_version();
                 match is_complete {
                     true => Input::RulesChecked { asked, version },
@@ -171,16 +171,16 @@
     });
 }
 
-fn apply_views(shell: &Rc<Shell>, batch: StoreBatch) {
+fn apply_log_batch(shell: &Rc<Shell>, batch: StoreBatch) {
     match batch {
         StoreBatch::Newest(newest) => {
             let end = newest.end_offset;
-            let values = into_values(shell, newest.records);
+            let values = offsets_and_values(shell, newest.records);
             shell.handle_input(Input::TopicSnapshot { values, end });
             shell.handle_input(Input::LogCaughtUp);
         }
-        StoreBatch::Records { items, at_end } => {
-            let records = into_values(shell, items);
+        StoreBatch::Records { records, at_end } => {
+            let records = offsets_and_values(shell, records);
             shell.handle_input(Input::Records(records));
             if at_end {
                 shell.handle_input(Input::LogCaughtUp);
@@ -189,10 +189,11 @@
     }
 }
 
-fn into_values(shell: &Shell, items: Vec<StoreRecord>) -> Vec<(u64, bytes::Bytes)> {
-    let with_offsets = items.into_iter().map(|item| {
-        add_bytes(&shell.metrics.control_bytes.store_in, item.value.len());
-        (item.offset, item.value)
+/// Returns the offset and value of each record, and counts the bytes of the values.
+fn offsets_and_values(shell: &Shell, records: Vec<StoreRecord>) -> Vec<(u64, bytes::Bytes)> {
+    let with_offsets = records.into_iter().map(|record| {
+        add_bytes(&shell.metrics.control_bytes.store_in, record.value.len());
+        (record.offset, record.value)
     });
     with_offsets.collect()
 }
--- a/crates/node/tests/settings.rs
+++ b/crates/node/tests/settings.rs
@@ -136,7 +136,7 @@
     check("[nodes]", "service = x", "[nodes] service: unknown");
     let twice = VALID_SETTINGS.replace("region =", "region = a\nregion =");
     let error = Settings::parse(&twice).unwrap_err().to_string();
-    assert_eq!(error, "[node] region: stands twice");
+    assert_eq!(error, "[node] region: set twice");
 }
 
 #[test]
