--- a/crates/httpconn/tests/exchange.rs
+++ b/crates/httpconn/tests/exchange.rs
@@ -59,8 +59,8 @@
     Ok((body, response.reuse != Reuse::No))
 }
 
-fn body_and_reuse(text: &str, reused: bool) -> Result<(String, bool), ExchangeError> {
-    Ok((text.to_owned(), reused))
+fn body_and_reuse(text: &str, reusable: bool) -> Result<(String, bool), ExchangeError> {
+    Ok((text.to_owned(), reusable))
 }
 
 #[actix_rt::test]
--- a/crates/node/tests/bad_input.rs
+++ b/crates/node/tests/bad_input.rs
@@ -216,7 +216,7 @@
 #[actix_rt::test]
 async fn oversized_response_completes_run() {
     let (node, _backend) = start().await;
-    // The response consists of the body and the path: one byte over the limit.
+    // The response consists of the request's body and path: one byte over the limit.
     let body = "x".repeat(995);
     for _ in 0..3 {
         let (code, outcome, _) = call(node.http, "POST", "/press/slots", "large", &body).await;
--- a/crates/node/tests/common/mod.rs
+++ b/crates/node/tests/common/mod.rs
@@ -212,9 +212,9 @@
     }
 }
 
-/// Polls until every slot of every service has a home that may start runs. Before that, nodes
-/// rightly refuse orders as not run, because homes wait for slots and leases after each change of
-/// view.
+/// Polls until every slot of every service has a home node that may start runs. Before that, orders
+/// are correctly refused as not run, because home nodes wait for slots and leases after each change
+/// of view.
 pub async fn wait_for_homes(nodes: &[SocketAddr]) {
     while !are_homes_ready(nodes).await {
         tokio::time::sleep(Duration::from_millis(20)).await;
--- a/crates/node/tests/links.rs
+++ b/crates/node/tests/links.rs
@@ -81,7 +81,7 @@
 }
 
 /// Starts lookups with large bodies and responses, which need no keys. Orders of that size would
-/// fill the table of keyed records.
+/// fill the table of records of keys.
 fn send_searches(entry: &Instance, count: usize) -> PendingCalls {
     send_calls(entry, "search", count, LARGE_BODY, false)
 }
@@ -127,8 +127,9 @@
     assert_eq!(status(entry.node.http, "counter.link.silent").await, "1");
 }
 
-/// The same while large requests are being written, so that the connection accepts no more data. A
-/// node that waited for its write to finish would not notice that it receives nothing.
+/// A middlebox loses the state of a connection while large requests are being written, so that it
+/// accepts no more data. A node that waited for its write to finish would not notice that it
+/// receives nothing.
 #[actix_rt::test]
 async fn blocked_write_does_not_prevent_detection_of_silent_link() {
     let store = Store::start(LOOPBACK.into()).await.unwrap();
@@ -145,8 +146,8 @@
     assert_eq!(status(entry.node.http, "counter.link.silent").await, "1");
 }
 
-/// More data is to be sent over such a connection than fits its queue. Requests that do not fit or
-/// were never written are reported as not run, and none of them may run.
+/// More data is to be sent over a silent connection than its queue holds. Requests that do not fit
+/// or were never written are reported as not run, and none of them may run.
 #[actix_rt::test]
 async fn calls_beyond_queue_of_silent_link_are_not_run() {
     let store = Store::start(LOOPBACK.into()).await.unwrap();
--- a/crates/node/tests/platform.rs
+++ b/crates/node/tests/platform.rs
@@ -244,8 +244,8 @@
     assert_eq!(unknown_route.0, 404);
 }
 
-/// The response of the server, or its absence, determines what the caller may be told. A booking
-/// that may have run must not be reported as not run.
+/// A server closes the connection, refuses a booking or turns out to be another incarnation. Only a
+/// booking that certainly did not run may be reported as not run.
 #[actix_rt::test]
 async fn booking_that_may_have_run_is_not_reported_as_not_run() {
     let (_store, entry, press) = start().await;
--- a/crates/node/tests/relay/mod.rs
+++ b/crates/node/tests/relay/mod.rs
@@ -58,6 +58,8 @@
         self.silenced_below.set(self.accepted.get());
     }
 
+    /// Closes the connection on which this many more bytes from the node have been forwarded in
+    /// total.
     pub fn cut_after(&self, bytes: usize) {
         self.cut_after.set(Some(bytes));
     }
--- a/crates/node/tests/stop.rs
+++ b/crates/node/tests/stop.rs
@@ -84,7 +84,7 @@
     assert!(entry.node.process.try_wait().unwrap().is_none());
 }
 
-/// The home of orders is killed while its backend server works on them, and is not replaced. An
+/// A home node of orders is killed while its backend server works on them, and is not replaced. An
 /// order that may have run must not be reported as not run, and no order may run twice. The
 /// remaining instances have to serve new orders.
 #[actix_rt::test]
@@ -121,7 +121,7 @@
     }
     assert!(completed < 18, "all runs of the killed node completed");
 
-    // Its slots get new homes once it is evicted and its leases have expired.
+    // Its slots get new home nodes once it is evicted and its leases have expired.
     let remaining = [entry.node.http, staying.node.http, third.node.http];
     for node in remaining {
         wait_for_status(node, "instances", "3").await;
@@ -147,8 +147,8 @@
 }
 
 /// An instance is stopped while it runs lookups of its own callers and of callers of another node.
-/// Its last responses are ready at the moment at which nothing keeps the process running any more.
-/// If it exited immediately, these responses would be lost.
+/// Once the last responses are ready, nothing keeps the process running any more. If it exited
+/// before they were written, they would be lost.
 #[actix_rt::test]
 async fn last_responses_are_sent_before_exit() {
     let store = Store::start(LOOPBACK.into()).await.unwrap();
