--- a/crates/node/src/caller.rs
+++ b/crates/node/src/caller.rs
@@ -65,7 +65,7 @@
     }
 }
 
-/// The counted reason for a request head that was rejected before it reached the handler. The
+/// The reason to count for a request head that was rejected before it reached the handler. The
 /// response has status 400, 408 or 431 and no outcome header.
 fn rejection_reason(e: &ConnectionError) -> Option<Reason> {
     match e {
--- a/crates/node/src/dialect/native.rs
+++ b/crates/node/src/dialect/native.rs
@@ -48,10 +48,12 @@
 /// The caller's idempotency key, or the one that the node generated.
 const KEY_HEADER: &str = "idempotency-key";
 
-/// Copied by the backend server from the request it serves to the requests it makes.
+/// The id of a run, copied by the backend server from the request it serves to the requests it
+/// makes.
 const CONTEXT_HEADER: &str = "bilberry-context";
 
-/// The time that the backend server has for its response, in milliseconds.
+/// The time left for the response, in milliseconds: on requests from callers and to the backend
+/// server.
 const DEADLINE_HEADER: &str = "bilberry-deadline-ms";
 
 /// Headers that the node sets itself, removed from the backend server's responses.
--- a/crates/node/src/link.rs
+++ b/crates/node/src/link.rs
@@ -42,12 +42,14 @@
 const PING_DELAY: Duration = Duration::from_millis(150);
 
 /// How long the peer may stay silent, even to a ping, before it gets no new calls. A live process
-/// answers within one round trip, which takes 40 ms between regions. With [`SILENT_TIMEOUT`] alone, a machine
-/// that is paused would hold up everything sent to it for two seconds.
+/// answers within one round trip, which takes 40 ms between regions. With [`SILENT_TIMEOUT`] alone,
+/// a machine that is paused would hold up everything sent to it for two seconds.
 const QUIET_TIMEOUT: Duration = Duration::from_millis(350);
 
-/// How often a link is checked: while an answer is outstanding, and while it is idle.
+/// How often a link is checked while an answer is outstanding.
 const MONITOR_INTERVAL: Duration = Duration::from_millis(100);
+
+/// How often a link is checked while it is idle.
 const IDLE_MONITOR_INTERVAL: Duration = Duration::from_millis(250);
 
 /// How long the peer may stay silent, even to pings, before the link is closed.
--- a/crates/node/src/pipeline/requests.rs
+++ b/crates/node/src/pipeline/requests.rs
@@ -1,4 +1,5 @@
-//! Reads the requests of one connection: heads, bodies, and which caller action is awaited.
+//! Reads the heads and bodies of the requests of one connection, and tracks what the caller is
+//! expected to do next.
 
 use super::ConnectionError;
 use super::RequestCodec;
@@ -50,8 +51,9 @@
     expect_continue: bool,
     /// No further request is decoded; any remaining input is discarded.
     pub(super) no_more_requests: bool,
-    /// What the caller is expected to do next; `wait_started` is since when.
+    /// What the caller is expected to do next.
     pub(super) wait_state: WaitState,
+    /// When `wait_state` last changed.
     wait_started: Instant,
 }
 
--- a/crates/node/src/platform_mode.rs
+++ b/crates/node/src/platform_mode.rs
@@ -47,9 +47,9 @@
 /// without waiting for a peer.
 const DIRECT_READER_STRIDE: usize = 8;
 
-/// Of the nodes not yet in the directory, this many, the first to announce themselves, do not wait
-/// for a peer either.
-const DIRECT_READER_ANNOUNCEMENTS: u64 = 16;
+/// Of the nodes not yet in the directory, this many, the first to register, do not wait for a peer
+/// either.
+const DIRECT_READER_REGISTRATIONS: u64 = 16;
 
 /// How often a waiting node checks whether it has received a configuration.
 const CONFIG_CHECK_INTERVAL: Duration = Duration::from_millis(20);
@@ -82,7 +82,7 @@
     // Servers announce their slots and queue excess work themselves. A limit estimated from latency
     // falls to a fraction of the slots when one class mixes short and long work.
     cfg.policy.adaptive_limit = false;
-    // Each attempt has its own id, so identical requests cannot be recognised.
+    // Each attempt has its own id, so a request that a caller sends again cannot be recognised.
     cfg.policy.resend_limit = false;
 }
 
@@ -128,7 +128,7 @@
     actix_rt::spawn(rediscover_when_isolated(shell.clone()));
     let reads_directly = match position {
         Some(position) => position % DIRECT_READER_STRIDE == 0,
-        None => announce(&shell).await < DIRECT_READER_ANNOUNCEMENTS,
+        None => register_in_directory(&shell).await < DIRECT_READER_REGISTRATIONS,
     };
     if !reads_directly {
         wait_for_config(&shell).await;
@@ -245,7 +245,7 @@
     Ok((version, platform::hash_api_keys(text)?.into()))
 }
 
-/// Reads the addresses under which other nodes announced themselves.
+/// Reads the addresses of the nodes that are registered in the directory.
 async fn read_directory(shell: &Shell) -> Vec<SocketAddr> {
     let mut backoff = StoreBackoff::new();
     loop {
@@ -263,8 +263,8 @@
     }
 }
 
-/// Announces this node; returns how many announcements preceded it.
-async fn announce(shell: &Shell) -> u64 {
+/// Registers this node in the directory; returns how many registrations preceded it.
+async fn register_in_directory(shell: &Shell) -> u64 {
     let mut backoff = StoreBackoff::new();
     let addr = shell.own_instance.addr.to_string();
     let entry = [(addr.as_str().into(), addr.clone().into())];
@@ -281,8 +281,8 @@
 }
 
 /// Reads the directory again while no peer is known. One read is normally enough: nodes that read
-/// the directory later find this one through its announcement, also those that started together
-/// with it.
+/// the directory after this one has registered find it there, also if they started together with
+/// it.
 async fn rediscover_when_isolated(shell: Rc<Shell>) {
     loop {
         tokio::time::sleep(REDISCOVERY_INTERVAL).await;
--- a/crates/node/src/settings/value.rs
+++ b/crates/node/src/settings/value.rs
@@ -131,7 +131,8 @@
         .map_err(|_| "off, error, warn, info, debug or trace")
 }
 
-/// A number of bytes within a range. The ranges are documented in docs/CONFIGURATION.md.
+/// A number of bytes within a range. The error text lists the ranges of all settings of this type,
+/// as does docs/CONFIGURATION.md.
 pub(super) fn parse_byte_count(min: usize, max: usize) -> impl Fn(&str) -> ParseResult<usize> {
     move |value| {
         let number = value.parse().ok();
@@ -141,7 +142,8 @@
     }
 }
 
-/// A number within a range. The ranges are documented in docs/CONFIGURATION.md.
+/// A number within a range. The error text lists the ranges of all settings of this type, as does
+/// docs/CONFIGURATION.md.
 pub(super) fn parse_number(min: f64, max: f64) -> impl Fn(&str) -> ParseResult<f64> {
     move |value| {
         let number: Option<f64> = value.parse().ok();
@@ -152,7 +154,7 @@
     }
 }
 
-/// A duration within a range.
+/// A duration within a range. The error text names the only setting of this type.
 pub(super) fn parse_duration(
     (min, max): (Duration, Duration),
 ) -> impl Fn(&str) -> ParseResult<Duration> {
--- a/crates/node/src/shell.rs
+++ b/crates/node/src/shell.rs
@@ -378,7 +378,8 @@
                 start_within,
             } => {
                 // Measured from when the engine decided, not from now: a pause in between would
-                // extend the permit to start, and the key's next home node could start a second run.
+                // extend the permit to start, and the key's next home node could start a second
+                // run.
                 let start_by = start_within.map(|delay| decided_at + delay);
                 let backend_run = BackendRun {
                     run,
--- a/crates/node/src/store_reader.rs
+++ b/crates/node/src/store_reader.rs
@@ -43,6 +43,7 @@
         }
     }
 
+    /// Waits before the next call. Logs the first failure after a successful call.
     pub(crate) async fn wait_after_failure(&mut self, call: &str, e: StoreError) {
         if self.down_since.is_none() {
             self.down_since = Some(Instant::now());
@@ -53,6 +54,7 @@
         self.next_delay = (self.next_delay * 2).min(MAX_BACKOFF);
     }
 
+    /// Resets the delay. Logs the end of an outage.
     pub(crate) fn record_success(&mut self, call: &str) {
         self.next_delay = MIN_BACKOFF;
         if let Some(since) = self.down_since.take() {
--- a/crates/node/tests/common/mod.rs
+++ b/crates/node/tests/common/mod.rs
@@ -18,6 +18,7 @@
 use std::process::Stdio;
 use std::time::Duration;
 
+/// The loopback address, with a port that the OS chooses.
 pub const LOOPBACK: ([u8; 4], u16) = ([127, 0, 0, 1], 0);
 
 /// A running node process; killed when dropped.
