--- a/crates/node/src/backend.rs
+++ b/crates/node/src/backend.rs
@@ -28,7 +28,7 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(2500);
 
 /// HTTP client of the node's own backend server.
-pub(crate) struct Backend {
+pub(crate) struct BackendClient {
     parser: Parser,
     addr: SocketAddr,
     max_body: usize,
@@ -60,7 +60,7 @@
     pub(crate) start_by: Option<Time>,
 }
 
-impl Backend {
+impl BackendClient {
     pub(crate) fn new(settings: &Settings) -> Self {
         Self {
             parser: Parser::default(),
--- a/crates/node/src/shell.rs
+++ b/crates/node/src/shell.rs
@@ -1,7 +1,7 @@
 //! The node as one `actix-rt` system: starts all tasks, feeds inputs to the engine and executes its
 //! outputs.
 
-use crate::backend::Backend;
+use crate::backend::BackendClient;
 use crate::backend::BackendRun;
 use crate::body::BodyBudget;
 use crate::caller;
@@ -45,8 +45,8 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// How many times to retry finding a port that is free for both TCP and UDP.
-const BIND_ATTEMPTS: u32 = 20;
+/// How many times binding is retried to find a port that is free for both TCP and UDP.
+const MAX_BIND_RETRIES: u32 = 20;
 
 /// How long a stopping node waits for queued frames to be written.
 const FLUSH_TIMEOUT: Duration = Duration::from_secs(1);
@@ -125,7 +125,7 @@
     }
 }
 
-/// The state shared by all tasks of a node.
+/// The I/O shell around the engine: the state shared by all tasks of a node.
 pub(crate) struct Shell {
     pub(crate) settings: Settings,
     pub(crate) own_instance: Instance,
@@ -146,7 +146,7 @@
     pending_replies: RefCell<IndexMap<RequestToken, oneshot::Sender<Reply>>>,
     next_token: Cell<u64>,
     peers: Peers,
-    backend: Backend,
+    backend: BackendClient,
     pub(crate) udp_socket: Rc<UdpSocket>,
     /// Wakes the timer task when the engine's next timer has changed.
     timer_changed: Notify,
@@ -204,7 +204,7 @@
         pending_replies: RefCell::default(),
         next_token: Cell::new(0),
         peers: Peers::default(),
-        backend: Backend::new(&settings),
+        backend: BackendClient::new(&settings),
         udp_socket: udp_socket.clone(),
         timer_changed: Notify::new(),
         stopped: Notify::new(),
@@ -257,17 +257,17 @@
 }
 
 /// Binds TCP and UDP to the same port. A port that the OS picked for TCP may already be taken for
-/// UDP; another port is then tried.
+/// UDP, so a failure to bind UDP is retried with a newly picked port.
 async fn bind_peer(addr: SocketAddr) -> Result<(TcpListener, UdpSocket), StartError> {
     let bind_error = |e| StartError::Bind(addr, e);
-    let mut attempt = 0;
+    let mut retries = 0;
     loop {
         let peer_listener = TcpListener::bind(addr).await.map_err(bind_error)?;
         let bound = peer_listener.local_addr().map_err(bind_error)?;
         match UdpSocket::bind(bound).await {
             Ok(udp) => return Ok((peer_listener, udp)),
-            Err(e) if attempt == BIND_ATTEMPTS => return Err(bind_error(e)),
-            Err(_) => attempt += 1,
+            Err(e) if retries == MAX_BIND_RETRIES => return Err(bind_error(e)),
+            Err(_) => retries += 1,
         }
     }
 }
@@ -431,7 +431,7 @@
         &self.peers
     }
 
-    pub(crate) fn backend(&self) -> &Backend {
+    pub(crate) fn backend(&self) -> &BackendClient {
         &self.backend
     }
 }
