--- a/crates/node/src/settings/value.rs
+++ b/crates/node/src/settings/value.rs
@@ -131,7 +131,8 @@
         .map_err(|_| "off, error, warn, info, debug or trace")
 }
 
-/// A number of bytes within a range. The ranges are documented in docs/CONFIGURATION.md.
+/// A number of bytes within a range. The error text lists the ranges of all settings of this type,
+/// as does docs/CONFIGURATION.md.
 pub(super) fn parse_byte_count(min: usize, max: usize) -> impl Fn(&str) -> ParseResult<usize> {
     move |value| {
         let number = value.parse().ok();
@@ -141,23 +142,25 @@
     }
 }
 
-/// A number within a range. The ranges are documented in docs/CONFIGURATION.md.
+/// A number within a range. The error text lists the ranges of all settings of this type, as does
+/// docs/CONFIGURATION.md.
 pub(super) fn parse_number(min: f64, max: f64) -> impl Fn(&str) -> ParseResult<f64> {
     move |value| {
         let number: Option<f64> = value.parse().ok();
-        number
-            .filter(|number| (min..=max).contains(number))
-            .ok_or("a number: ratio 0 to 1, spare 0 to 1000000, window_s 1 to 300")
+        number.filter(|number| (min..=max).contains(number)).ok_or(
+            "a number: ratio and quota_over 0 to 1, spare and quota_slack 0 to 1000000, \
+                 window_s and quota_window_s 1 to 300, revocation_s 1 to 3600",
+        )
     }
 }
 
-/// A duration within a range.
+/// A duration within a range. The error text names the only setting of this type.
 pub(super) fn parse_duration(
     (min, max): (Duration, Duration),
 ) -> impl Fn(&str) -> ParseResult<Duration> {
     move |value| {
         rules::parse_duration(value)
             .filter(|duration| (min..=max).contains(duration))
-            .ok_or("a number with ms, s, m or h: body_timeout 1ms to 300s, retention 10m to 8760h")
+            .ok_or("a number with ms, s, m or h: body_timeout 1ms to 300s")
     }
 }
