--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -7,7 +7,7 @@
 use stdx::Time;
 
 /// The order in which work leaves the queue: protected classes before lookups, then by priority,
-/// then calls of actions admitted at another node before actions that begin here.
+/// then calls of actions already admitted at their entry node before actions that begin here.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct Rank {
     is_lookup: bool,
@@ -50,10 +50,10 @@
         ranks.map(|(_, items)| items.len()).sum()
     }
 
-    /// How many work items would leave the queue before a new one: those before it by rank, or all
-    /// if `by_class` is not set and work leaves in order of arrival.
-    pub(crate) fn ahead_of(&self, item: &WorkItem, by_class: bool) -> usize {
-        if !by_class {
+    /// How many work items would leave the queue before a new one: those that precede it in rank
+    /// order if `by_rank` is set, otherwise all, because work then leaves in order of arrival.
+    pub(crate) fn ahead_of(&self, item: &WorkItem, by_rank: bool) -> usize {
+        if !by_rank {
             return self.len();
         }
         let own = Rank::of(item);
@@ -71,9 +71,10 @@
         items.insert(insertion_index(items, &item), item);
     }
 
-    /// Removes the oldest work item of the least urgent rank that, together with all more urgent
-    /// ranks, has more than `capacity` work items. Calls of admitted actions stay, because the work
-    /// already done for their actions would be lost.
+    /// Removes a work item in excess of `capacity`. A rank is in excess if it and all more urgent
+    /// ranks together have more than `capacity` work items. Of the least urgent such rank, the
+    /// oldest work item is removed. Calls of admitted actions are counted but never removed,
+    /// because the work already done for their actions would be lost.
     pub(crate) fn evict_excess(&mut self, capacity: usize) -> Option<WorkItem> {
         let ranks = self.ranks.iter().rev();
         let waiting = ranks.filter(|(rank, items)| rank.begins_here && !items.is_empty());
@@ -82,7 +83,8 @@
         self.ranks[&last].pop_front()
     }
 
-    /// Removes the first lookup of the least urgent rank. Lookups that begin here go first.
+    /// Removes the first lookup of the least urgent rank among actions that begin here; if there is
+    /// none, among calls of admitted actions.
     pub(crate) fn evict_lookup(&mut self) -> Option<WorkItem> {
         self.pop_least_urgent(|rank| rank.is_lookup && rank.begins_here)
             .or_else(|| self.pop_least_urgent(|rank| rank.is_lookup))
@@ -119,11 +121,11 @@
         })
     }
 
-    /// Removes the next work item to start: the first by rank, or by arrival if `by_class` is not
-    /// set.
-    pub(crate) fn pop(&mut self, by_class: bool) -> Option<WorkItem> {
+    /// Removes the next work item to start: the first in rank order if `by_rank` is set, otherwise
+    /// the one that arrived first among the fronts of the ranks.
+    pub(crate) fn pop(&mut self, by_rank: bool) -> Option<WorkItem> {
         let mut waiting = self.ranks.values_mut().filter(|items| !items.is_empty());
-        let next = if by_class {
+        let next = if by_rank {
             waiting.next()
         } else {
             waiting.min_by_key(|items| items.front().map(|item| item.arrived))
@@ -148,7 +150,7 @@
 ///
 /// Calls of admitted actions are sorted by deadline. An action with one call left and little time
 /// goes before one that has just begun, so that both can meet their deadlines; in order of arrival,
-/// all of them would be late. Actions that begin here are sorted by arrival.
+/// it could miss its deadline behind the other. Actions that begin here are sorted by arrival.
 fn insertion_index(items: &VecDeque<WorkItem>, item: &WorkItem) -> usize {
     match item.admitted {
         true => items.partition_point(|other| other.deadline <= item.deadline),
--- a/crates/policy/src/run_times.rs
+++ b/crates/policy/src/run_times.rs
@@ -6,14 +6,15 @@
 /// Number of runs that must have been recorded before any run counts as late.
 const MIN_SAMPLES: u32 = 16;
 
-/// Number of mean deviations above the mean after which a run is late. With the variance of typical
-/// reads, hardly any run takes longer.
-const DEVIATIONS: u32 = 6;
+/// Number of mean deviations above the mean after which a run is late. Runs of typical reads hardly
+/// ever exceed this threshold.
+const THRESHOLD_DEVIATIONS: u32 = 6;
 
 /// Lower bound of the threshold, as a multiple of the mean.
 const MIN_MULTIPLE: u32 = 3;
 
-/// The distribution of an operation's run times.
+/// The mean and the mean deviation of an operation's run times, and the threshold derived from them
+/// after which a run counts as late. A late read may be sent to a second instance.
 ///
 /// A server that runs a read and loses the answer stays silent until the read's deadline, when it
 /// is too late to read from another instance. If a lookup makes eight reads, one such read wastes
@@ -47,7 +48,7 @@
     /// The time after which a run is late; `None` while too few runs have been recorded.
     pub fn late_threshold(&self) -> Option<Duration> {
         let (mean, deviation) = self.estimate.0.filter(|_| self.samples >= MIN_SAMPLES)?;
-        let by_deviation = mean + deviation * f64::from(DEVIATIONS);
+        let by_deviation = mean + deviation * f64::from(THRESHOLD_DEVIATIONS);
         let by_mean = mean * f64::from(MIN_MULTIPLE);
         Some(Duration::from_secs_f64(by_deviation.max(by_mean)))
     }
--- a/crates/policy/tests/server_admission.rs
+++ b/crates/policy/tests/server_admission.rs
@@ -52,6 +52,7 @@
     server
 }
 
+/// Returns the id of each work item that leaves the queue, and whether it was started.
 fn drain(server: &mut ServerAdmission, now: Time) -> Vec<(u64, bool)> {
     let next = std::iter::from_fn(|| server.next_decision(now));
     next.map(|(item, decision)| (item.id, decision == AdmissionDecision::Start))
@@ -67,9 +68,9 @@
         );
     }
     let mut order = Vec::new();
-    for now in 0..classes.len() as u64 {
-        server.on_finished(at(12 + now), Class::Order, completed(10));
-        order.extend(drain(&mut server, at(12 + now)).iter().map(|(id, _)| *id));
+    for step in 0..classes.len() as u64 {
+        server.on_finished(at(12 + step), Class::Order, completed(10));
+        order.extend(drain(&mut server, at(12 + step)).iter().map(|(id, _)| *id));
     }
     assert_eq!(order, expected);
 }
@@ -121,7 +122,7 @@
 }
 
 /// The queue is so long that new work would start after its deadline. If it is not refused
-/// immediately, the caller waits in vain before it can try another instance.
+/// immediately, the caller spends the time in which it could try another instance on waiting.
 #[test]
 fn work_that_cannot_meet_its_deadline_is_refused_immediately() {
     let mut server = busy();
@@ -137,8 +138,8 @@
     assert!(refusal.retry_after_ms >= 500);
 }
 
-/// Calls to an unreachable backend server fail immediately. It would look idle, so all work would
-/// be sent there and fail.
+/// Calls to an unreachable backend server fail immediately. If the server reported its low load, it
+/// would attract all work, which would then fail.
 #[test]
 fn an_unreachable_server_reports_full_load_and_gets_single_probes() {
     let mut server = busy();
@@ -157,10 +158,11 @@
 /// A simulated backend server with a number of slots.
 struct SimulatedBackend {
     server: ServerAdmission,
-    /// When each slot becomes free.
+    /// When each slot becomes free, in milliseconds.
     slots: Vec<u64>,
-    /// End and start of each run.
+    /// End and start time of each run in progress, in milliseconds.
     running: Vec<(u64, u64)>,
+    /// The simulated time in milliseconds.
     now: u64,
     last_id: u64,
 }
@@ -190,11 +192,12 @@
         while self.now < end {
             let now = at(self.now);
             let running = std::mem::take(&mut self.running);
-            let (ended, running): (Vec<_>, Vec<_>) =
-                running.into_iter().partition(|(end, _)| *end <= self.now);
+            let (ended, running): (Vec<_>, Vec<_>) = running
+                .into_iter()
+                .partition(|(ends_at, _)| *ends_at <= self.now);
             self.running = running;
-            for (_, started) in ended {
-                let outcome = completed(self.now - started);
+            for (_, started_at) in ended {
+                let outcome = completed(self.now - started_at);
                 self.server.on_finished(now, Class::Lookup, outcome);
                 done += u64::from(self.now + 1000 >= end);
             }
@@ -218,8 +221,9 @@
     }
 }
 
-/// The backend server becomes ten times slower although nothing is queued inside it. A limit that
-/// interprets every longer run as queueing falls to its minimum, and slots stand empty.
+/// The backend server becomes ten times slower although nothing is queued inside it. If the limit
+/// took every longer run as a sign of queueing, it would fall to its minimum, and slots would stay
+/// unused.
 #[test]
 fn the_limit_matches_the_slots_even_if_the_server_slows_down() {
     let server = ServerAdmission::new(Switches::ALL, 2, 400, MAX_WAIT);
