--- a/crates/membership/src/evict.rs
+++ b/crates/membership/src/evict.rs
@@ -1,4 +1,5 @@
-//! Evictions: requests to remove a listed peer that stays dead from the log's roster.
+//! Evictions: if a peer on the log's roster stays dead, another node requests its removal from the
+//! roster.
 //!
 //! A partitioned node considers the others dead, although it is the one that is cut off. If it
 //! could reach the log it would evict everybody. A node therefore evicts only while peers it
@@ -15,13 +16,14 @@
 use std::time::Duration;
 use stdx::Time;
 
-/// Number of live peers that are pinged before an eviction.
-const CHECK_SIZE: usize = 8;
+/// Maximum number of live peers that are pinged before an eviction.
+const MAX_CHECK_PINGS: usize = 8;
 
 /// One in this many of the pinged peers may fail to answer.
 const CHECK_FAILURE_DIVISOR: usize = 8;
 
-/// Period over which the number of evictions is limited.
+/// Period over which the number of evictions is limited. It must be one minute, because the limit
+/// is `Config::evictions_per_minute`.
 const EVICTION_RATE_WINDOW: Duration = Duration::from_secs(60);
 
 /// How long a requested eviction may take to show in the roster before it is requested again.
@@ -30,7 +32,8 @@
 /// The evictions that this node requests.
 #[derive(Debug, Default)]
 pub(crate) struct Evictions {
-    /// When each eviction of the last [`EVICTION_RATE_WINDOW`] was requested.
+    /// When each eviction was requested. Those older than [`EVICTION_RATE_WINDOW`] are removed
+    /// before the rest is counted.
     recent: VecDeque<Time>,
     check: Option<ConnectivityCheck>,
 }
@@ -39,7 +42,8 @@
 #[derive(Debug)]
 struct ConnectivityCheck {
     deadline: Time,
-    seqs: Vec<u64>,
+    /// Sequence numbers of the pings that are not answered yet.
+    unanswered: Vec<u64>,
     acked: usize,
 }
 
@@ -58,16 +62,16 @@
         }
         let is_alive = |entry: &PeerEntry| entry.peer.state == PeerState::Alive && !entry.retired;
         let mut addrs = Vec::new();
-        for _ in 0..CHECK_SIZE {
+        for _ in 0..MAX_CHECK_PINGS {
             match self.pick_peer(is_alive) {
                 Some(addr) if !addrs.contains(&addr) => addrs.push(addr),
                 _ => {}
             }
         }
-        let seqs = addrs.into_iter().map(|addr| self.ping(addr)).collect();
+        let unanswered = addrs.into_iter().map(|addr| self.ping(addr)).collect();
         self.evictions.check = Some(ConnectivityCheck {
             deadline: now + self.cfg.ack_timeout * 2,
-            seqs,
+            unanswered,
             acked: 0,
         });
     }
@@ -76,8 +80,8 @@
         let Some(check) = &mut self.evictions.check else {
             return;
         };
-        if now <= check.deadline && check.seqs.contains(&seq) {
-            check.seqs.retain(|other| *other != seq);
+        if now <= check.deadline && check.unanswered.contains(&seq) {
+            check.unanswered.retain(|other| *other != seq);
             check.acked += 1;
         }
     }
@@ -91,8 +95,9 @@
         let Some(check) = self.evictions.check.take() else {
             return;
         };
-        let pinged = check.acked + check.seqs.len();
-        let is_connected = check.acked > 0 && check.seqs.len() <= pinged / CHECK_FAILURE_DIVISOR;
+        let pinged = check.acked + check.unanswered.len();
+        let is_connected =
+            check.acked > 0 && check.unanswered.len() <= pinged / CHECK_FAILURE_DIVISOR;
         if !is_connected || !self.sees_live_majority() {
             return;
         }
@@ -108,18 +113,19 @@
         }
     }
 
-    /// Dead peers whose eviction this node has to request by now.
+    /// Dead peers whose eviction this node should request now. Nodes take turns by
+    /// [`Membership::rank`].
     fn due_evictions(&self, now: Time) -> Vec<Incarnation> {
         if !self.listed || self.leaving {
             return Vec::new();
         }
         let dead = self.peers.iter().filter(|(_, entry)| {
-            let requested = entry
+            let recently_requested = entry
                 .eviction_requested_at
                 .is_some_and(|at| now.since(at) < EVICTION_RETRY_INTERVAL);
             entry.is_dead()
                 && entry.listed
-                && !requested
+                && !recently_requested
                 && now.since(entry.state_since) >= self.cfg.evict_after
         });
         let due = dead.filter(|(incarnation, entry)| {
@@ -131,9 +137,9 @@
         due.map(|(incarnation, _)| *incarnation).collect()
     }
 
-    /// The position of this node in the order in which nodes request the eviction: the number of
-    /// live listed members of the dead peer's service with a higher rendezvous hash. If the service
-    /// has none, those of all services count. `None` if this node is not a candidate.
+    /// The number of nodes whose turn to request the eviction comes before this node's. Candidates
+    /// are the live listed nodes of the dead peer's service or, if it has none, of all services;
+    /// they are ordered by descending rendezvous hash. `None` if this node is not a candidate.
     fn rank(&self, dead: Incarnation, service: &str) -> Option<u32> {
         let my_hash = hash64(&(self.me.incarnation, dead));
         let live = || {
@@ -152,7 +158,8 @@
         }
     }
 
-    /// Whether more than half of all known nodes, including this one, are alive.
+    /// Whether more than half of the known nodes, including this one, are alive. Retired peers, and
+    /// dead peers that are not listed, are left out.
     pub(crate) fn sees_live_majority(&self) -> bool {
         let known = self.peers.values().filter(|entry| !entry.retired);
         let known = known.filter(|entry| entry.listed || !entry.is_dead());
--- a/crates/once/src/records.rs
+++ b/crates/once/src/records.rs
@@ -21,12 +21,13 @@
 pub(crate) struct Record {
     pub(crate) fingerprint: Fingerprint,
     pub(crate) state: RunState,
-    /// When the record may be dropped; for a run at an earlier home, when its outcome counts as
-    /// unknown.
+    /// When the record may be dropped; for [`RunState::RunningAt`], when the outcome of the run
+    /// counts as unknown. `None` while the run is queued or in flight here.
     pub(crate) expires_at: Option<Time>,
 }
 
-/// The state of a key's run. It only ever advances in the order of the variants.
+/// The state of a key's run. It advances in the order of the variants, except that the state of a
+/// run on this node is restored when its slot comes back.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum RunState {
     /// Waiting here to be started. Such a record is never transferred, because its run can still be
@@ -34,7 +35,7 @@
     Queued,
     /// In flight here.
     Running,
-    /// In flight at an earlier home.
+    /// In flight at this node, the home of the key in an earlier view.
     RunningAt(Incarnation),
     /// The run may have taken place.
     Unknown,
@@ -60,14 +61,14 @@
 pub(crate) struct Records {
     slots: Vec<IndexMap<KeyHash, Record>>,
     expiries: BTreeSet<(Time, KeyHash)>,
-    /// Space reserved for the response of each run on this node.
+    /// Number of bytes reserved for the response of each run that is queued or in flight here.
     reserve_bytes: usize,
     bytes: usize,
 }
 
 impl Records {
-    /// Creates an empty table that reserves `reserve_bytes` bytes for the response of each run on
-    /// this node.
+    /// Creates an empty table that reserves `reserve_bytes` bytes for the response of each run that
+    /// is queued or in flight here.
     pub(crate) fn new(reserve_bytes: usize) -> Self {
         Self {
             slots: vec![IndexMap::new(); usize::from(SLOT_COUNT)],
@@ -130,7 +131,7 @@
             .collect()
     }
 
-    /// A key whose record has expired.
+    /// The key whose record expires first, if that record has expired.
     pub(crate) fn next_expired(&self, now: Time) -> Option<KeyHash> {
         let (expires_at, key) = self.expiries.first()?;
         (*expires_at <= now).then_some(*key)
@@ -160,7 +161,8 @@
     record: &Record,
     retention: Duration,
 ) -> Option<KeyRecord> {
-    let left = match record.state {
+    let retention_left = match record.state {
+        // Retention begins when the run ends.
         RunState::Running | RunState::RunningAt(_) => retention,
         _ => record
             .expires_at
@@ -170,7 +172,7 @@
         key,
         fingerprint: record.fingerprint,
         state: record.state.to_message(me)?,
-        retention_ms: to_ms(left),
+        retention_ms: to_ms(retention_left),
     })
 }
 
