--- a/crates/node/src/events.rs
+++ b/crates/node/src/events.rs
@@ -1,5 +1,5 @@
-//! Log lines of the form `key=value`. Requests that did not succeed and changes of the node's state
-//! are logged at info, successful requests at debug.
+//! Log lines of the form `key=value`. Successful requests are logged at debug, other requests and
+//! changes of peers, the own backend server and API keys at info, other events at info or warn.
 
 use crate::shell::Shell;
 use engine::Counter;
@@ -10,8 +10,8 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Maximum number of log lines about requests per second. Under overload every request is refused
-/// individually; without a limit the log lines would cost more than the requests.
+/// Maximum number of log lines about requests per second. Under overload, each refused
+/// request would add a line; without a limit the lines would cost more than the requests.
 const MAX_LINES_PER_SECOND: u32 = 50;
 
 /// Limits the rate of log lines about requests.
@@ -31,8 +31,8 @@
         }
     }
 
-    /// Whether another line may be logged. Also reports how many lines were suppressed in the last
-    /// window.
+    /// Whether another line may be logged. At the start of a new window, logs how many lines were
+    /// suppressed in the last one.
     fn admit(&self) -> bool {
         if self.window_start.get().elapsed() >= Duration::from_secs(1) {
             self.window_start.set(Instant::now());
@@ -67,7 +67,8 @@
             matches!(outcome, OutcomeSummary::Completed(status) if *status < 500)
         }
         Diagnostic::Refused { .. } => false,
-        // Changes of the node's view of others are rare, so these lines are not limited.
+        // Changes of state of peers, the own backend server and the trust in API keys are rare, so
+        // these lines are not limited.
         Diagnostic::Peer { .. }
         | Diagnostic::Peers { .. }
         | Diagnostic::OwnServer { .. }
@@ -80,6 +81,7 @@
     }
 }
 
+/// Logs an event that the engine reports as a counter increment. Most counters are not logged.
 fn log_counter_event(shell: &Shell, counter: Counter) {
     let engine = shell.engine.borrow();
     let journal = engine.journal();
--- a/crates/node/src/fetch.rs
+++ b/crates/node/src/fetch.rs
@@ -1,5 +1,5 @@
-//! One request and its response over a separate connection between nodes: rules and views for a
-//! node that cannot reach the store, and the status page for the operator's tool.
+//! Exchanges a single request and its response over a separate connection. A node that does not or
+//! cannot read the store fetches rules and views, the operator's tool fetches the status page.
 
 use crate::framing;
 use crate::framing::FramedStream;
@@ -15,27 +15,29 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Time-out for each exchange.
+/// Time limit for a whole fetch. When serving, it applies to reading the request and to writing the
+/// response separately.
 const FETCH_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Fetches state from the node at `addr`. Any incarnation may answer, because a contact address
-/// does not identify one.
+/// Fetches state from the node at `addr` if it is ahead of `known`. Any incarnation may answer,
+/// because `addr` may be known only as a contact, without the incarnation that runs there.
 pub(crate) fn fetch_state(shell: &Rc<Shell>, addr: SocketAddr, known: SyncProgress) {
     let shell = shell.clone();
     actix_rt::spawn(async move {
-        match timeout(FETCH_TIMEOUT, exchange(&shell, addr, known)).await {
+        match timeout(FETCH_TIMEOUT, request_state(&shell, addr, known)).await {
             Ok(Some(state)) => shell.handle_input(Input::StateFetched(state)),
             _ => log::debug!("event=no_state_from_peer addr={addr}"),
         }
     });
 }
 
-async fn exchange(shell: &Shell, addr: SocketAddr, known: SyncProgress) -> Option<Bytes> {
+async fn request_state(shell: &Shell, addr: SocketAddr, known: SyncProgress) -> Option<Bytes> {
     let stream = TcpStream::connect(addr).await.ok()?;
     let mut stream = framing::framed(stream);
     framing::write_frame(&mut stream, &peers::hello_frame(shell, None))
         .await
         .ok()?;
+    // The peer's `Hello`. A peer of another version closes the connection instead of sending it.
     framing::read_frame(&mut stream).await.ok()?;
     framing::write_frame(&mut stream, &Frame::FetchState(known))
         .await
@@ -46,7 +48,8 @@
     }
 }
 
-/// Serves one request. Closes the connection without a response if this node has no newer state.
+/// Serves one request. Sends no response if state is requested and this node has no newer one; the
+/// connection then ends when the caller of this function drops the stream.
 pub(crate) async fn serve_request(shell: &Shell, stream: &mut FramedStream) {
     let answer = match timeout(FETCH_TIMEOUT, framing::read_frame(stream)).await {
         Ok(Ok(Frame::FetchState(known))) => shell
--- a/crates/proto/src/frame.rs
+++ b/crates/proto/src/frame.rs
@@ -28,7 +28,9 @@
             /// The sender.
             from: Incarnation,
             /// The receiver that the sender expects. If another incarnation runs at that address,
-            /// its own `Hello` reveals that and the connection is closed.
+            /// its own `Hello` reveals that and the connection is closed. `None` if the sender
+            /// makes a single request, [`Frame::FetchState`] or [`Frame::FetchStatus`], to
+            /// whichever incarnation answers; no link is set up.
             to: Option<Incarnation>,
         },
         /// Keepalive; sent when the connection was otherwise idle.
@@ -64,11 +66,10 @@
         RunFinished(Box<KeyRecord>),
         /// The receiver of [`Frame::RunFinished`] has stored the record.
         RunFinishedAck(KeyHash),
-        /// Requests state newer than this; sent by a node that does not or cannot
-        /// read it from the store.
+        /// Requests the receiver's state if that is ahead of this progress. Sent by a node that
+        /// does not or cannot read it from the store.
         FetchState(SyncProgress),
-        /// Answers [`Frame::FetchState`] with the sender's state, as encoded by the journal
-        /// package.
+        /// Answers [`Frame::FetchState`] with the sender's encoded `bilberry_journal::State`.
         State(Bytes),
         /// Requests the status page; sent by `bilberryctl`.
         FetchStatus,
@@ -99,10 +100,12 @@
         pub id: CallId,
         /// The customer action that this call is part of.
         pub action: ActionId,
-        /// The random value of the action that decides on admission, the same at every hop.
+        /// A value drawn at random for the action, the same at every hop. Comparing it
+        /// with admission levels decides whether the action is admitted or shed.
         pub admission_sample: u16,
-        /// The admission level that the action passed at its entry node. From this, a service
-        /// further down the call tree can estimate its load without shedding.
+        /// The admission level that the action passed at its entry node. Services further down
+        /// the call tree use it to estimate how much load they would have if no action had been
+        /// shed.
         pub passed_level: u16,
         /// The role of the receiver.
         pub role: CallRole,
@@ -120,7 +123,8 @@
         pub possible_repeat: bool,
         /// Running the call twice has the same effect as running it once.
         pub idempotent: bool,
-        /// The hash and fingerprint for a non-idempotent call whose key has a home node.
+        /// The hash of the key and the fingerprint of the request; `None` unless the call is
+        /// non-idempotent and its key has a home node.
         pub key: Option<(KeyHash, Fingerprint)>,
         /// The sender knows that this is the first attempt with this key.
         pub first_attempt: bool,
--- a/crates/proto/src/request.rs
+++ b/crates/proto/src/request.rs
@@ -53,8 +53,8 @@
     /// A request to a service.
     #[derive(Hash)]
     pub struct Request {
-        /// The caller's identifier for this attempt, used in logs and for the calls that the
-        /// backend server makes while handling it; empty if the caller sent none.
+        /// The caller's identifier for this attempt; empty if the caller sent none. It appears in
+        /// logs, and calls that the backend server makes while handling the request refer to it.
         pub id: Arc<str>,
         /// The host that the caller addressed, if a route is chosen by host; else empty.
         pub host: Arc<str>,
@@ -75,7 +75,7 @@
 }
 
 impl Request {
-    /// Creates a request without headers.
+    /// Creates a request without headers, with an empty id, host and organisation.
     pub fn new(service: &str, method: &str, path: &str, body: Bytes) -> Self {
         Self {
             id: "".into(),
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Approximate memory that this request occupies in a table, in bytes.
+    /// Approximate memory use of this request in bytes: body, path, headers and a fixed overhead.
     pub fn size(&self) -> usize {
         self.body.len() + self.path.len() + headers_size(&self.headers) + 64
     }
@@ -109,12 +109,13 @@
 }
 
 impl Response {
-    /// Approximate memory that this response occupies in a table, in bytes.
+    /// Approximate memory use of this response in bytes: body, headers and a fixed overhead.
     pub fn size(&self) -> usize {
         self.body.len() + headers_size(&self.headers) + 32
     }
 }
 
+/// Approximate memory use of headers in bytes, with a fixed overhead for each.
 fn headers_size(headers: &[(Arc<str>, Bytes)]) -> usize {
     headers
         .iter()
