--- a/crates/engine/src/diagnostic.rs
+++ b/crates/engine/src/diagnostic.rs
@@ -141,8 +141,8 @@
         /// The sequence number of its last heartbeat.
         sequence: u64,
     },
-    /// A job for this node's backend server ended.
-    Ran {
+    /// A job for this node's backend server ended, whether or not its run was started.
+    JobEnded {
         /// The id of the request.
         request: Arc<str>,
         /// The class of the action.
@@ -258,7 +258,7 @@
                     "event=own_server id={id} open={accepts_work} sequence={sequence}"
                 )
             }
-            Diagnostic::Ran {
+            Diagnostic::JobEnded {
                 request,
                 class,
                 depth,
--- a/crates/engine/src/serve.rs
+++ b/crates/engine/src/serve.rs
@@ -299,7 +299,7 @@
         if let Some(at) = job.late_at {
             self.timers.clear(at, Timer::LateRun(run));
         }
-        self.outputs.push(Output::Diagnostic(Diagnostic::Ran {
+        self.outputs.push(Output::Diagnostic(Diagnostic::JobEnded {
             request: job.request.id.clone(),
             class: job.class,
             depth: job.depth,
--- a/crates/node/src/events.rs
+++ b/crates/node/src/events.rs
@@ -63,7 +63,7 @@
 
 fn log_diagnostic(shell: &Shell, diagnostic: &Diagnostic) {
     let is_success = match diagnostic {
-        Diagnostic::Answered { outcome, .. } | Diagnostic::Ran { outcome, .. } => {
+        Diagnostic::Answered { outcome, .. } | Diagnostic::JobEnded { outcome, .. } => {
             matches!(outcome, OutcomeSummary::Completed(status) if *status < 500)
         }
         Diagnostic::Refused { .. } => false,
