--- a/crates/engine/src/admission.rs
+++ b/crates/engine/src/admission.rs
@@ -37,8 +37,8 @@
 /// Statistics of earlier runs of an operation.
 #[derive(Debug)]
 struct OperationStats {
-    /// The highest level among the services that its runs call.
-    level_below: ReportedLevel,
+    /// The highest level among the services that its runs call, directly or indirectly.
+    downstream_level: ReportedLevel,
     /// How many calls its last run made, directly and indirectly.
     calls_below: u16,
     /// How long its runs take on this node's backend server.
@@ -62,7 +62,7 @@
     }
 
     /// Scales a random value to the band that the priority of an action's first operation has. The
-    /// result is higher, the more urgent the priority.
+    /// result, the admission sample of the action, is higher the more urgent the priority.
     pub(crate) fn admission_sample(&self, operation: &Operation, random: u16) -> u16 {
         self.priority_bands
             .scale_to_band(operation.class, operation.priority, random)
@@ -79,9 +79,14 @@
     }
 
     /// Records the level that the calls of a run have reported while the run is still in progress.
-    pub(crate) fn record_level_below(&mut self, now: Time, operation: &OperationKey, level: u16) {
+    pub(crate) fn record_downstream_level(
+        &mut self,
+        now: Time,
+        operation: &OperationKey,
+        level: u16,
+    ) {
         self.stats_mut(now, operation)
-            .level_below
+            .downstream_level
             .observe(now, level);
     }
 
@@ -94,14 +99,14 @@
         downstream: DownstreamSummary,
     ) {
         let stats = self.stats_mut(now, operation);
-        stats.level_below.observe(now, downstream.level);
+        stats.downstream_level.observe(now, downstream.level);
         stats.calls_below = downstream.calls;
     }
 
     fn stats_mut(&mut self, now: Time, operation: &OperationKey) -> &mut OperationStats {
         if self.operations.get(operation).is_none() {
             let stats = OperationStats {
-                level_below: ReportedLevel::new(now),
+                downstream_level: ReportedLevel::new(now),
                 calls_below: 0,
                 run_times: RunTimes::default(),
             };
@@ -117,9 +122,9 @@
     }
 
     /// The highest level among the services that an operation calls, directly or indirectly.
-    pub(crate) fn level_below(&self, now: Time, operation: &OperationKey) -> u16 {
+    pub(crate) fn downstream_level(&self, now: Time, operation: &OperationKey) -> u16 {
         let stats = self.operations.get(operation);
-        stats.map_or(0, |stats| stats.level_below.get(now))
+        stats.map_or(0, |stats| stats.downstream_level.get(now))
     }
 
     /// Records how long a run of an operation took on this node's backend server.
@@ -170,12 +175,16 @@
         // lost.
         let is_root = call.depth == 0;
         let may_shed = self.cfg.policy.levels && never_sent && is_root;
-        let level_below = self.admission.level_below(now, &call.operation);
-        if may_shed && value < level_below {
-            return Err(shed_refusal(level_below, call.class, call.admission_sample));
+        let downstream_level = self.admission.downstream_level(now, &call.operation);
+        if may_shed && value < downstream_level {
+            return Err(shed_refusal(
+                downstream_level,
+                call.class,
+                call.admission_sample,
+            ));
         }
         if may_shed {
-            call.passed_level = level_below;
+            call.passed_level = downstream_level;
         }
         let (target, level) = match call.key {
             Some((key, _)) => {
@@ -244,12 +253,12 @@
         Some(candidates[turn].clone())
     }
 
-    /// The higher of the level below a call's operation and the level of the instance that it was
-    /// sent to. Other instances are not considered: mostly nothing is known of the distant ones,
-    /// and a call that finds the near ones full is routed to the distant ones anyway.
+    /// The higher of the downstream level of a call's operation and the level of the instance that
+    /// the call was sent to. Other instances are not considered: mostly nothing is known of the
+    /// distant ones, and a call that finds the near ones full is routed to the distant ones anyway.
     pub(crate) fn highest_level(&self, now: Time, call: &OutgoingCall) -> u16 {
-        let below = self.admission.level_below(now, &call.operation);
-        below.max(self.instance_level(now, &call.target))
+        let downstream_level = self.admission.downstream_level(now, &call.operation);
+        downstream_level.max(self.instance_level(now, &call.target))
     }
 
     /// The usable instances of a service and their levels.
--- a/crates/engine/src/answer_cache.rs
+++ b/crates/engine/src/answer_cache.rs
@@ -22,15 +22,15 @@
 /// A bounded cache of recent answers.
 ///
 /// An abandoned connection may still deliver its frames after the same calls have been received
-/// over the next connection and answered. If the answer has been evicted by then and the frame were
-/// treated as a new call, the call would run although its caller may have been told that it did
-/// not. So for each calling node the cache keeps the highest call number that was evicted: a call
-/// up to that number that is not in the cache may have been answered before.
+/// over the next connection and answered, and the answer may have been evicted by then. If such a
+/// frame were treated as a new call, the call would run although its caller may have been told that
+/// it did not. So for each calling node the cache keeps the highest call number that was evicted: a
+/// call up to that number that is not in the cache may have been answered before.
 #[derive(Debug)]
 pub(crate) struct AnswerCache {
     answers: IndexMap<CallId, Answer>,
     /// The cached calls, oldest first.
-    order: VecDeque<CallId>,
+    eviction_order: VecDeque<CallId>,
     /// The total size of the cached responses.
     bytes: usize,
     /// The highest number of an evicted call, by the node that sent it.
@@ -42,8 +42,8 @@
 pub(crate) enum CachedAnswer<'a> {
     /// The call was answered with this.
     Found(&'a Answer),
-    /// The call may have been answered, but its answer would have been evicted.
-    Evicted,
+    /// The call may have been answered before, and its answer evicted from the cache.
+    PossiblyEvicted,
     /// The call was not answered.
     Absent,
 }
@@ -52,7 +52,7 @@
     pub(crate) fn new() -> Self {
         Self {
             answers: IndexMap::new(),
-            order: VecDeque::new(),
+            eviction_order: VecDeque::new(),
             bytes: 0,
             evicted_up_to: BoundedMap::new(MAX_CALLERS),
         }
@@ -61,7 +61,7 @@
     pub(crate) fn get(&self, id: CallId) -> CachedAnswer<'_> {
         match self.answers.get(&id) {
             Some(answer) => CachedAnswer::Found(answer),
-            None if self.is_evicted(id) => CachedAnswer::Evicted,
+            None if self.may_be_evicted(id) => CachedAnswer::PossiblyEvicted,
             None => CachedAnswer::Absent,
         }
     }
@@ -70,10 +70,10 @@
         self.bytes += response_size(&answer);
         match self.answers.insert(id, answer) {
             Some(old) => self.bytes -= response_size(&old),
-            None => self.order.push_back(id),
+            None => self.eviction_order.push_back(id),
         }
         while self.answers.len() > MAX_ANSWERS || self.bytes > MAX_RESPONSE_BYTES {
-            let Some(oldest) = self.order.pop_front() else {
+            let Some(oldest) = self.eviction_order.pop_front() else {
                 return;
             };
             self.evict(oldest);
@@ -90,7 +90,9 @@
         }
     }
 
-    fn is_evicted(&self, id: CallId) -> bool {
+    /// Whether the answer to a call that is not in the cache may have been evicted. Also holds for
+    /// a call that was never received, if a later call of the same node was evicted.
+    fn may_be_evicted(&self, id: CallId) -> bool {
         let highest = self.evicted_up_to.get(&id.from);
         highest.is_some_and(|highest| id.number <= *highest)
     }
--- a/crates/engine/src/append_queue.rs
+++ b/crates/engine/src/append_queue.rs
@@ -1,12 +1,11 @@
-//! Records that this node has to append to the shared log: a bounded queue, one append in
-//! flight.
+//! Records that this node has to append to the shared log: a bounded queue, one append in flight.
 
 use proto::Incarnation;
 use stdx::plain;
 use stdx::Time;
 
-/// The queue length from which further evictions are dropped. The source of a dropped eviction asks
-/// for it again.
+/// The queue length from which further evictions are dropped. The membership controller requests a
+/// dropped eviction again.
 const MAX_QUEUED: usize = 64;
 
 plain! {
--- a/crates/engine/src/calls.rs
+++ b/crates/engine/src/calls.rs
@@ -183,7 +183,8 @@
             Outcome::NotRun(refusal) if answer.downstream.calls == 0 => {
                 if refusal.reason == Reason::Shed && answer.downstream.level > 0 {
                     let (operation, level) = (&call.operation, answer.downstream.level);
-                    self.admission.record_level_below(now, operation, level);
+                    self.admission
+                        .record_downstream_level(now, operation, level);
                 }
             }
             _ => self
@@ -361,7 +362,7 @@
         job.calls_below = job.calls_below.saturating_add(downstream.calls);
         let level = job.downstream().level;
         if let Some(parent) = job.operation.clone() {
-            self.admission.record_level_below(now, &parent, level);
+            self.admission.record_downstream_level(now, &parent, level);
         }
     }
 
--- a/crates/engine/src/config.rs
+++ b/crates/engine/src/config.rs
@@ -58,9 +58,9 @@
     /// The node generates a key, returns it with the answer, and routes the call to the key's home
     /// node.
     GenerateKey,
-    /// The node that accepted the request owns the call: it sends the call to a near instance with
-    /// free capacity, and to another one only after proof that it did not run. Nobody can send the
-    /// same call again, so it needs no record.
+    /// The ingress node owns the call: it sends the call to a near instance with free capacity, and
+    /// to another one only after proof that it did not run. Nobody can send the same call again, so
+    /// it needs no record.
     OwnedByIngress,
 }
 
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -103,7 +103,8 @@
     /// The runs of idempotency keys and the calls that wait for them.
     pub(crate) key_runs: IndexMap<KeyHash, KeyRun>,
     /// The level and the number of calls that the run whose answer is being sent reports; the
-    /// default while any other answer is sent.
+    /// default while any other answer is sent. An implicit argument from [`Engine::end_job`] to
+    /// [`Engine::answer_call`].
     pub(crate) ended_run_downstream: DownstreamSummary,
     pub(crate) admission: AdmissionLevels,
     pub(crate) resends: Resends,
@@ -228,7 +229,10 @@
                     token,
                     at: now,
                     caller,
-                    parents: ParentInfo { context, parent },
+                    parents: ParentInfo {
+                        context,
+                        parent_request_id: parent,
+                    },
                     key,
                     credential,
                     caller_timeout,
--- a/crates/engine/src/freshness.rs
+++ b/crates/engine/src/freshness.rs
@@ -44,11 +44,11 @@
             return;
         }
         self.is_domain_leader = self.members.is_domain_leader(now);
-        for step in self
+        for action in self
             .freshness
             .tick(now, self.is_domain_leader, &mut self.rng)
         {
-            match step {
+            match action {
                 FreshnessAction::QueryStore => self.outputs.push(Output::CheckRules),
                 FreshnessAction::QueryPeer {
                     request_id,
--- a/crates/engine/src/hedge.rs
+++ b/crates/engine/src/hedge.rs
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Notifies the calling node that the backend server may have lost the run. The run's time does
+    /// Notifies the ingress node that the backend server may have lost the run. The run's time does
     /// not include its wait in the queue: second attempts because of long queues would add to the
     /// load.
     pub(crate) fn on_late_run(&mut self, run: RunId) {
--- a/crates/engine/src/identity.rs
+++ b/crates/engine/src/identity.rs
@@ -45,7 +45,7 @@
     /// request that was authenticated before.
     fn is_child_call(&self, parents: &ParentInfo) -> bool {
         let known = |id| self.jobs_by_request_id.contains_key(id);
-        parents.context.is_some() || parents.parent.as_ref().is_some_and(known)
+        parents.context.is_some() || parents.parent_request_id.as_ref().is_some_and(known)
     }
 }
 
--- a/crates/engine/src/ingress.rs
+++ b/crates/engine/src/ingress.rs
@@ -131,7 +131,7 @@
     pub(crate) fn refuse_unopened(&mut self, refused: RefusedRequest, refusal: Refusal) {
         let RefusedRequest {
             token,
-            request,
+            request_id,
             organisation,
             keyed,
         } = refused;
@@ -144,7 +144,7 @@
             refusal
         };
         self.outputs.push(Output::Diagnostic(Diagnostic::Refused {
-            request,
+            request: request_id,
             organisation,
             reason,
             rules: self.journal.rules_version,
@@ -188,9 +188,9 @@
                 context: Some(context),
                 ..
             } => Some(RunId::parse(&context).ok_or(Reason::BadRequest)?),
-            ParentInfo { parent, .. } => {
-                parent.and_then(|id| self.jobs_by_request_id.get(&id).copied())
-            }
+            ParentInfo {
+                parent_request_id, ..
+            } => parent_request_id.and_then(|id| self.jobs_by_request_id.get(&id).copied()),
         };
         let Some(run) = run else {
             return self.root_draft(now, token, random, operation, request);
@@ -202,7 +202,7 @@
         if job.possible_repeat && !job.retry_allowance.try_withdraw() {
             return Err(Reason::AllowanceSpent);
         }
-        let lent = job.retry_allowance.delegate_half();
+        let delegated = job.retry_allowance.delegate_half();
         let (class, priority) = job.child_class_and_priority(&operation);
         Ok(RequestDraft {
             token,
@@ -213,9 +213,9 @@
             passed_level: job.passed_level,
             depth: job.depth + 1,
             deadline: job.deadline.min(now + operation.deadline),
-            retry_allowance: RetryAllowance::new(lent),
+            retry_allowance: RetryAllowance::new(delegated),
             parent: Some(run),
-            delegated_retries: lent,
+            retries_from_parent: delegated,
             key: None,
             first_attempt: false,
             generated_key: None,
@@ -251,7 +251,7 @@
             deadline: now + operation.deadline,
             retry_allowance: RetryAllowance::new(self.tree_retries(&operation)),
             parent: None,
-            delegated_retries: 0,
+            retries_from_parent: 0,
             key: None,
             first_attempt: false,
             generated_key: None,
@@ -378,7 +378,7 @@
                 number: 0,
             },
             parent: draft.parent,
-            delegated_retries: draft.delegated_retries,
+            retries_from_parent: draft.retries_from_parent,
             generated_key: draft.generated_key.clone(),
             operation: draft.operation.clone(),
             quota_token: draft.quota_token,
@@ -404,7 +404,8 @@
             return;
         };
         if let Some(job) = open.parent.and_then(|run| self.jobs.get_mut(&run)) {
-            job.retry_allowance.reclaim(open.delegated_retries, unspent);
+            job.retry_allowance
+                .reclaim(open.retries_from_parent, unspent);
             job.on_child_ended(now, token);
         }
         if matches!(outcome, Outcome::NotRun(_)) {
@@ -446,7 +447,7 @@
 
     /// Stops the work for a request whose caller has disconnected.
     pub(crate) fn on_caller_gone(&mut self, now: Time, token: RequestToken) {
-        if self.unfollow(token) || self.cancel_quota_wait(token) {
+        if self.detach_caller(token) || self.cancel_quota_wait(token) {
             return;
         }
         if let Some(open) = self.open_requests.get(&token) {
--- a/crates/engine/src/job.rs
+++ b/crates/engine/src/job.rs
@@ -27,7 +27,7 @@
     pub(crate) depth: u8,
     pub(crate) deadline: Time,
     pub(crate) retry_allowance: RetryAllowance,
-    /// Whether each child call counts as a retry.
+    /// Whether the run may repeat an earlier one, so that each of its child calls spends a retry.
     pub(crate) possible_repeat: bool,
     pub(crate) operation: Option<OperationKey>,
     pub(crate) fingerprint: Fingerprint,
@@ -53,7 +53,7 @@
     /// The class of the whole action.
     pub(crate) class: Class,
     pub(crate) priority: u8,
-    /// The admission level that the action passed at its first hop.
+    /// The admission level that the action passed at its entry node.
     pub(crate) passed_level: u16,
     pub(crate) started: Option<Time>,
     /// The server incarnation that the job was given to.
--- a/crates/engine/src/keyed_calls.rs
+++ b/crates/engine/src/keyed_calls.rs
@@ -120,7 +120,7 @@
         self.inbound.insert(
             id,
             InboundCall {
-                work: InboundWork::Held,
+                work: InboundWork::SlotTransfer,
             },
         );
         self.held_calls.insert(id, HeldCall { call, key, until });
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -1,6 +1,12 @@
 //! The decision logic of a node as a state machine without I/O. Requests pass through a filter
 //! chain; controllers hold the state.
 //!
+//! The *ingress node* of a request is the node that received it from a caller or from its own
+//! backend server, which makes child calls. The *entry node* of an action is the ingress node of
+//! its root call. So each child call has an ingress node of its own, and all calls of an action
+//! have the same entry node. The *admission sample* of an action is its random value after scaling
+//! to the band of its priority; [`policy::WorkItem::random_value`] holds it too.
+//!
 //! [`Engine::handle`] takes the current time and one [`Input`] and returns the resulting
 //! [`Output`]s. The engine performs no I/O and uses no clock, no global state and no unseeded
 //! random numbers, so production, tests and benchmarks run the same code, each with its own clock
--- a/crates/engine/src/outgoing.rs
+++ b/crates/engine/src/outgoing.rs
@@ -33,7 +33,8 @@
     pub(crate) retry_allowance: RetryAllowance,
     /// The retries delegated to the current attempt.
     pub(crate) delegated_retries: u16,
-    /// Whether each attempt below counts as a retry.
+    /// Whether the run of this call may repeat an earlier one, so that each of its child calls
+    /// spends a retry.
     pub(crate) possible_repeat: bool,
     /// Whether an attempt may have run although its answer was lost.
     pub(crate) may_have_run: bool,
--- a/crates/engine/src/peer_diagnostics.rs
+++ b/crates/engine/src/peer_diagnostics.rs
@@ -1,9 +1,10 @@
 //! Diagnostic events about the states of other nodes.
 //!
-//! When many nodes change at the same time, at a start or when a failure domain is lost, an event
-//! for each would add up to the square of the fleet's size over all nodes, just when the processors
-//! are busy with the change itself. The first events of each second are written one by one, which
-//! is enough to follow a single failure; the rest are only counted.
+//! Many nodes change their state at the same time when a fleet starts or a failure domain is lost.
+//! If each node wrote an event for each of these changes, the number of events would grow with the
+//! square of the fleet's size, just when the processors are busy with the change itself. The first
+//! events of each second are written one by one, which is enough to follow a single failure; the
+//! rest are only counted.
 
 use crate::diagnostic::PeerCounts;
 use crate::Diagnostic;
@@ -14,11 +15,11 @@
 use std::time::Duration;
 use stdx::Time;
 
-/// Events about single nodes per interval.
+/// The maximum number of events about single nodes per interval.
 const MAX_EVENTS_PER_INTERVAL: u32 = 4;
 
-/// The interval for which further changes are counted.
-const INTERVAL: Duration = Duration::from_secs(1);
+/// The interval for which events about single nodes are limited and further changes counted.
+const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Limits the rate of events about single nodes and counts the changes beyond it.
 #[derive(Debug, Default)]
@@ -45,7 +46,7 @@
     ) {
         self.flush_peer_counts(now);
         if now >= self.peer_diagnostics.interval_end {
-            self.peer_diagnostics.interval_end = now + INTERVAL;
+            self.peer_diagnostics.interval_end = now + REPORT_INTERVAL;
             self.peer_diagnostics.reported = 0;
         }
         let Some(peer) = self.members.get(incarnation) else {
@@ -69,11 +70,13 @@
             return;
         }
         let changed = std::mem::take(&mut self.peer_diagnostics.suppressed);
-        let mut known = PeerCounts::default();
+        let mut known_peers = PeerCounts::default();
         for peer in self.members.peers() {
-            known.add(peer.state);
+            known_peers.add(peer.state);
         }
-        self.outputs
-            .push(Output::Diagnostic(Diagnostic::Peers { changed, known }));
+        self.outputs.push(Output::Diagnostic(Diagnostic::Peers {
+            changed,
+            known: known_peers,
+        }));
     }
 }
--- a/crates/engine/src/request.rs
+++ b/crates/engine/src/request.rs
@@ -26,8 +26,8 @@
     pub(crate) call: CallId,
     /// The run that made this child call.
     pub(crate) parent: Option<RunId>,
-    /// The retries that the parent delegated.
-    pub(crate) delegated_retries: u16,
+    /// The retries that the parent run delegated to this request.
+    pub(crate) retries_from_parent: u16,
     /// The idempotency key that this node generated.
     pub(crate) generated_key: Option<Arc<str>>,
     pub(crate) operation: Operation,
@@ -56,7 +56,7 @@
 #[derive(Debug)]
 pub(crate) struct RefusedRequest {
     pub(crate) token: RequestToken,
-    pub(crate) request: Arc<str>,
+    pub(crate) request_id: Arc<str>,
     pub(crate) organisation: Arc<str>,
     /// Whether the caller sent an idempotency key.
     pub(crate) keyed: bool,
@@ -66,7 +66,7 @@
     pub(crate) fn new(token: RequestToken, keyed: bool, request: &Request) -> Self {
         Self {
             token,
-            request: request.id.clone(),
+            request_id: request.id.clone(),
             organisation: request.organisation.clone(),
             keyed,
         }
@@ -84,8 +84,8 @@
 pub(crate) struct ParentInfo {
     /// The context header, which names the run.
     pub(crate) context: Option<Arc<str>>,
-    /// The id of the request that the run serves, if the id of this one reveals it.
-    pub(crate) parent: Option<Arc<str>>,
+    /// The id of the request that the run serves, if it could be derived from the id of this one.
+    pub(crate) parent_request_id: Option<Arc<str>>,
 }
 
 /// A request on its way through the filter chain.
@@ -98,19 +98,20 @@
     /// The class of the whole action.
     pub(crate) class: Class,
     pub(crate) priority: u8,
-    /// The admission level that the action passed at its first hop, as far as it has been checked
-    /// there.
+    /// The admission level that the action passed at its entry node; 0 until it is checked there.
     pub(crate) passed_level: u16,
     pub(crate) depth: u8,
     pub(crate) deadline: Time,
     pub(crate) retry_allowance: RetryAllowance,
     pub(crate) parent: Option<RunId>,
-    pub(crate) delegated_retries: u16,
+    /// The retries that the parent run delegated to this request.
+    pub(crate) retries_from_parent: u16,
     pub(crate) key: Option<(KeyHash, Fingerprint)>,
-    /// Whether no attempt with this key can have been made before.
+    /// Whether this is certainly the first attempt with this key.
     pub(crate) first_attempt: bool,
     pub(crate) generated_key: Option<Arc<str>>,
-    /// Whether each attempt below counts as a retry.
+    /// Whether the run of this call may repeat an earlier one, so that each of its child calls
+    /// spends a retry.
     pub(crate) possible_repeat: bool,
     pub(crate) quota_token: Option<QuotaToken>,
     pub(crate) request_hash: Option<RequestHash>,
--- a/crates/engine/src/resends.rs
+++ b/crates/engine/src/resends.rs
@@ -3,8 +3,8 @@
 //!
 //! Callers that send again when an answer is late, or after a refusal, add load to services that
 //! are already slow. Here a request from the same caller that is identical in every byte waits for
-//! the answer to the first one. A request that was refused and returns before its retry delay is
-//! over counts against a limit, which the rules set as a share of first requests. A call with an
+//! the answer to the first one. A request that was refused and is sent again before its retry delay
+//! is over counts against a limit, which the rules set as a share of first requests. A call with an
 //! idempotency key is never counted: only the home node of the key knows whether it ran, and that
 //! may be what the caller wants to find out.
 
@@ -63,8 +63,9 @@
         }
     }
 
-    /// Counts a request that returns before its retry delay is over. If the limit is used up,
-    /// returns when the delay is over.
+    /// Counts a request that is sent again before its retry delay is over against the limit of the
+    /// service. Returns the end of the delay if the limit is used up, otherwise `None`. Any other
+    /// request raises the limit by `ratio`.
     fn check_early_resend(
         &mut self,
         now: Time,
@@ -93,8 +94,9 @@
     ) -> Option<RequestDraft> {
         // Two non-idempotent requests without a key may be two orders, even if they are identical.
         let is_coalescable = draft.operation.idempotent && draft.key.is_none();
-        let is_limited = draft.parent.is_none() && is_coalescable;
-        if !self.cfg.policy.resend_limit || !is_limited {
+        // Only such requests may follow a leader or count against the limit.
+        let is_filtered = draft.parent.is_none() && is_coalescable;
+        if !self.cfg.policy.resend_limit || !is_filtered {
             return Some(draft);
         }
         let request_hash = Resends::hash_of(caller, &draft.request);
@@ -117,9 +119,9 @@
         Some(draft)
     }
 
-    /// The request in flight that is identical to this one. All bytes are compared, because a
-    /// different request could have the same hash. Its deadline must not be later than that of the
-    /// re-send.
+    /// The request in flight, called the leader, whose answer this re-send may wait for. All bytes
+    /// are compared, because a different request could have the same hash. The leader's deadline
+    /// must not be later than the re-send's, because its answer may come as late as its deadline.
     fn find_leader(&self, request_hash: RequestHash, draft: &RequestDraft) -> Option<RequestToken> {
         let token = self.resends.in_flight.get(&request_hash)?;
         let call = self.calls.get(&self.open_requests.get(token)?.call)?;
@@ -140,16 +142,17 @@
         self.count(Counter::ResendAttached);
     }
 
-    /// Handles a disconnected caller whose request waited for another one's answer or has others
-    /// waiting for it. Returns whether the work in flight must continue.
-    pub(crate) fn unfollow(&mut self, token: RequestToken) -> bool {
+    /// Handles the disconnected caller of a request that may wait for another one's answer or have
+    /// others waiting for its own. Returns whether the work in flight must continue: if the request
+    /// waited for a leader, or is a leader that others still wait for.
+    pub(crate) fn detach_caller(&mut self, token: RequestToken) -> bool {
         if let Some(leader) = self.followers.swap_remove(&token) {
             if let Some(leader_request) = self.open_requests.get_mut(&leader) {
                 leader_request
                     .followers
                     .retain(|follower| *follower != token);
             }
-            // Every request must be answered, otherwise its connection would stay open forever.
+            // The caller's connection stays open until its request is answered.
             self.outputs.push(Output::Answer {
                 token,
                 outcome: Outcome::Unknown(Reason::CallerGone),
--- a/crates/engine/src/serve.rs
+++ b/crates/engine/src/serve.rs
@@ -1,4 +1,4 @@
-//! Calls from other nodes, and jobs for this node's backend server.
+//! Calls from nodes, this one included, and jobs for this node's backend server.
 
 use crate::admission::shed_refusal;
 use crate::answer_cache::CachedAnswer;
@@ -37,7 +37,7 @@
 use std::time::Duration;
 use stdx::Time;
 
-/// A call from another node that has not been answered yet.
+/// A call from a node, which may be this one, that has not been answered yet.
 #[derive(Debug)]
 pub(crate) struct InboundCall {
     pub(crate) work: InboundWork,
@@ -50,8 +50,8 @@
     Run(RunId),
     /// The run of an idempotency key, which other calls may wait for too.
     Key(KeyHash),
-    /// The transfer of the key's slot to this node.
-    Held,
+    /// The transfer of the key's slot to this node; the call is held until then.
+    SlotTransfer,
 }
 
 impl Engine {
@@ -66,7 +66,9 @@
                 let frame = Frame::Answer(call.id, Box::new(answer.clone()));
                 return self.send_to(from, frame);
             }
-            CachedAnswer::Evicted => return self.answer_evicted_call(from, call.id),
+            CachedAnswer::PossiblyEvicted => {
+                return self.answer_possibly_evicted_call(from, call.id)
+            }
             CachedAnswer::Absent => {}
         }
         match call.role {
@@ -151,7 +153,8 @@
             return;
         };
         // During an outage of the log no new home node is assigned, and calls for the keys of this
-        // node would keep coming until the process exits in the middle of one.
+        // node would keep coming until the process exits in the middle of one. So a stopping node
+        // starts work only until `closed_at`.
         if self.stopping && now >= self.closed_at {
             return self.end_job(now, run, self.not_run(Reason::Draining));
         }
@@ -174,6 +177,8 @@
             if admission_value(item.class, item.random_value) < level {
                 self.server.on_refused_before_offer(now, item.class);
                 let refusal = shed_refusal(level, item.class, item.random_value);
+                // The refusal has to report the level that the job was shed at. The job has made no
+                // child calls, so the level is recorded under its own operation.
                 if let Some(job) = self.jobs.get_mut(&run) {
                     job.child_levels
                         .extend(job.operation.clone().map(|operation| (operation, level)));
@@ -192,11 +197,13 @@
         self.apply_decision(now, run, decision);
     }
 
-    /// The admission level of the services below a job's operation.
+    /// The highest admission level among the services that a job's operation calls.
     fn downstream_level(&self, now: Time, run: RunId) -> u16 {
         let job = self.jobs.get(&run).filter(|_| self.cfg.policy.levels);
         let operation = job.and_then(|job| job.operation.as_ref());
-        operation.map_or(0, |operation| self.admission.level_below(now, operation))
+        operation.map_or(0, |operation| {
+            self.admission.downstream_level(now, operation)
+        })
     }
 
     /// Starts or refuses queued jobs whose turn has come.
@@ -256,7 +263,7 @@
         let (class, fingerprint) = (job.class, job.fingerprint);
         let cancelled = job.cancelled;
         let expected_server = job.expected_server.clone();
-        let made_child_calls =
+        let keyed_run_made_child_calls =
             matches!(job.owner, JobOwner::Key(_)) && !job.child_counts.is_empty();
         let feedback = job.server_feedback(now, &end);
         self.record_run_time(now, run, feedback);
@@ -266,10 +273,12 @@
                 self.clear_suspect(now, fingerprint);
                 Outcome::Completed(response)
             }
-            // The next run would generate the same child keys and mark its child calls as first
-            // attempts, although calls with these keys were made before. So a run that made child
-            // calls never counts as one that did not run.
-            RunEnd::Refused { .. } if made_child_calls => Outcome::Unknown(Reason::ServerRefused),
+            // The next run of the key would generate the same child keys and mark its child calls
+            // as first attempts, although calls with these keys were made before. So a run of a key
+            // that made child calls never counts as one that did not run.
+            RunEnd::Refused { .. } if keyed_run_made_child_calls => {
+                Outcome::Unknown(Reason::ServerRefused)
+            }
             RunEnd::Refused { retry_after } => {
                 let retry_after = retry_after.unwrap_or(crate::refusal::DEFAULT_RETRY_AFTER);
                 Outcome::NotRun(Refusal::new(Reason::ServerRefused, retry_after))
@@ -316,6 +325,8 @@
         if let Some(operation) = job.operation.as_ref().filter(|_| job.started.is_some()) {
             self.admission.record_downstream(now, operation, downstream);
         }
+        // `answer_call` reads the summary from this field. It is reset afterwards, because answers
+        // that are sent elsewhere report nothing.
         self.ended_run_downstream = downstream;
         match job.owner {
             JobOwner::Call(call) => self.answer_call(call, unspent_retries, outcome),
@@ -332,7 +343,7 @@
         match inbound.work {
             InboundWork::Run(run) => self.cancel_run(now, run),
             InboundWork::Key(key) => self.cancel_keyed_call(now, key, id),
-            InboundWork::Held => self.cancel_held(id),
+            InboundWork::SlotTransfer => self.cancel_held(id),
         }
     }
 
@@ -370,9 +381,9 @@
         self.end_job(now, run, self.not_run(Reason::CallerGone));
     }
 
-    /// Answers a call that may have been answered before, when that answer would already have been
-    /// evicted from the cache.
-    fn answer_evicted_call(&mut self, from: Incarnation, id: CallId) {
+    /// Answers a call that may have been answered before, and whose answer is no longer in the
+    /// cache.
+    fn answer_possibly_evicted_call(&mut self, from: Incarnation, id: CallId) {
         let answer = Answer {
             outcome: Outcome::Unknown(Reason::PeerLost),
             unspent_retries: 0,
--- a/crates/engine/tests/allowance.rs
+++ b/crates/engine/tests/allowance.rs
@@ -1,5 +1,6 @@
-//! Retry allowances in complete call trees: engines for 15 services with two instances each,
-//! backend servers that refuse calls or drop connections, lost answers and unreachable nodes.
+//! Retry allowances in complete call trees: engines for 15 services with two instances each and one
+//! more node that receives the root request, backend servers that refuse calls or drop connections,
+//! lost answers and unreachable nodes.
 
 use bilberry_engine::Config;
 use bilberry_engine::Engine;
@@ -28,7 +29,7 @@
 
 /// One call of a tree, and the faults of its attempts.
 #[derive(Debug, Clone)]
-struct Call {
+struct TreeCall {
     parent: usize,
     keyed: bool,
     /// The child calls are made all at once, not one after another.
@@ -47,7 +48,7 @@
     Unreachable,
 }
 
-fn call_trees() -> impl Strategy<Value = Vec<Call>> {
+fn call_trees() -> impl Strategy<Value = Vec<TreeCall>> {
     let fault = prop_oneof![
         3 => Just(Fault::None),
         1 => Just(Fault::RefusedAtOnce),
@@ -68,13 +69,14 @@
             usize,
             (prop::sample::Index, _, _, _),
         )| {
-            // Parents with a high index make deep trees.
+            // The parent is one of the up to three calls before this one, so that trees become
+            // deep.
             let parent = if index == 0 {
                 0
             } else {
                 index - 1 - parent.index(index.min(3))
             };
-            Call {
+            TreeCall {
                 parent,
                 keyed,
                 parallel,
@@ -99,19 +101,20 @@
 /// Delivers messages between all engines, and simulates their backend servers with the faults of a
 /// call tree.
 struct Simulation {
-    calls: Vec<Call>,
-    /// The depth of each call in the tree, which is also its service.
+    calls: Vec<TreeCall>,
+    /// The depth of each call in the tree, which is also the number of its service.
     depths: Vec<usize>,
     engines: Vec<Engine>,
     now: Time,
     inputs: VecDeque<(usize, Input)>,
     runs: IndexMap<RunId, Run>,
+    /// The run that made each child call.
     tokens: IndexMap<RequestToken, RunId>,
     /// How many attempts were made of each call.
     attempts_by_call: IndexMap<usize, usize>,
     /// The fault of each attempt.
     faults: IndexMap<CallId, Fault>,
-    /// The attempts that were sent over the network.
+    /// The attempts that were sent to a reachable node.
     attempts: IndexSet<CallId>,
     /// How many runs of each call were started.
     runs_by_call: IndexMap<usize, usize>,
@@ -120,7 +123,7 @@
 }
 
 impl Simulation {
-    fn new(calls: Vec<Call>, allowance: u16) -> Self {
+    fn new(calls: Vec<TreeCall>, allowance: u16) -> Self {
         let mut depths = vec![0; calls.len()];
         for index in 1..calls.len() {
             depths[index] = depths[calls[index].parent] + 1;
@@ -139,12 +142,14 @@
             operator: "ada".into(),
             file: rules.into(),
         });
+        // The last node, without another instance of its service, is the entry node.
         let instances: Vec<Instance> = (0..2 * DEPTH + 1).map(instance).collect();
         records.extend(instances.iter().cloned().map(Record::Join));
         let records: Vec<(u64, Bytes)> = (0..)
             .zip(records.iter().map(|record| proto::encode(record).into()))
             .collect();
         let mut cfg = Config::default();
+        // The retry budget would refuse retries as well. Without it only the allowance limits them.
         cfg.policy.retry_budget = false;
         let mut simulation = Self {
             calls,
@@ -178,7 +183,7 @@
         self.process_inputs();
         self.send_request(2 * DEPTH, None, 0);
         self.process_inputs();
-        // Apart from leases and reports, only deadlines are due now.
+        // No timer has to fire for the answer: only leases, reports and deadlines have timers now.
         self.answer
             .take()
             .expect("the root request should be answered")
@@ -237,7 +242,7 @@
         let from = Incarnation(node as u64);
         match &frame {
             Frame::Call(call) => {
-                let index = index(&call.request);
+                let index = call_index(&call.request);
                 if !self.faults.contains_key(&call.id) {
                     let attempt_count = self.attempts_by_call.entry(index).or_insert(0);
                     let faults_by_attempt = &self.calls[index].faults_by_attempt;
@@ -267,7 +272,7 @@
     }
 
     fn start_run(&mut self, node: usize, run: RunId, request: &Request) {
-        let call = index(request);
+        let call = call_index(request);
         *self.runs_by_call.entry(call).or_insert(0) += 1;
         let attempt = self.attempts_by_call[&call] - 1;
         let fault = self.calls[call].faults_by_attempt.get(attempt).copied();
@@ -345,7 +350,7 @@
     }
 }
 
-fn index(request: &Request) -> usize {
+fn call_index(request: &Request) -> usize {
     request.path[1..]
         .parse()
         .expect("the path should be the index of the call")
@@ -357,7 +362,7 @@
 /// hop, and the overload that causes them then sustains itself. The required bound is one attempt
 /// for each call of the tree plus the root's allowance, whichever calls are refused, lost or cut
 /// off.
-fn check_attempts(calls: Vec<Call>, allowance: u16) -> Result<(), TestCaseError> {
+fn check_attempts(calls: Vec<TreeCall>, allowance: u16) -> Result<(), TestCaseError> {
     let mut simulation = Simulation::new(calls, allowance);
     simulation.run();
     prop_assert!(
@@ -366,8 +371,8 @@
                 .faults_by_attempt
                 .contains(&Fault::Unreachable)
     );
-    let edges = (0..simulation.calls.len()).filter(|call| simulation.depths[*call] < DEPTH);
-    let bound = edges.count() + usize::from(allowance);
+    let sent_calls = (0..simulation.calls.len()).filter(|call| simulation.depths[*call] < DEPTH);
+    let bound = sent_calls.count() + usize::from(allowance);
     prop_assert!(
         simulation.attempts.len() <= bound,
         "{} attempts, {bound} allowed",
--- a/crates/engine/tests/announced.rs
+++ b/crates/engine/tests/announced.rs
@@ -1,5 +1,5 @@
-//! Backend servers that send heartbeats, routes by host, and keyless calls that are owned by the
-//! node that accepted them.
+//! Backend servers that send heartbeats, routes by host, and keyless calls that are owned by their
+//! ingress node.
 
 use bilberry_engine::Announcement;
 use bilberry_engine::Config;
--- a/crates/engine/tests/duplicates.rs
+++ b/crates/engine/tests/duplicates.rs
@@ -21,7 +21,7 @@
 use std::time::Duration;
 use stdx::Time;
 
-const CALLER: Incarnation = Incarnation(2);
+const CALLING_NODE: Incarnation = Incarnation(2);
 
 fn instance(n: u16) -> Instance {
     Instance {
@@ -57,7 +57,7 @@
 fn call(number: u64) -> Input {
     let call = Call {
         id: CallId {
-            from: CALLER,
+            from: CALLING_NODE,
             number,
         },
         action: ActionId(u128::from(number)),
@@ -76,7 +76,7 @@
         request: Request::new("press", "GET", "/days", Bytes::new()),
     };
     Input::Frame {
-        from: CALLER,
+        from: CALLING_NODE,
         frame: Frame::Call(Box::new(call)),
     }
 }
--- a/crates/engine/tests/levels.rs
+++ b/crates/engine/tests/levels.rs
@@ -27,19 +27,19 @@
 use std::time::Duration;
 use stdx::Time;
 
-const CALLER: u16 = 2;
-const STOCK: u16 = 3;
+const ENTRY_NODE: u16 = 2;
+const STOCK_NODE: u16 = 3;
 
 const RULES: &str = "\
 operation status GET /orders class=lookup idempotent deadline=5s # asked by Anna
 operation stock GET /shirts class=lookup idempotent deadline=5s # asked by Anna
 ";
 
-/// The level that the stock service reports, and random values of lookups whose admission values
-/// are below and above it.
+/// The level that the stock service reports, and admission samples of lookups whose admission
+/// values are below and above it. The admission value of a lookup is half its admission sample.
 const LEVEL: u16 = 20_000;
-const LOW_RANDOM: u16 = 10_000;
-const HIGH_RANDOM: u16 = 60_000;
+const LOW_SAMPLE: u16 = 10_000;
+const HIGH_SAMPLE: u16 = 60_000;
 
 fn instance(n: u16, service: &str) -> Instance {
     Instance {
@@ -69,8 +69,8 @@
         let records = [
             publish,
             Record::Join(instance(1, "status")),
-            Record::Join(instance(CALLER, "status")),
-            Record::Join(instance(STOCK, "stock")),
+            Record::Join(instance(ENTRY_NODE, "status")),
+            Record::Join(instance(STOCK_NODE, "stock")),
         ];
         let records = (0..).zip(records.map(|record| Bytes::from(proto::encode(&record))));
         let mut node = Self {
@@ -93,16 +93,16 @@
         self.feed(Input::Tick)
     }
 
-    /// Receives a lookup with this random value from the node that accepted it.
-    fn lookup(&mut self, random: u16) -> Vec<Output> {
+    /// Receives a lookup with this admission sample from its entry node.
+    fn lookup(&mut self, admission_sample: u16) -> Vec<Output> {
         self.calls += 1;
         let call = Call {
             id: CallId {
-                from: Incarnation(u64::from(CALLER)),
+                from: Incarnation(u64::from(ENTRY_NODE)),
                 number: self.calls,
             },
             action: ActionId(u128::from(self.calls)),
-            admission_sample: random,
+            admission_sample,
             class: Class::Lookup,
             priority: 0,
             passed_level: 0,
@@ -117,7 +117,7 @@
             request: Request::new("status", "GET", "/orders", Bytes::new()),
         };
         let frame = Frame::Call(Box::new(call));
-        let from = Incarnation(u64::from(CALLER));
+        let from = Incarnation(u64::from(ENTRY_NODE));
         self.feed(Input::Frame { from, frame })
     }
 
@@ -161,7 +161,7 @@
             downstream: DownstreamSummary::default(),
         };
         let frame = Frame::Answer(read.id, Box::new(answer));
-        let from = Incarnation(u64::from(STOCK));
+        let from = Incarnation(u64::from(STOCK_NODE));
         self.feed(Input::Frame { from, frame });
     }
 }
@@ -177,7 +177,7 @@
 /// which is overloaded.
 fn node_with_reported_level() -> Node {
     let mut node = Node::new();
-    let run = run_of(&node.lookup(HIGH_RANDOM)).expect("the first lookup should run");
+    let run = run_of(&node.lookup(HIGH_SAMPLE)).expect("the first lookup should run");
     for _ in 0..3 {
         node.advance(200);
         let read = node.read_stock(run);
@@ -187,22 +187,22 @@
     node
 }
 
-/// Status lookups read eight times from an overloaded service, which takes a second in all. If its
-/// level were applied only at the end of the first lookup, all lookups of that second would be
-/// admitted, and most would miss their deadlines.
+/// A status lookup reads three times from an overloaded service, which takes 1.2 s in all. If the
+/// level of that service were applied only at the end of the first lookup, all lookups that arrive
+/// until then would be admitted, and most would miss their deadlines.
 #[test]
-fn level_below_is_applied_while_the_run_is_in_progress() {
+fn downstream_level_is_applied_while_the_run_is_in_progress() {
     let mut node = node_with_reported_level();
-    assert_eq!(run_of(&node.lookup(LOW_RANDOM)), None);
-    assert!(run_of(&node.lookup(HIGH_RANDOM)).is_some());
+    assert_eq!(run_of(&node.lookup(LOW_SAMPLE)), None);
+    assert!(run_of(&node.lookup(HIGH_SAMPLE)).is_some());
 }
 
-/// A lookup is shed because of the level of a service below. The refusal reports the level, so that
-/// the node that accepted the lookup sheds further ones itself.
+/// A lookup is shed because of the level of a downstream service. The refusal reports the level, so
+/// that the entry node sheds further lookups itself.
 #[test]
-fn refusal_reports_the_level_below() {
+fn refusal_reports_the_downstream_level() {
     let mut node = node_with_reported_level();
-    let outputs = node.lookup(LOW_RANDOM);
+    let outputs = node.lookup(LOW_SAMPLE);
     let answer = outputs.into_iter().find_map(|output| match output {
         Output::Send {
             frame: Frame::Answer(_, answer),
@@ -212,6 +212,7 @@
     });
     let answer = answer.expect("the lookup should be answered at once");
     assert!(matches!(answer.outcome, Outcome::NotRun(refusal) if refusal.reason == Reason::Shed));
+    // The node applies a moving average of the reported levels, which may be below `LEVEL`.
     assert!(
         answer.downstream.level > LEVEL / 2,
         "{:?}",
@@ -219,23 +220,25 @@
     );
 }
 
-/// The calls of an action carry the level that it passed, so that the service below can estimate
+/// The calls of an action carry the level that it passed, so that the called service can estimate
 /// the load that there would be if nothing were shed.
 #[test]
 fn call_carries_the_level_that_its_action_passed() {
     let mut node = node_with_reported_level();
-    let run = run_of(&node.lookup(HIGH_RANDOM)).expect("the lookup should pass the level");
+    let run = run_of(&node.lookup(HIGH_SAMPLE)).expect("the lookup should pass the level");
     let read = node.read_stock(run);
+    // As above, the level that was passed may be below `LEVEL`.
     assert!(read.passed_level > LEVEL / 2, "{}", read.passed_level);
 }
 
 /// A backend server loses the answer of a run and keeps the connection open. Only the node beside
-/// it can tell this from a wait for a busy server, so it notifies the node that sent the call.
+/// the server knows that the run has started and is not waiting in a queue, so this node notifies
+/// the ingress node of the call.
 #[test]
 fn run_that_takes_longer_than_others_is_reported_late() {
     let mut node = Node::new();
     for _ in 0..20 {
-        let run = run_of(&node.lookup(HIGH_RANDOM)).expect("the lookup should run at once");
+        let run = run_of(&node.lookup(HIGH_SAMPLE)).expect("the lookup should run at once");
         node.advance(50);
         let response = Response {
             status: 200,
@@ -245,7 +248,7 @@
         let end = RunEnd::Response(response);
         node.feed(Input::RunEnded { run, end });
     }
-    node.lookup(HIGH_RANDOM);
+    node.lookup(HIGH_SAMPLE);
     let reports_late = |outputs: Vec<Output>| {
         let is_late = |output: &Output| matches!(output, Output::Send { frame: Frame::SlowCall(id), .. } if id.number == 21);
         outputs.iter().any(is_late)
--- a/crates/engine/tests/load.rs
+++ b/crates/engine/tests/load.rs
@@ -1,4 +1,5 @@
-//! Behaviour of an ingress node under load. The test takes the place of the other nodes.
+//! Behaviour of an ingress node under load, which is also the entry node of its requests. The test
+//! takes the place of the other nodes.
 
 use bilberry_engine::Config;
 use bilberry_engine::Engine;
@@ -230,11 +231,11 @@
     ingress.calls.len()
 }
 
-/// A service deep in the call tree is overloaded and sheds half of the lookups. If the ingress node
+/// A service deep in the call tree is overloaded and sheds half of the lookups. If the entry node
 /// does not learn of it, it admits them all, every service in between works in vain, and the
 /// overload sustains itself.
 #[test]
-fn ingress_sheds_what_a_downstream_service_would_shed() {
+fn entry_node_sheds_what_a_downstream_service_would_shed() {
     let mut ingress = IngressNode::new();
     for n in 0..20 {
         ingress.advance(50);
--- a/crates/engine/tests/log/driver.rs
+++ b/crates/engine/tests/log/driver.rs
@@ -28,13 +28,14 @@
 pub struct Driver {
     pub engine: Engine,
     pub now: Time,
+    /// The end of the topic.
     pub offset: u64,
     pub appends: Vec<(u64, Record)>,
     pub counters: Vec<Counter>,
     pub stopped: bool,
     /// Number of requests to read the log topic at once.
     pub read_requests: u32,
-    /// Addresses that the state was requested from.
+    /// Addresses that the state was requested from, each with the progress that was sent.
     pub fetches: Vec<(SocketAddr, SyncProgress)>,
     pub answers: Vec<Outcome>,
 }
--- a/crates/engine/tests/log/main.rs
+++ b/crates/engine/tests/log/main.rs
@@ -1,4 +1,4 @@
-//! The log controller of one node.
+//! The log controller, on single nodes and in simulated fleets.
 
 mod appends;
 mod driver;
--- a/crates/engine/tests/log/outage.rs
+++ b/crates/engine/tests/log/outage.rs
@@ -50,6 +50,7 @@
     driver
 }
 
+/// Sends a request and returns the reason why it was refused, or `None` if it was accepted.
 fn request_refusal(driver: &mut Driver) -> Option<Reason> {
     driver.answers.clear();
     driver.feed(Input::Request {
@@ -104,7 +105,7 @@
     assert_eq!(driver.take_appends(), []);
 }
 
-/// The contact does not answer either. The node keeps asking, about once a second at most.
+/// The contacts do not answer either. The node keeps asking them, 20 to 41 times in 20 s.
 #[test]
 fn an_unanswered_fetch_is_retried() {
     let mut driver = node_in_outage(&[2, 3]);
@@ -118,10 +119,11 @@
 }
 
 /// The log fails when a node has read only its first part. The rules in that part were replaced
-/// long ago, and applying them would be a reversal that callers notice.
+/// long ago. If the node applied them, callers would be served by outdated rules.
 #[test]
 fn rules_are_not_applied_before_the_log_is_read_to_its_end() {
     let mut driver = Driver::new();
+    // The record that is fed here without `read_record` occupies offset 0.
     driver.offset = 1;
     driver.feed(Input::Records(vec![(0, proto::encode(&publish(1)).into())]));
     assert_eq!(driver.engine.rules_version(), 1);
--- a/crates/engine/tests/log/propagation.rs
+++ b/crates/engine/tests/log/propagation.rs
@@ -19,7 +19,8 @@
 /// One-way delay between two nodes.
 const LATENCY: Duration = Duration::from_millis(20);
 
-/// A node of one of the services, which have three nodes each.
+/// Node number `n`, counted from 1. Nodes with the same `n / 3` share a service, so the first
+/// service has only two nodes.
 fn member(n: u16) -> Instance {
     Instance {
         service: format!("service-{}", n / 3).into(),
@@ -32,9 +33,12 @@
     pub(super) now: Time,
     pub(super) engines: Vec<Engine>,
     pub(super) members: Vec<Instance>,
-    /// Whether messages from the first node to the second are lost.
+    /// Whether the path between two nodes is cut. If this holds for them in either order, messages
+    /// in both directions are lost.
     pub(super) is_cut: Box<dyn Fn(usize, usize) -> bool>,
-    /// One in this many datagrams is lost; 0 means none.
+    /// A datagram is lost if `sequence` is a multiple of this; 0 means that none is lost.
+    /// `sequence` advances by two for a delivered datagram and by one for a lost one, so the share
+    /// of lost datagrams is not one in this many.
     pub(super) lose_every: u64,
     /// Number of diagnostic events about peers that each node has written.
     pub(super) peer_events: Vec<usize>,
@@ -44,15 +48,16 @@
 }
 
 impl Fleet {
-    /// A fleet that has read the log. All nodes are listed, and version 1 of the rules is in force.
-    fn new(size: u16) -> (Self, Vec<(u64, Bytes)>) {
+    /// A fleet that has read the log, and the records of the log. All nodes are listed, and version
+    /// 1 of the rules is in force.
+    fn with_log_read(size: u16) -> (Self, Vec<(u64, Bytes)>) {
         let joins = (1..=size).map(|n| Record::Join(member(n)));
         let records: Vec<Record> = joins.chain([publish(1)]).collect();
         let encoded = records
             .iter()
             .map(|record| Bytes::from(proto::encode(record)));
         let stream: Vec<(u64, Bytes)> = (0..).zip(encoded).collect();
-        let mut fleet = Self::of((1..=size).map(member).collect(), Config::default);
+        let mut fleet = Self::from_instances((1..=size).map(member).collect(), Config::default);
         for node in 0..usize::from(size) {
             fleet.feed(node, Input::Records(stream.clone()));
             fleet.feed(node, Input::LogCaughtUp);
@@ -60,8 +65,9 @@
         (fleet, stream)
     }
 
-    /// A fleet of these nodes, the n-th of which has port 7001 + n. They know nothing yet.
-    pub(super) fn of(members: Vec<Instance>, cfg: impl Fn() -> Config) -> Self {
+    /// A fleet of these nodes, which have read nothing and do not know each other yet. The node at
+    /// index `i` must have port `7001 + i`.
+    pub(super) fn from_instances(members: Vec<Instance>, cfg: impl Fn() -> Config) -> Self {
         let engines = members.iter().zip(1..).map(|(member, seed)| {
             let mut cfg = Config { seed, ..cfg() };
             cfg.membership.seed = seed;
@@ -80,6 +86,7 @@
         }
     }
 
+    /// Whether messages between two nodes arrive, in either direction.
     fn are_connected(&self, from: usize, to: usize) -> bool {
         !(self.is_cut)(from, to) && !(self.is_cut)(to, from)
     }
@@ -148,7 +155,8 @@
         }
     }
 
-    pub(super) fn lagging(&self, version: u64) -> usize {
+    /// The number of nodes whose rules are older than this version.
+    pub(super) fn count_nodes_behind(&self, version: u64) -> usize {
         let engines = self.engines.iter();
         engines.filter(|e| e.rules_version() < version).count()
     }
@@ -163,22 +171,23 @@
     }
 }
 
-/// Runs a fleet in which only `readers` nodes read version 2 from the log. Returns the time until
-/// all nodes have it, and the number of fetches.
-fn propagate(size: u16, readers: usize, knows_outage: bool) -> (Duration, usize) {
-    let (mut fleet, stream) = Fleet::new(size);
+/// Runs a fleet in which only the first `readers` nodes read version 2 from the log. If
+/// `others_see_outage`, the others are told that the log does not answer; otherwise they wait for
+/// it. Returns the time until all nodes have version 2, and the number of fetches.
+fn propagate(size: u16, readers: usize, others_see_outage: bool) -> (Duration, usize) {
+    let (mut fleet, stream) = Fleet::with_log_read(size);
     fleet.advance(Duration::from_secs(5));
     let record = (stream.len() as u64, proto::encode(&publish(2)).into());
     for node in 0..usize::from(size) {
         if node < readers {
             fleet.feed(node, Input::Records(vec![record.clone()]));
-        } else if knows_outage {
+        } else if others_see_outage {
             fleet.feed(node, Input::LogUnreachable);
         }
     }
     let started = fleet.now;
     let end = started + Duration::from_secs(60);
-    while fleet.lagging(2) > 0 && fleet.now < end {
+    while fleet.count_nodes_behind(2) > 0 && fleet.now < end {
         fleet.step(end);
     }
     (fleet.now.since(started), fleet.fetches)
@@ -188,8 +197,8 @@
 /// be in force side by side for as long as that lasts.
 #[test]
 fn new_rules_reach_all_nodes_in_time() {
-    for knows_outage in [true, false] {
-        let (took, fetches) = propagate(48, 1, knows_outage);
+    for others_see_outage in [true, false] {
+        let (took, fetches) = propagate(48, 1, others_see_outage);
         assert!(took < Duration::from_secs(10), "{took:?}");
         assert!(fetches <= 3 * 48, "{fetches}");
     }
--- a/crates/engine/tests/log/shared_reads.rs
+++ b/crates/engine/tests/log/shared_reads.rs
@@ -32,7 +32,7 @@
         shared_store_reads: true,
         ..Config::default()
     };
-    let mut fleet = Fleet::of((0..nodes).map(member).collect(), cfg);
+    let mut fleet = Fleet::from_instances((0..nodes).map(member).collect(), cfg);
     let addrs: Vec<_> = fleet.members.iter().map(|member| member.addr).collect();
     for node in 0..nodes {
         fleet.feed(node, Input::Directory(addrs.clone()));
@@ -63,14 +63,14 @@
     let end = published_at + Duration::from_secs(30);
     let all = fleet.engines.len();
     let excluded: Vec<usize> = (0..all).filter(|node| excluded(*node)).collect();
-    let lagging = |fleet: &Fleet| {
-        let lags = |node: &usize| fleet.engines[*node].rules_version() < version;
+    let count_behind = |fleet: &Fleet| {
+        let is_behind = |node: &usize| fleet.engines[*node].rules_version() < version;
         (0..all)
             .filter(|node| !excluded.contains(node))
-            .filter(lags)
+            .filter(is_behind)
             .count()
     };
-    while lagging(fleet) > 0 && fleet.now < end {
+    while count_behind(fleet) > 0 && fleet.now < end {
         for node in readers(fleet) {
             if !excluded.contains(&node) {
                 fleet.feed(node, rules_published(version));
@@ -165,7 +165,7 @@
     let mut fleet = fleet(63, 6);
     let is_rejected = |node: &usize| domain_of(*node, 6) == 0;
     let end = fleet.now + MAX_PROPAGATION_TIME;
-    while fleet.now < end && fleet.lagging(2) > 0 {
+    while fleet.now < end && fleet.count_nodes_behind(2) > 0 {
         for node in readers(&fleet) {
             match is_rejected(&node) {
                 true => fleet.feed(node, Input::LogUnreachable),
@@ -174,5 +174,5 @@
         }
         fleet.advance(Duration::from_millis(50));
     }
-    assert_eq!(fleet.lagging(2), 0);
+    assert_eq!(fleet.count_nodes_behind(2), 0);
 }
