--- a/crates/engine/src/admission.rs
+++ b/crates/engine/src/admission.rs
@@ -39,8 +39,8 @@
 struct OperationStats {
     /// The highest level among the services that its runs call, directly or indirectly.
     downstream_level: ReportedLevel,
-    /// How many calls its last run made, directly and indirectly.
-    calls_below: u16,
+    /// The number of calls that its last run made, directly and indirectly.
+    downstream_calls: u16,
     /// How long its runs take on this node's backend server.
     run_times: RunTimes,
 }
@@ -100,14 +100,14 @@
     ) {
         let stats = self.stats_mut(now, operation);
         stats.downstream_level.observe(now, downstream.level);
-        stats.calls_below = downstream.calls;
+        stats.downstream_calls = downstream.calls;
     }
 
     fn stats_mut(&mut self, now: Time, operation: &OperationKey) -> &mut OperationStats {
         if self.operations.get(operation).is_none() {
             let stats = OperationStats {
                 downstream_level: ReportedLevel::new(now),
-                calls_below: 0,
+                downstream_calls: 0,
                 run_times: RunTimes::default(),
             };
             self.operations.insert(operation.clone(), stats);
@@ -143,10 +143,10 @@
     }
 
     /// The number of calls that the last run of an operation made, directly and indirectly.
-    pub(crate) fn calls_below(&self, operation: &OperationKey) -> u16 {
+    pub(crate) fn downstream_calls(&self, operation: &OperationKey) -> u16 {
         self.operations
             .get(operation)
-            .map_or(0, |stats| stats.calls_below)
+            .map_or(0, |stats| stats.downstream_calls)
     }
 }
 
--- a/crates/engine/src/calls.rs
+++ b/crates/engine/src/calls.rs
@@ -53,7 +53,7 @@
             delegated_retries: 0,
             possible_repeat: draft.possible_repeat,
             may_have_run: false,
-            calls_below: 0,
+            downstream_calls: 0,
             attempts: 0,
             retries_left: match self.cfg.tree_retries {
                 TreeRetries::PerOperation => u16::MAX,
@@ -118,12 +118,14 @@
     /// Whether one retry is kept back instead of delegated with the attempt.
     ///
     /// Delegated retries are lost with a lost answer, and only this node can retry the call then.
-    /// But a run that is itself a retry needs all of them for the calls below it. And where the
-    /// calls below are at least as many as the retries left, a retry is of use only on lower hops:
-    /// if one were kept back at each hop, no read of a deep tree would ever be retried.
+    /// But a run that is itself a retry needs all of them for its child calls. And where the
+    /// downstream calls are at least as many as the retries left, a retry is of use only on lower
+    /// hops: if one were kept back at each hop, no read of a deep tree would ever be retried.
     fn reserves_retry(&self, call: &OutgoingCall) -> bool {
-        let below = self.admission.calls_below(&call.operation);
-        call.idempotent && !call.possible_repeat && call.retry_allowance.remaining() > below
+        let expected_calls = self.admission.downstream_calls(&call.operation);
+        call.idempotent
+            && !call.possible_repeat
+            && call.retry_allowance.remaining() > expected_calls
     }
 
     /// Sends the frame of an attempt.
@@ -177,8 +179,10 @@
         };
         call.retry_allowance
             .reclaim(call.delegated_retries, answer.unspent_retries);
-        call.calls_below = call.calls_below.saturating_add(answer.downstream.calls);
-        // A refusal reports calls below only if the run had already made some.
+        call.downstream_calls = call
+            .downstream_calls
+            .saturating_add(answer.downstream.calls);
+        // A refusal reports downstream calls only if the run had already made some.
         match answer.outcome {
             Outcome::NotRun(refusal) if answer.downstream.calls == 0 => {
                 if refusal.reason == Reason::Shed && answer.downstream.level > 0 {
@@ -264,8 +268,8 @@
     /// fewer the second run could not finish, and its work would be wasted.
     pub(crate) fn on_attempt_lost(&mut self, now: Time, mut call: OutgoingCall, reason: Reason) {
         call.may_have_run = true;
-        let below = self.admission.calls_below(&call.operation);
-        let needed = 1 + below.max(call.calls_below);
+        let expected_calls = self.admission.downstream_calls(&call.operation);
+        let needed = 1 + expected_calls.max(call.downstream_calls);
         let allowed = call.retry_allowance.remaining() >= needed || call.hop_retries > 0;
         if call.idempotent && allowed && self.try_spend_retry(now, &mut call) {
             self.count(Counter::Retry(reason));
@@ -334,7 +338,7 @@
             level: self.highest_level(now, &call),
             // The parent job counted the first attempt when the call began.
             calls: call
-                .calls_below
+                .downstream_calls
                 .saturating_add(call.attempts.saturating_sub(1)),
         };
         self.report_to_parent(now, &call, downstream);
@@ -351,15 +355,15 @@
     /// and updates the admission level of the run's operation.
     ///
     /// The level is updated while the run is still in progress. If it were updated only at its end,
-    /// this node would admit too much for the duration of a complete call tree after a level below
-    /// has risen.
+    /// this node would admit too much for the duration of a complete call tree after a downstream
+    /// level has risen.
     fn report_to_parent(&mut self, now: Time, call: &OutgoingCall, downstream: DownstreamSummary) {
         let operation = call.operation.clone();
         let Some(job) = self.parent_job(call.token) else {
             return;
         };
         job.child_levels.insert(operation, downstream.level);
-        job.calls_below = job.calls_below.saturating_add(downstream.calls);
+        job.downstream_calls = job.downstream_calls.saturating_add(downstream.calls);
         let level = job.downstream().level;
         if let Some(parent) = job.operation.clone() {
             self.admission.record_downstream_level(now, &parent, level);
--- a/crates/engine/src/config.rs
+++ b/crates/engine/src/config.rs
@@ -64,7 +64,7 @@
     OwnedByIngress,
 }
 
-/// How many retries one action gets, for its first call and all calls below it together.
+/// How many retries one action gets, for all calls of its tree together.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum TreeRetries {
     /// As many as its operation allows.
--- a/crates/engine/src/hedge.rs
+++ b/crates/engine/src/hedge.rs
@@ -31,7 +31,7 @@
             return;
         };
         let may_hedge = self.cfg.policy.hedges && job.idempotent && !job.keyed;
-        if !may_hedge || self.admission.calls_below(operation) > 0 {
+        if !may_hedge || self.admission.downstream_calls(operation) > 0 {
             return;
         }
         let late_after = self.admission.late_after(operation);
--- a/crates/engine/src/ingress.rs
+++ b/crates/engine/src/ingress.rs
@@ -267,7 +267,7 @@
     fn tree_retries(&self, operation: &Operation) -> u16 {
         match self.cfg.tree_retries {
             TreeRetries::ScaledByCalls(calls_per_retry) if operation.retries > 0 => {
-                let calls = self.admission.calls_below(&operation_key(operation));
+                let calls = self.admission.downstream_calls(&operation_key(operation));
                 operation.retries + calls.div_ceil(calls_per_retry.max(1))
             }
             _ => operation.retries,
--- a/crates/engine/src/job.rs
+++ b/crates/engine/src/job.rs
@@ -40,8 +40,9 @@
     /// Whether the backend server was asked to cancel the run. If the connection breaks after that,
     /// the server has not crashed.
     pub(crate) cancelled: bool,
-    /// Number of calls made below this job, as far as answers have reported them.
-    pub(crate) calls_below: u16,
+    /// Number of calls made directly and indirectly by the run, as far as answers have reported
+    /// them.
+    pub(crate) downstream_calls: u16,
     /// The level that the child calls of each operation reported last. Levels fall again during a
     /// run, so the highest level reported so far could be as old as the run.
     pub(crate) child_levels: IndexMap<OperationKey, u16>,
@@ -58,10 +59,12 @@
     pub(crate) started: Option<Time>,
     /// The server incarnation that the job was given to.
     pub(crate) expected_server: Option<Arc<str>>,
-    /// Child calls in flight, since when there has been at least one, and for how long in total
-    /// there was one.
+    /// Child calls in flight.
     pub(crate) pending_children: Vec<RequestToken>,
+    /// Since when at least one child call has been in flight. Valid only while there is one.
     pub(crate) children_pending_since: Time,
+    /// The total time during which at least one child call was in flight, without the current such
+    /// period.
     pub(crate) child_wait: Duration,
     pub(crate) request: Request,
 }
@@ -91,7 +94,7 @@
             self.children_pending_since = now;
         }
         self.pending_children.push(child);
-        self.calls_below = self.calls_below.saturating_add(1);
+        self.downstream_calls = self.downstream_calls.saturating_add(1);
     }
 
     /// The admission level and the number of calls that the child calls of the run have reported so
@@ -99,7 +102,7 @@
     pub(crate) fn downstream(&self) -> DownstreamSummary {
         DownstreamSummary {
             level: self.child_levels.values().copied().max().unwrap_or(0),
-            calls: self.calls_below,
+            calls: self.downstream_calls,
         }
     }
 
--- a/crates/engine/src/outgoing.rs
+++ b/crates/engine/src/outgoing.rs
@@ -38,8 +38,9 @@
     pub(crate) possible_repeat: bool,
     /// Whether an attempt may have run although its answer was lost.
     pub(crate) may_have_run: bool,
-    /// Number of calls made below this one, as far as answers have reported them.
-    pub(crate) calls_below: u16,
+    /// Number of calls made directly and indirectly by the runs of this one, as far as answers have
+    /// reported them.
+    pub(crate) downstream_calls: u16,
     /// Number of attempts of this call.
     pub(crate) attempts: u16,
     /// How often this call may still be retried, whatever its action has left.
--- a/crates/engine/src/own_server.rs
+++ b/crates/engine/src/own_server.rs
@@ -45,8 +45,8 @@
     }
 
     /// Whether a heartbeat is newer than the last one. Heartbeats may arrive late, even those of an
-    /// incarnation that has ended. If a late one were applied, it could reopen a server that is
-    /// draining, or send work to one that has exited.
+    /// incarnation that has ended. If a late one were applied, the node could send work to a server
+    /// that is draining or has exited.
     fn is_older_than(&self, newer: &Heartbeat) -> bool {
         (newer.started_ms, newer.sequence) > (self.heartbeat.started_ms, self.heartbeat.sequence)
     }
--- a/crates/engine/src/quota.rs
+++ b/crates/engine/src/quota.rs
@@ -55,8 +55,9 @@
     waiting: IndexMap<RequestToken, (OrganisationId, Arrival)>,
     /// Organisations whose tokens were returned, so that waiting requests may be admitted.
     returned: Vec<OrganisationId>,
-    /// The lender of each group, and the number of nodes that vote.
+    /// The lender of each group.
     elected: [Option<Incarnation>; GROUP_COUNT as usize],
+    /// The number of nodes that vote.
     voters: usize,
     elected_at: Option<Time>,
 }
--- a/crates/engine/src/serve.rs
+++ b/crates/engine/src/serve.rs
@@ -123,7 +123,7 @@
             idempotent: call.idempotent,
             late_at: None,
             cancelled: false,
-            calls_below: 0,
+            downstream_calls: 0,
             child_levels: IndexMap::new(),
             child_key_scope: child_key_scope(call.action, call.key.map(|(key, _)| key)),
             child_counts: IndexMap::new(),
--- a/crates/engine/tests/announced.rs
+++ b/crates/engine/tests/announced.rs
@@ -192,7 +192,7 @@
 /// A heartbeat that a server sent before it began to drain arrives late. If it were applied, the
 /// node would send bookings to a server that stops while they run.
 #[test]
-fn late_heartbeat_does_not_reopen_draining_server() {
+fn late_heartbeat_does_not_send_work_to_draining_server() {
     let mut engine = node();
     engine.handle(at(1), heartbeat("a", 100, 5, true));
     engine.handle(at(2), heartbeat("a", 100, 4, false));
@@ -242,7 +242,7 @@
 /// A server of another service now listens at the address, and reports that a request was
 /// misdirected. The node sends nothing more there, and answers that the booking did not run.
 #[test]
-fn misdirected_run_closes_server() {
+fn misdirected_run_ends_work_for_server() {
     let mut engine = node();
     engine.handle(at(1), heartbeat("a", 100, 1, false));
     let (run, _) = send_booking(&mut engine, at(2), 1).unwrap();
@@ -344,10 +344,10 @@
 }
 
 /// A server crashes and the next one starts at its address. The next one has already sent a
-/// heartbeat when it rejects a booking addressed to the first as misdirected. If the node closed
-/// the next server for this, it would stay idle for as long as it lives.
+/// heartbeat when it rejects a booking addressed to the first as misdirected. If the node stopped
+/// sending work to the next server for this, that server would stay idle for as long as it lives.
 #[test]
-fn misdirected_run_of_earlier_incarnation_does_not_close_the_next() {
+fn misdirected_run_of_earlier_incarnation_does_not_end_work_for_the_next() {
     let mut engine = node();
     engine.handle(at(1), heartbeat("a", 100, 1, false));
     let (run, _) = send_booking(&mut engine, at(2), 1).unwrap();
@@ -358,10 +358,10 @@
 }
 
 /// A node is restarted, and its server announces its leave to the new process, which does not know
-/// the server yet. Then an earlier heartbeat arrives late. If it opened the server, the node would
-/// send bookings to a server that is about to exit, and their outcome would be unknown.
+/// the server yet. Then an earlier heartbeat arrives late. If it were trusted, the node would send
+/// bookings to a server that is about to exit, and their outcome would be unknown.
 #[test]
-fn late_heartbeat_after_node_restart_opens_server_only_after_health_check() {
+fn late_heartbeat_after_node_restart_needs_health_check() {
     let mut engine = node_with(parse_with_check);
     engine.handle(at(10), leave("a"));
     let requested = health_checks(engine.handle(at(2000), heartbeat("a", 1, 24, false)));
--- a/crates/engine/tests/load.rs
+++ b/crates/engine/tests/load.rs
@@ -443,15 +443,15 @@
     let mut ingress = IngressNode::new();
     ingress.send("b", "/p/x");
     let full_time = 2000;
-    let return_time = 25;
+    let travel_time = 25;
     let first = ingress.calls[0].1.remaining_ms;
     assert!(
-        (full_time - return_time..=full_time).contains(&first),
+        (full_time - travel_time..=full_time).contains(&first),
         "{first}"
     );
     ingress.advance(1500);
     ingress.report_slow_run();
     let second = ingress.calls[1].1.remaining_ms;
     let left = full_time - 1500;
-    assert!((left - return_time..=left).contains(&second), "{second}");
+    assert!((left - travel_time..=left).contains(&second), "{second}");
 }
