--- a/crates/engine/src/config.rs
+++ b/crates/engine/src/config.rs
@@ -58,13 +58,13 @@
     /// The node generates a key, returns it with the answer, and routes the call to the key's home
     /// node.
     GenerateKey,
-    /// The node that accepted the request owns the call: it sends the call to a near instance with
-    /// free capacity, and to another one only after proof that it did not run. Nobody can send the
-    /// same call again, so it needs no record.
+    /// The ingress node owns the call: it sends the call to a near instance with free capacity, and
+    /// to another one only after proof that it did not run. Nobody can send the same call again, so
+    /// it needs no record.
     OwnedByIngress,
 }
 
-/// How many retries one action gets, for its first call and all calls below it together.
+/// How many retries one action gets, for all calls of its tree together.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum TreeRetries {
     /// As many as its operation allows.
