--- a/crates/ctl/src/error.rs
+++ b/crates/ctl/src/error.rs
@@ -13,7 +13,7 @@
     NoCommand,
     /// The arguments after `explain` do not have the form that it takes.
     InvalidExplainArgs,
-    /// Neither a store nor a node was given.
+    /// The command needs the address of the store or of a node, and none was given.
     MissingAddress,
     /// The operator's name is empty or too long.
     InvalidOperatorName,
@@ -34,7 +34,7 @@
         publication: u128,
         cause: StoreError,
     },
-    /// The number of nodes that did not answer.
+    /// This many nodes did not answer.
     NoResponse(usize),
 }
 
--- a/crates/ctl/src/nodes.rs
+++ b/crates/ctl/src/nodes.rs
@@ -19,7 +19,7 @@
 /// The values of a status page by key, in the order of its lines.
 pub(crate) type StatusPage = IndexMap<String, String>;
 
-/// Fetches the page over HTTP from the node's `http_addr`, as any client may.
+/// Fetches the page over HTTP from the node's `http_addr`.
 pub(crate) async fn fetch_over_http(addr: SocketAddr) -> Option<StatusPage> {
     let client = awc::Client::builder().disable_redirects().finish();
     let body = async {
--- a/crates/ctl/src/status.rs
+++ b/crates/ctl/src/status.rs
@@ -65,7 +65,7 @@
                 Some(page) => print_status(endpoint, &page, store_offset),
                 None => {
                     unanswered += 1;
-                    println!("node={} no answer", addr(endpoint));
+                    println!("node={} no answer", endpoint_addr(endpoint));
                 }
             }
         }
@@ -83,7 +83,7 @@
     }
 }
 
-fn addr(endpoint: StatusEndpoint) -> SocketAddr {
+fn endpoint_addr(endpoint: StatusEndpoint) -> SocketAddr {
     match endpoint {
         StatusEndpoint::Http(addr) | StatusEndpoint::Peer(addr) => addr,
     }
@@ -92,7 +92,7 @@
 /// Prints one line for a node; `lag` only if the end of the store's stream is known.
 fn print_status(endpoint: StatusEndpoint, page: &StatusPage, store_offset: Option<u64>) {
     let value = |key: &str| page.get(key).map_or("?", String::as_str);
-    let mut line = format!("node={}", addr(endpoint));
+    let mut line = format!("node={}", endpoint_addr(endpoint));
     for key in ["service", "failure_domain", "incarnation"] {
         line.push_str(&format!(" {key}={}", value(key)));
     }
--- a/crates/ctl/src/stream.rs
+++ b/crates/ctl/src/stream.rs
@@ -19,7 +19,7 @@
 }
 
 impl Stream {
-    /// Opens a stream and loads its newest state.
+    /// Opens a stream and computes its state from the newest record of each key.
     pub(crate) async fn open(store: SocketAddr, name: &str) -> Result<Self, CommandError> {
         let mut stream = Self {
             store: StoreClient::new(store),
--- a/crates/ctl/tests/ctl.rs
+++ b/crates/ctl/tests/ctl.rs
@@ -225,7 +225,7 @@
     store.expire_records();
 
     let node = start_node(&store).await;
-    until_status_line(&node, "rules_version 2").await;
+    wait_for_status_line(&node, "rules_version 2").await;
     let addr = store.addr.to_string();
     let (_, listed, _) = ctl(&["log", "--store", &addr]).await;
     assert!(
@@ -235,7 +235,7 @@
 }
 
 /// Polls the status page of a node until it contains the line.
-async fn until_status_line(node: &Node, line: &str) {
+async fn wait_for_status_line(node: &Node, line: &str) {
     let url = format!("http://{}/-/status", node.http_addr);
     loop {
         let mut response = awc::Client::default().get(&url).send().await.unwrap();
@@ -253,8 +253,8 @@
     let store = Store::start(LOOPBACK.into()).await.unwrap();
     let node = start_node(&store).await;
     publish(&store, &RulesFile::new(RULES), "anna", &[]).await;
-    until_status_line(&node, "rules_version 1").await;
-    until_status_line(&node, "listed true").await;
+    wait_for_status_line(&node, "rules_version 1").await;
+    wait_for_status_line(&node, "listed true").await;
     let unknown_service = format!("http://{}/nobody/x", node.http_addr);
     awc::Client::default()
         .get(unknown_service)
