--- a/crates/standin/examples/cpu.rs
+++ b/crates/standin/examples/cpu.rs
@@ -1,9 +1,9 @@
 //! Measures the CPU time of a call at each of the two nodes on its path, by rate and kind:
 //! `cpu [SECONDS]`.
 //!
-//! Each instance runs on its own thread. The backend server of the ingress node receives no calls,
-//! so the thread's CPU time is that of the node. The other thread runs its node and the backend
-//! server that is called; the share of the latter is measured by direct calls and subtracted.
+//! Each instance runs on its own thread. The backend server beside the entry node receives no
+//! calls, so the CPU time of that thread is that of the node. The other thread runs its node and
+//! the called backend server, whose share is measured by direct calls and subtracted.
 
 use awc::http::Method;
 use bilberry_standin::run_load;
@@ -68,11 +68,11 @@
                 measured.push((report.completed[0], after.0 - before.0, after.1 - before.1));
             }
             let micros = |time: Duration| time.as_micros() as f64 / f64::from(rate * seconds);
-            let (completed, ingress, server) = measured[1];
+            let (completed, entry_node, server) = measured[1];
             let server = micros(server) - micros(measured[0].2);
             println!(
                 "{name:<8}{rate:>8}{completed:>8}{:>8.0}{server:>8.0}",
-                micros(ingress)
+                micros(entry_node)
             );
         }
     }
--- a/crates/standin/examples/quickstart.rs
+++ b/crates/standin/examples/quickstart.rs
@@ -70,15 +70,15 @@
 }
 
 fn load_config(deployment: &Deployment) -> LoadConfig {
-    let ingress = |n: usize| deployment.instances[n % deployment.instances.len()].http_addr;
+    let entry_addr = |n: usize| deployment.instances[n % deployment.instances.len()].http_addr;
     let lookup = |n| RequestKind {
         method: Method::GET,
-        url: format!("http://{}/catalogue/patterns/{{n}}", ingress(n)),
+        url: format!("http://{}/catalogue/patterns/{{n}}", entry_addr(n)),
         keyed: false,
     };
     let order = |n| RequestKind {
         method: Method::POST,
-        url: format!("http://{}/order/orders", ingress(n)),
+        url: format!("http://{}/order/orders", entry_addr(n)),
         keyed: true,
     };
     LoadConfig {
--- a/crates/standin/src/deployment.rs
+++ b/crates/standin/src/deployment.rs
@@ -37,7 +37,8 @@
     pub http_addr: SocketAddr,
     /// The address on which its backend server listens.
     pub backend_addr: SocketAddr,
-    /// The kernel's file with the CPU time of the thread; empty on systems other than Linux.
+    /// Path of the kernel's file with the CPU time of the thread. On systems other than Linux there
+    /// is no such file, and the CPU time is reported as zero.
     schedstat: PathBuf,
     stop: Option<oneshot::Sender<()>>,
     thread: Option<std::thread::JoinHandle<()>>,
@@ -107,7 +108,7 @@
         // There is no other publisher, so the append needs no condition on the offset.
         let appended = store.append(&topic, None, &record.entries()).await;
         appended.expect("the store answers");
-        let all = self.instances.len().to_string();
+        let instance_count = self.instances.len().to_string();
         for instance in &self.instances {
             while status_value(instance.http_addr, "rules_version")
                 .await
@@ -116,7 +117,7 @@
                 || status_value(instance.http_addr, "instances")
                     .await
                     .as_deref()
-                    != Some(&all)
+                    != Some(&instance_count)
             {
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
--- a/crates/standin/src/load.rs
+++ b/crates/standin/src/load.rs
@@ -22,7 +22,7 @@
     pub keyed: bool,
 }
 
-/// A load of `count` requests, one every `interval`, with the kinds in turn.
+/// A load of `count` requests, one every `interval`, cycling through the kinds.
 #[derive(Debug, Clone)]
 pub struct LoadConfig {
     /// The kinds of request, each sent equally often.
@@ -41,7 +41,7 @@
     pub completed: Vec<u32>,
     /// Responses which say that the request was not run.
     pub not_run: Vec<u32>,
-    /// All other outcomes, time-outs included.
+    /// All other outcomes, including timeouts.
     pub other: Vec<u32>,
     /// Latencies of complete responses, in microseconds.
     pub latencies_us: Vec<Histogram<u64>>,
@@ -74,8 +74,8 @@
         let index = n as usize % load.kinds.len();
         let mut kind = load.kinds[index].clone();
         kind.url = kind.url.replace("{n}", &n.to_string());
-        let pending = send(client.clone(), kind, index, report.clone());
-        tasks.push(actix_rt::spawn(pending));
+        let task = send(client.clone(), kind, index, report.clone());
+        tasks.push(actix_rt::spawn(task));
     }
     for task in tasks {
         let _ = task.await;
--- a/crates/standin/src/store.rs
+++ b/crates/standin/src/store.rs
@@ -55,7 +55,7 @@
     pub response_delay: Cell<Duration>,
 }
 
-/// The records and groups, which all listeners share.
+/// The records and consumer groups, which all listeners of a store share.
 #[derive(Default)]
 struct StoreData {
     /// Partitions by topic and number.
@@ -296,11 +296,12 @@
             let appended = self.data.appended.notified();
             let at_end =
                 self.with_partition(topic, part, |partition| partition.end_offset() <= from);
-            // An append to any partition wakes this read, which then checks its own again.
+            // An append to any partition wakes this read, which then checks its own one again.
             if !at_end || tokio::time::timeout_at(deadline, appended).await.is_err() {
                 break;
             }
         }
+        // The fault may have been set while the read was waiting.
         if self.faults.unavailable.get() {
             return Response::new(StatusCode::SERVICE_UNAVAILABLE);
         }
--- a/crates/standin/src/store/partition.rs
+++ b/crates/standin/src/store/partition.rs
@@ -34,7 +34,7 @@
     Malformed,
     /// The partition does not end at the required offset.
     EndMismatch { end: u64 },
-    /// The producer has already used a later epoch.
+    /// The producer has already used a higher epoch.
     Fenced,
     /// The sequence number does not follow that of the previous append.
     OutOfSequence { expected: u64 },
@@ -54,7 +54,7 @@
     /// The offset of the oldest record that was not trimmed.
     pub(crate) first_offset: u64,
     records: VecDeque<Bytes>,
-    /// Whether records have keys, and the newest record of each key outlives trimming.
+    /// Whether records have keys. If so, the newest record of each key is kept when it is trimmed.
     keyed: bool,
     /// Value and offset of the newest record by key.
     newest_by_key: IndexMap<String, (Bytes, u64)>,
@@ -103,8 +103,8 @@
         Ok(appended)
     }
 
-    /// Checks the epoch and the sequence number of an append, and sets a later epoch. Returns the
-    /// result of the original append if this one is a repeat.
+    /// Checks the epoch and the sequence number of an append. A higher epoch becomes the producer's
+    /// current one. Returns the result of the original append if this one is a repeat.
     fn check_producer(
         &mut self,
         conditions: &AppendConditions,
@@ -138,7 +138,7 @@
         }
     }
 
-    /// Remembers a numbered append, so that a repeat gets the same answer.
+    /// Remembers an append of a producer, so that a repeat gets the same answer.
     fn record_producer_append(&mut self, conditions: &AppendConditions, appended: Appended) {
         let Some((name, _, sequence)) = &conditions.producer else {
             return;
