--- a/crates/node/tests/settings.rs
+++ b/crates/node/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings files: defaults, and errors that end the process at once with a message.
+//! Settings files: defaults, and the errors by which invalid settings are rejected.
 
 use bilberry_node::Settings;
 use std::process::Command;
@@ -33,7 +33,9 @@
     text.replace(section, &format!("{section}\n{line}"))
 }
 
-fn check(section: &str, line: &str, expected: &str) {
+/// Checks that valid settings with `line` in place of the same key are rejected, with an error that
+/// starts with `expected`.
+fn assert_rejected(section: &str, line: &str, expected: &str) {
     let error = Settings::parse(&with_line(section, line)).unwrap_err();
     assert!(error.to_string().starts_with(expected), "{error}");
 }
@@ -43,6 +45,8 @@
     let settings = Settings::parse(VALID_SETTINGS).unwrap();
     assert_eq!(settings.store_stream, "bilberrycove");
     assert_eq!(settings.max_body, 1 << 20);
+    // The default of `max_bodies`, the limit for all bodies together, leaves room for a body of the
+    // largest size.
     let large = Settings::parse(&with_line("[node]", "max_body = 3145728")).unwrap();
     assert!(large.max_bodies >= large.max_body);
 }
@@ -50,52 +54,53 @@
 #[test]
 fn invalid_values_are_rejected() {
     let node = "[node]";
-    check(node, "service = a b", "[node] service = a b: takes 1 to 64");
-    check(node, "service = -", "[node] service = -: takes");
-    check(node, "region =", "[node] region = : takes");
-    check(
+    assert_rejected(node, "service = a b", "[node] service = a b: takes 1 to 64");
+    assert_rejected(node, "service = -", "[node] service = -: takes");
+    assert_rejected(node, "region =", "[node] region = : takes");
+    assert_rejected(
         node,
         "http_addr = here",
         "[node] http_addr = here: takes IP:PORT",
     );
-    check(
+    assert_rejected(
         node,
         "contacts = 1.2.3.4:5, x",
         "[node] contacts = 1.2.3.4:5, x: takes",
     );
-    check(node, "max_body = 0", "[node] max_body = 0: takes");
-    check(
+    assert_rejected(node, "max_body = 0", "[node] max_body = 0: takes");
+    assert_rejected(
         node,
         "max_body = 9999999",
         "[node] max_body = 9999999: takes",
     );
-    check(node, "max_bodies = 10", "[node] max_bodies = 10: takes");
-    check(node, "body_timeout = 5", "[node] body_timeout = 5: takes");
-    check(
+    assert_rejected(node, "max_bodies = 10", "[node] max_bodies = 10: takes");
+    // A duration without a unit.
+    assert_rejected(node, "body_timeout = 5", "[node] body_timeout = 5: takes");
+    assert_rejected(
         node,
         "caller_header = a b",
         "[node] caller_header = a b: takes",
     );
-    check("[retries]", "ratio = 2", "[retries] ratio = 2: takes");
-    check("[retries]", "window_s = 0", "[retries] window_s = 0: takes");
-    check("[retries]", "spare = some", "[retries] spare = some: takes");
-    check(
+    assert_rejected("[retries]", "ratio = 2", "[retries] ratio = 2: takes");
+    assert_rejected("[retries]", "window_s = 0", "[retries] window_s = 0: takes");
+    assert_rejected("[retries]", "spare = some", "[retries] spare = some: takes");
+    assert_rejected(
         "[backend_server]",
         "addr = 127.0.0.1:0",
         "[backend_server] addr",
     );
-    check(
+    assert_rejected(
         "[store]",
         "addr = 0.0.0.0:9",
         "[store] addr = 0.0.0.0:9: takes",
     );
-    check("[store]", "stream = a b", "[store] stream = a b: takes");
-    check(
+    assert_rejected("[store]", "stream = a b", "[store] stream = a b: takes");
+    assert_rejected(
         "[logging]",
         "level = loud",
         "[logging] level = loud: takes off",
     );
-    check(
+    assert_rejected(
         "[metrics]",
         "addr = nowhere",
         "[metrics] addr = nowhere: takes",
@@ -107,7 +112,7 @@
 #[test]
 fn unreachable_address_is_rejected() {
     for addr in ["0.0.0.0:1", "[::]:1", "224.0.0.1:1", "255.255.255.255:1"] {
-        check(
+        assert_rejected(
             "[node]",
             &format!("peer_addr = {addr}"),
             &format!("[node] peer_addr = {addr}"),
@@ -124,7 +129,7 @@
     assert!(settings.peer_addr.ip().is_unspecified());
     for addr in ["0.0.0.0:1", "10.0.0.1:0"] {
         let line = format!("advertised_addr = {addr}");
-        check("[node]", &line, &format!("[node] {line}: takes IP:PORT"));
+        assert_rejected("[node]", &line, &format!("[node] {line}: takes IP:PORT"));
     }
 }
 
@@ -132,15 +137,15 @@
 /// two values, and the operator would not know which.
 #[test]
 fn unknown_and_repeated_keys_are_rejected() {
-    check("[node]", "contact = 1.2.3.4:5", "[node] contact: unknown");
-    check("[nodes]", "service = x", "[nodes] service: unknown");
+    assert_rejected("[node]", "contact = 1.2.3.4:5", "[node] contact: unknown");
+    assert_rejected("[nodes]", "service = x", "[nodes] service: unknown");
     let twice = VALID_SETTINGS.replace("region =", "region = a\nregion =");
     let error = Settings::parse(&twice).unwrap_err().to_string();
     assert_eq!(error, "[node] region: set twice");
 }
 
 #[test]
-fn process_exits_with_code_2() {
+fn process_with_invalid_settings_exits_with_code_2() {
     let file = std::env::temp_dir().join(format!("bad-{}.ini", uuid::Uuid::new_v4()));
     std::fs::write(&file, with_line("[node]", "peer_addr = 0.0.0.0:1")).unwrap();
     let node = Command::new(env!("CARGO_BIN_EXE_bilberry-node"))
@@ -156,7 +161,7 @@
     );
 }
 
-/// Returns the contents of the first code block that starts with `fence`.
+/// Returns the contents of the first code block of a page that starts with `fence`.
 fn code_block(page: &'static str, fence: &str) -> &'static str {
     let start = page.find(fence).unwrap() + fence.len();
     let end = page[start..].find("```").unwrap();
@@ -169,7 +174,7 @@
     const PAGE: &str = include_str!("../../../docs/CONFIGURATION.md");
     let settings = Settings::parse(code_block(PAGE, "```ini\n")).unwrap();
     assert_eq!(settings.contacts.len(), 2);
-    let rules = PAGE.split("## Rules").nth(1).unwrap();
-    let rules = rules::Rules::parse(code_block(rules, "```\n")).unwrap();
-    assert_eq!(rules.operations.len(), 5);
+    let rules_section = PAGE.split("## Rules").nth(1).unwrap();
+    let example = rules::Rules::parse(code_block(rules_section, "```\n")).unwrap();
+    assert_eq!(example.operations.len(), 5);
 }
