--- a/crates/experiment/src/graph.rs
+++ b/crates/experiment/src/graph.rs
@@ -15,12 +15,13 @@
 
 /// The index of the lookup operation, which callers send to the first service.
 pub const LOOKUP: usize = 0;
+
 /// The index of the order operation, which callers send to the first service.
 pub const ORDER: usize = 1;
 
 const SERVICES: [&str; 4] = ["catalogue", "order", "press", DEEPEST_SERVICE];
 
-/// Failure domains and their regions. Each service has one instance in each.
+/// The failure domains, each with its region. Each service has one instance in each domain.
 const FAILURE_DOMAINS: [(&str, &str); 3] = [
     ("milano-1", "lombardia"),
     ("milano-2", "lombardia"),
--- a/crates/experiment/src/load.rs
+++ b/crates/experiment/src/load.rs
@@ -1,5 +1,5 @@
 //! Simulated callers: an open-loop load with four lookups for each order. Most callers retry
-//! shortly after a failure even if they were told to wait longer.
+//! shortly after a failure even if the response asks for a longer delay.
 
 use crate::graph::LOOKUP;
 use crate::graph::ORDER;
@@ -17,12 +17,12 @@
 /// How long a caller waits for the response to an attempt.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How many times a caller retries an action.
+/// How many times a caller sends an action again.
 const MAX_RESENDS: u32 = 3;
 
-/// The share of callers that retry after a short delay of their own, regardless of the delay that
-/// the response asked for. The others wait as long as they were told to.
-const IMPATIENT_SHARE: f64 = 0.7;
+/// The share of callers that ignore the delay that a response asks for, and retry after a short one
+/// of their own. The others wait as long as the response asks.
+const SHARE_IGNORING_RETRY_AFTER: f64 = 0.7;
 
 /// Generates the actions of the callers.
 pub struct LoadGenerator {
@@ -33,6 +33,8 @@
 impl LoadGenerator {
     /// A generator whose actions are determined by the seed.
     pub fn new(seed: u64) -> Self {
+        // The constant makes the random numbers differ from those of the world, which uses the same
+        // seed.
         Self {
             rng: StdRng::seed_from_u64(seed ^ 0x6c6f_6164),
             last_id: 0,
@@ -77,7 +79,7 @@
         let resend_delay = Duration::from_millis(self.rng.random_range(50..300));
         action.resend_delay = self
             .rng
-            .random_bool(IMPATIENT_SHARE)
+            .random_bool(SHARE_IGNORING_RETRY_AFTER)
             .then_some(resend_delay);
         action
     }
--- a/crates/experiment/src/main.rs
+++ b/crates/experiment/src/main.rs
@@ -69,7 +69,7 @@
     match report::plot_goodput(&path, &title, &results) {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
-            eprintln!("cannot write the plot: {e}");
+            eprintln!("cannot write the plot to {path}: {e}");
             ExitCode::FAILURE
         }
     }
--- a/crates/experiment/src/measure.rs
+++ b/crates/experiment/src/measure.rs
@@ -36,8 +36,8 @@
 #[derive(Debug, Clone, Copy)]
 pub struct WindowStart {
     at: Time,
-    work: Duration,
-    region_bytes: u64,
+    nominal_service_time: Duration,
+    cross_region_bytes: u64,
 }
 
 impl WindowStart {
@@ -45,8 +45,8 @@
     pub fn new(world: &World) -> Self {
         Self {
             at: world.now,
-            work: world.nominal_service_time,
-            region_bytes: world.network.cross_region_bytes,
+            nominal_service_time: world.nominal_service_time,
+            cross_region_bytes: world.network.cross_region_bytes,
         }
     }
 }
@@ -55,9 +55,9 @@
 /// actions of the window have ended.
 pub fn metrics(world: &World, start: WindowStart, end: Time) -> Metrics {
     let secs = end.since(start.at).as_secs_f64();
-    let started_inside =
+    let started_in_window =
         |action: &&Action| action.first_sent_at >= start.at && action.first_sent_at < end;
-    let actions: Vec<&Action> = world.actions.iter().filter(started_inside).collect();
+    let actions: Vec<&Action> = world.actions.iter().filter(started_in_window).collect();
     let succeeded: Vec<&&Action> = actions.iter().filter(|a| has_succeeded(a)).collect();
     let success_count = |operation: usize| {
         succeeded
@@ -67,10 +67,11 @@
     };
     let successes_per_s = |operation: usize| {
         let of_operation = world.actions.iter().filter(|a| a.operation == operation);
-        let ended_inside = |a: &&Action| a.ended.is_some_and(|(at, _)| at >= start.at && at < end);
+        let ended_in_window =
+            |a: &&Action| a.ended.is_some_and(|(at, _)| at >= start.at && at < end);
         of_operation
             .filter(|a| has_succeeded(a))
-            .filter(ended_inside)
+            .filter(ended_in_window)
             .count() as f64
             / secs
     };
@@ -81,8 +82,8 @@
         let (at, _) = action.ended.expect("a succeeded action has ended");
         latencies_ms.saturating_record(at.since(action.first_sent_at).as_millis() as u64);
     }
-    let work = (world.nominal_service_time - start.work).as_secs_f64();
-    let useful: f64 = world
+    let service_time = (world.nominal_service_time - start.nominal_service_time).as_secs_f64();
+    let useful_service_time: f64 = world
         .actions
         .iter()
         .filter(|action| {
@@ -96,11 +97,11 @@
         lookups_per_s: successes_per_s(LOOKUP),
         orders_per_s: successes_per_s(ORDER),
         order_success_ratio: success_count(ORDER) / order_count.max(1.0),
-        wasted_work_ratio: (1.0 - useful / work.max(1e-9)).max(0.0),
+        wasted_work_ratio: (1.0 - useful_service_time / service_time.max(1e-9)).max(0.0),
         attempts_per_action: attempts / (actions.len() as f64).max(1.0),
         p50_ms: latencies_ms.value_at_quantile(0.5) as f64,
         p99_ms: latencies_ms.value_at_quantile(0.99) as f64,
-        cross_region_kb_per_s: (world.network.cross_region_bytes - start.region_bytes) as f64
+        cross_region_kb_per_s: (world.network.cross_region_bytes - start.cross_region_bytes) as f64
             / 1000.0
             / elapsed_secs,
     }
@@ -110,11 +111,11 @@
 /// including, second `to`. The ratio is 0 if there were none.
 pub fn success_ratio(world: &World, from: usize, to: usize) -> f64 {
     let start_second = |action: &&Action| (action.first_sent_at.as_micros() / 1_000_000) as usize;
-    let started_inside = |action: &&Action| (from..to).contains(&start_second(action));
+    let started_in_window = |action: &&Action| (from..to).contains(&start_second(action));
     let (succeeded, all) = world
         .actions
         .iter()
-        .filter(started_inside)
+        .filter(started_in_window)
         .fold((0_u32, 0_u32), |(succeeded, all), action| {
             (succeeded + u32::from(has_succeeded(action)), all + 1)
         });
--- a/crates/experiment/src/scenario.rs
+++ b/crates/experiment/src/scenario.rs
@@ -64,7 +64,8 @@
     }
 }
 
-/// Measures a short time of changed demand with a disturbance, after a warm-up at `BASE_DEMAND`.
+/// Measures `duration` at `demand`, a multiple of capacity, with a disturbance at its start. Before
+/// that, the demand is `BASE_DEMAND`.
 pub fn run_disturbance(
     seed: u64,
     variant: &Variant,
@@ -91,8 +92,8 @@
 /// The demand before a disturbance, and before and after a trigger, as a multiple of capacity.
 const BASE_DEMAND: f64 = 0.7;
 
-/// Measures the time of a trigger at the demand that it sets, and the recovery in the 40 s after it
-/// at `BASE_DEMAND`.
+/// Measures the duration of a trigger, at the trigger's demand, and the recovery in the 40 s after
+/// it, at `BASE_DEMAND`.
 pub fn run_trigger(seed: u64, variant: &Variant, trigger: &Trigger) -> ExperimentResult {
     let mut world = start_world(seed, variant);
     let mut load = LoadGenerator::new(seed);
@@ -122,11 +123,12 @@
     }
 }
 
-/// The number of seconds after `from` until, in any two seconds from then on, at least 95% of the
-/// actions started in them succeed. Before the trigger, all of them did. `None` if the ratio is not
-/// reached for good.
+/// The number of seconds after second `from` until the success ratio has recovered for good: in
+/// every later window of two seconds, at least 95 % of the actions started in it succeed. Before
+/// the trigger, all actions succeed. `None` if the ratio does not recover for good.
 fn recovery_time(world: &World, from: usize) -> Option<f64> {
-    // The actions of the last 8 s may not have ended yet, so they are not considered.
+    // An action may take four attempts of 2 s each, so those of the last 8 s may not have ended yet
+    // and are not considered.
     let last_second = (world.now.as_micros() / 1_000_000) as usize - 8;
     let is_degraded = |at: &usize| success_ratio(world, *at, at + 2) < 0.95;
     match (from..last_second).rev().find(is_degraded) {
--- a/crates/experiment/src/trigger.rs
+++ b/crates/experiment/src/trigger.rs
@@ -1,11 +1,11 @@
-//! The triggers: faults and surges whose effects the experiments measure.
+//! The triggers: faults and surges of limited duration, whose effects the experiments measure.
 
 use crate::graph::DEEPEST_SERVICE;
 use std::time::Duration;
 use trial::Fault;
 use trial::World;
 
-/// A disturbance of limited duration.
+/// Faults, a changed demand, or both, for a limited time.
 pub struct Trigger {
     /// The experiment's name on the command line.
     pub name: &'static str,
@@ -21,10 +21,10 @@
 
 const MINUTE: Duration = Duration::from_secs(60);
 
-/// Seconds between two crashes of a backend server of the deepest service in `crash`.
+/// Seconds between two crashes of the backend server in the `crash` experiment.
 const CRASH_INTERVAL_S: u32 = 15;
 
-/// Seconds between the restarts of two instances in `rolling`.
+/// Seconds between the restarts of two instances in the `rolling` experiment.
 const RESTART_INTERVAL_S: u64 = 5;
 
 /// Delays after which the start of a stopped process is attempted. A start has no effect while the
--- a/crates/experiment/tests/loads.rs
+++ b/crates/experiment/tests/loads.rs
@@ -44,8 +44,8 @@
 }
 
 /// Demand rises to 1.7 times the capacity of the deepest service, and most callers retry at once.
-/// Without admission control at the first hop, three services do work for calls that the fourth one
-/// refuses.
+/// Without admission control at the entry node, three services do work for calls that the fourth
+/// one refuses.
 #[test]
 fn surge_beyond_the_capacity_of_the_deepest_service() {
     let with_policy = run(&policy(), 1.7, |_| {});
@@ -73,7 +73,7 @@
 }
 
 /// The servers of the deepest service are replaced one after another while demand exceeds their
-/// capacity. The work in flight on each is lost, and its retries must not overload the others.
+/// capacity. The work in flight on each is lost, and retries of it must not overload the others.
 #[test]
 fn rolling_replacement_during_a_surge() {
     let replace_all = |world: &mut World| {
