--- a/crates/trial/src/caller.rs
+++ b/crates/trial/src/caller.rs
@@ -15,7 +15,7 @@
 use std::time::Duration;
 use stdx::Time;
 
-/// How long after its deadline a request may still be answered.
+/// How long after its deadline a request may still be answered without a violation.
 const DEADLINE_TOLERANCE: Duration = Duration::from_millis(100);
 
 /// An action that a caller requests, in one or more attempts.
@@ -76,9 +76,9 @@
         /// The node of the backend server, as an index into [`World::nodes`].
         node: usize,
         /// The id of the parent's work on that server.
-        work: u64,
-        /// The index of this call among the children of the parent.
-        nth: usize,
+        work_id: u64,
+        /// The index of this call among the [children](crate::Operation::children) of the parent.
+        child_index: usize,
         /// The called operation, as an index into [`ClusterConfig::operations`].
         operation: usize,
         /// The body of the child request.
@@ -161,16 +161,16 @@
     pub(crate) fn request_child(
         &mut self,
         node: usize,
-        work: u64,
-        nth: usize,
+        work_id: u64,
+        child_index: usize,
         run: RunId,
         operation: usize,
         body: Bytes,
     ) {
         let waiter = Waiter::Child {
             node,
-            work,
-            nth,
+            work_id,
+            child_index,
             operation,
             body: body.clone(),
         };
@@ -263,10 +263,10 @@
                 .record_violation(&format!("second answer to request {token:?}: {outcome:?}"));
         };
         let (operation, body) = self.operation_and_body(&waiter);
-        let verdict = self
+        let check_result = self
             .checker
             .on_outcome(&self.cluster, operation, &body, &outcome);
-        self.record_check(verdict);
+        self.record_check(check_result);
         let latency = match waiter {
             Waiter::Caller { .. } => self.cluster.caller_latency,
             Waiter::Child { .. } => Duration::from_micros(100),
@@ -344,8 +344,11 @@
             return;
         }
         let nodes = self.nodes.iter().enumerate();
-        let mut all_requests =
-            nodes.flat_map(|(at, node)| node.pending_requests.iter().map(move |w| (at, w)));
+        let mut all_requests = nodes.flat_map(|(node_index, node)| {
+            node.pending_requests
+                .iter()
+                .map(move |request| (node_index, request))
+        });
         let own_request = all_requests.find(|(_, (_, waiter))| {
             matches!(waiter, Waiter::Caller { action, attempt: n } if (*action, *n) == (index, attempt))
         });
@@ -382,7 +385,7 @@
         self.trace_event(format!("{body} ended: {outcome:?}"));
     }
 
-    /// Handles the loss of the node that had the request, and of the connection to it.
+    /// Handles the loss of the node to which the waiter sent its request.
     pub(crate) fn on_node_gone(&mut self, _token: RequestToken, waiter: Waiter) {
         match waiter {
             Waiter::Caller { action, attempt } if self.actions[action].attempts == attempt => {
@@ -395,8 +398,8 @@
         }
     }
 
-    /// Records a violation if a request is still unanswered after its deadline. Looks again later
-    /// if the process was paused or resumed a moment ago.
+    /// Records a violation if a request is still unanswered after its deadline. Checks again later
+    /// if the process was paused or resumed within the last [`DEADLINE_TOLERANCE`].
     pub(crate) fn check_answer_overdue(
         &mut self,
         node: usize,
--- a/crates/trial/src/checker.rs
+++ b/crates/trial/src/checker.rs
@@ -18,7 +18,8 @@
 /// How long a node may still submit runs to its backend server after it was asked to stop.
 const DRAIN_PERIOD: Duration = Duration::from_secs(3);
 
-/// Caller, service and key, which together identify an idempotency key.
+/// An idempotency key with its scope: caller, service and key. Equal keys of different callers or
+/// for different services are independent.
 type Key = (Arc<str>, Arc<str>, Arc<str>);
 
 /// Attempts, refusals and runs of one piece of work, identified by operation and body.
@@ -37,7 +38,7 @@
     /// Since its arrival the node has refused a protected call because of overload.
     protected_call_refused: bool,
     /// The node has submitted it to its backend server.
-    started: bool,
+    submitted: bool,
 }
 
 /// Counts for an action and all calls below it.
@@ -53,7 +54,7 @@
     retry_allowance: u64,
 }
 
-/// Counts the runs of each key and detects violated guarantees.
+/// Records requests, calls, runs and answers, and detects violated guarantees.
 #[derive(Debug, Default)]
 pub struct InvariantChecker {
     /// Reports of the violations, each with seed and time.
@@ -62,9 +63,9 @@
     pub poison_bodies: Vec<Arc<str>>,
     /// Number of backend server crashes caused by each entry of `poison_bodies`.
     pub crashes_by_poison: IndexMap<Arc<str>, u32>,
-    /// Checks that no lookup is started that was queued while a protected call was refused because
-    /// of overload. Calls and runs are matched by body, so the check is only valid if callers never
-    /// re-send. `policy::ServerAdmission` asserts the same in every run.
+    /// Checks that no lookup is submitted that was queued while a protected call was refused
+    /// because of overload. Calls and runs are matched by body, so the check is only valid if
+    /// callers never re-send. `policy::ServerAdmission` asserts the same in every run.
     pub check_lookups_shed_first: bool,
     work: IndexMap<String, WorkRecord>,
     trees: IndexMap<String, CallTree>,
@@ -131,7 +132,7 @@
             .is_some_and(|at| now.since(at) > DRAIN_PERIOD)
         {
             return Err(format!(
-                "{} starts a run more than {DRAIN_PERIOD:?} after it was asked to stop",
+                "{} submits a run more than {DRAIN_PERIOD:?} after it was asked to stop",
                 node.name
             ));
         }
@@ -141,23 +142,23 @@
             .map_or(0, |engine| engine.rules_version());
         if version < node.version_at_start {
             return Err(format!(
-                "{} starts a run under outdated rules version {version}",
+                "{} submits a run under outdated rules version {version}",
                 node.name
             ));
         }
         let pending_by_id = self.pending_calls.entry(node.incarnation).or_default();
-        // Calls that have started are left out: such a call may still be in flight while the node
-        // starts an equal request of one of its own callers, which is not a call from another node
-        // and was not queued.
+        // Calls that were already submitted are left out: such a call may still be in flight while
+        // the node submits an equal request of one of its own callers, which is not a call from
+        // another node and was not queued.
         let mut calls = pending_by_id.values_mut();
-        let matching = calls.find(|call| call.body == req.body && !call.started);
-        let starts_out_of_order = matching.is_some_and(|call| {
-            call.started = true;
+        let matching = calls.find(|call| call.body == req.body && !call.submitted);
+        let submitted_out_of_order = matching.is_some_and(|call| {
+            call.submitted = true;
             !call.protected && call.protected_call_refused
         });
-        if self.check_lookups_shed_first && starts_out_of_order {
+        if self.check_lookups_shed_first && submitted_out_of_order {
             return Err(format!(
-                "{} starts lookup {} that was queued while a protected call was refused",
+                "{} submits lookup {} that was queued while a protected call was refused",
                 node.name,
                 String::from_utf8_lossy(&req.body)
             ));
@@ -179,7 +180,7 @@
             body: call.request.body.clone(),
             protected: call.class.is_protected(),
             protected_call_refused: false,
-            started: false,
+            submitted: false,
         };
         let calls = self.pending_calls.entry(node.incarnation).or_default();
         calls.entry(call.id).or_insert(pending_call);
--- a/crates/trial/src/fault.rs
+++ b/crates/trial/src/fault.rs
@@ -102,27 +102,27 @@
                     self.break_connection(connection);
                 }
             }
-            Fault::Datagrams(loss, twice) => {
+            Fault::Datagrams(loss, duplicates) => {
                 (
                     self.network.loss_per_mille,
                     self.network.duplicates_per_mille,
-                ) = (loss, twice)
+                ) = (loss, duplicates)
             }
             Fault::LogDown(down) => self.log.down = down,
             Fault::LogCut(node, true) => drop(self.log.cut_off_nodes.insert(node)),
             Fault::LogCut(node, false) => drop(self.log.cut_off_nodes.swap_remove(&node)),
             Fault::LogSlow(time) => self.log.extra_latency = time,
-            Fault::LogLose(answers) => self.log.answers_to_lose = answers,
+            Fault::LogLose(count) => self.log.responses_to_lose = count,
             Fault::LogExpire(keep) => self.log.expire(keep),
             Fault::Publish(operators) => self.publish_concurrently(operators),
             Fault::Crash(node) => self.crash_server(node),
-            Fault::Slow(service, times) => {
+            Fault::Slow(service, factor) => {
                 for node in self
                     .nodes
                     .iter_mut()
                     .filter(|node| node.instance.service == service)
                 {
-                    node.server.slow_factor = times;
+                    node.server.slow_factor = factor;
                 }
             }
             Fault::Poison(body) => self.checker.poison_bodies.push(body),
--- a/crates/trial/src/lib.rs
+++ b/crates/trial/src/lib.rs
@@ -5,6 +5,9 @@
 //! Engines are driven only through the interface that the node process uses:
 //! [`engine::Engine::handle`], timers and public getters. An [`InvariantChecker`] checks the
 //! system's guarantees at each step.
+//!
+//! The terms *action*, *run* and *class* are defined in the package `policy`, and the *home* of a
+//! key in the package `once`.
 
 mod caller;
 mod checker;
--- a/crates/trial/src/log.rs
+++ b/crates/trial/src/log.rs
@@ -1,5 +1,5 @@
-//! Simulated store: a single topic that keeps the newest record of each key, with the faults that
-//! the real store can have.
+//! Simulated store with a single topic, the log, which contains the rules and the views. It keeps
+//! the newest record of each key and can have the faults of the real store.
 
 use crate::World;
 use bytes::Bytes;
@@ -34,14 +34,14 @@
     pub records: Vec<Bytes>,
     /// The newest value of each key, with its offset.
     newest_by_key: IndexMap<Arc<str>, (u64, Bytes)>,
-    /// The state that results from all records, as the operators' tool computes it.
+    /// The state that results from all records, as `bilberryctl` computes it.
     state: State,
     /// The store is unavailable: it does not respond, and appends have no effect.
     pub down: bool,
     /// Latency added to each message to and from the store.
     pub extra_latency: Duration,
     /// Number of appends whose response will be lost, though the append takes effect.
-    pub answers_to_lose: u32,
+    pub responses_to_lose: u32,
     /// Nodes that cannot reach the store.
     pub cut_off_nodes: IndexSet<usize>,
     /// Reads that wait for new records: node and read id.
@@ -88,7 +88,7 @@
 }
 
 impl World {
-    /// Publishes a rules file as the operators' tool does: only if `expected` is still the version
+    /// Publishes a rules file as `bilberryctl` does: only if `expected` is still the version
     /// in force.
     pub fn publish(&mut self, expected: u64, publication: u128, operator: &str, file: &str) {
         if self.log.state.rules_version != expected {
@@ -115,29 +115,30 @@
         }
     }
 
-    /// Sends a node's append to the store. It takes effect only if `at` is the end of the log.
+    /// Sends a node's append to the store. It takes effect only if `expected_end` is the end of
+    /// the log.
     pub(crate) fn submit_append(
         &mut self,
         node: usize,
         append_number: u64,
-        at: u64,
+        expected_end: u64,
         entries: Vec<TopicEntry>,
     ) {
         let incarnation = self.nodes[node].incarnation;
         let keys: Vec<&str> = entries.iter().map(|(key, _)| &**key).collect();
         let key_list = keys.join(" ");
         self.trace_event(format!(
-            "{} appends {key_list} at {at}",
+            "{} appends {key_list} at {expected_end}",
             self.nodes[node].name
         ));
         self.schedule_after(self.log.latency(), move |world| {
             let log = &mut world.log;
             let unreachable = log.is_unreachable_from(node);
             let lost =
-                unreachable || log.answers_to_lose > 0 || log.extra_latency >= RESPONSE_TIMEOUT;
-            let conflict = log.end_offset() != at;
+                unreachable || log.responses_to_lose > 0 || log.extra_latency >= RESPONSE_TIMEOUT;
+            let conflict = log.end_offset() != expected_end;
             if !unreachable {
-                log.answers_to_lose = log.answers_to_lose.saturating_sub(1);
+                log.responses_to_lose = log.responses_to_lose.saturating_sub(1);
                 if !conflict {
                     world.append(entries);
                 }
@@ -191,8 +192,8 @@
         });
     }
 
-    /// Serves a read: with the snapshot, the next records or the end of the log. At the end of the
-    /// log the read waits for new records.
+    /// Serves a read with the snapshot, or with the next records and whether they reach the end of
+    /// the log. At the end of the log the read waits for new records.
     fn on_read(&mut self, node: usize, read_id: u64) {
         let node_state = &mut self.nodes[node];
         let Some(engine) = node_state
@@ -226,9 +227,10 @@
         let with_offsets = (self.log.first_offset..).zip(&self.log.records).skip(skip);
         let batch: Vec<_> = with_offsets
             .take(MAX_BATCH_RECORDS)
-            .map(|(at, r)| (at, r.clone()))
+            .map(|(offset, record)| (offset, record.clone()))
             .collect();
-        let reads_to_end = batch.last().map_or(next, |(at, _)| at + 1) >= self.log.end_offset();
+        let reads_to_end =
+            batch.last().map_or(next, |(offset, _)| offset + 1) >= self.log.end_offset();
         let latency = self.log.latency();
         if batch.is_empty() && std::mem::replace(&mut node_state.reached_log_end, true) {
             self.log.pending_reads.push((node, read_id));
--- a/crates/trial/src/network.rs
+++ b/crates/trial/src/network.rs
@@ -49,7 +49,7 @@
 pub struct Connection {
     /// The two ends: node and incarnation.
     pub endpoints: [(usize, Incarnation); 2],
-    /// The connection delivers nothing any more, though both ends take it for open.
+    /// The connection delivers nothing any more, though it appears open to both ends.
     pub silent: bool,
     open: bool,
     /// The arrival time of the last frame sent to each end.
@@ -65,14 +65,14 @@
     pub fn new(cluster: &ClusterConfig) -> Self {
         let placements = &cluster.placements;
         let row = |a: &crate::Placement| {
-            let to = placements.iter().map(|b| {
+            let latencies = placements.iter().map(|b| {
                 cluster.latency[if a.region != b.region {
                     2
                 } else {
                     usize::from(a.failure_domain != b.failure_domain)
                 }]
             });
-            to.collect()
+            latencies.collect()
         };
         Self {
             latency: placements.iter().map(row).collect(),
@@ -199,31 +199,34 @@
         self.schedule_delivery(at, connection, side, frame, false);
     }
 
+    /// Schedules the delivery of a frame. With `after_close`, the frame is delivered even if the
+    /// connection has broken by then.
     fn schedule_delivery(
         &mut self,
         at: Time,
         connection: usize,
         side: usize,
         frame: Frame,
-        late: bool,
+        after_close: bool,
     ) {
         let process = self.network.connections[connection].endpoints[side].0;
         self.schedule_in_process(process, at.since(self.now), move |world| {
-            world.deliver_frame(connection, side, frame, late);
+            world.deliver_frame(connection, side, frame, after_close);
         });
     }
 
-    fn deliver_frame(&mut self, connection: usize, side: usize, frame: Frame, late: bool) {
-        let link = &self.network.connections[connection];
-        if !link.open && !late && self.now > link.deliver_until[side] {
+    fn deliver_frame(&mut self, connection: usize, side: usize, frame: Frame, after_close: bool) {
+        let connection_state = &self.network.connections[connection];
+        if !connection_state.open && !after_close && self.now > connection_state.deliver_until[side]
+        {
             return;
         }
-        let (node, incarnation) = link.endpoints[side];
-        let from = link.endpoints[1 - side].1;
+        let (node, incarnation) = connection_state.endpoints[side];
+        let from = connection_state.endpoints[1 - side].1;
         if let Frame::Call(call) = &frame {
             self.checker.on_arrival(&self.nodes[node], call);
             self.trace_event(format!(
-                "{} gets {:?} {} {} of {}",
+                "{} receives {:?} {} {} of {}",
                 self.nodes[node].name,
                 call.role,
                 call.id,
@@ -234,13 +237,14 @@
         self.handle_input(node, incarnation, Input::Frame { from, frame });
     }
 
-    /// Checks a connection once its ends would notice that it is silent.
+    /// Schedules a check of a connection for the time when its ends would notice that it is silent.
     pub(crate) fn schedule_silence_check(&mut self, connection: usize) {
         let wait = IDLE_TIMEOUT + Duration::from_millis(self.rng.random_range(0..500));
         self.schedule_after(wait, move |world| world.check_silence(connection));
     }
 
-    /// Checks all connections of a process once the other ends would notice that they are silent.
+    /// Schedules a check of all connections of a process for the time when the other ends would
+    /// notice that they are silent.
     pub(crate) fn schedule_silence_checks(&mut self, of: Incarnation) {
         for connection in self.connections_of(of) {
             self.schedule_silence_check(connection);
@@ -249,19 +253,20 @@
 
     fn connections_of(&self, of: Incarnation) -> Vec<usize> {
         let all = self.network.connections.iter().enumerate();
-        let open =
-            all.filter(|(_, link)| link.open && link.endpoints.iter().any(|end| end.1 == of));
-        open.map(|(at, _)| at).collect()
+        let open = all.filter(|(_, connection)| {
+            connection.open && connection.endpoints.iter().any(|end| end.1 == of)
+        });
+        open.map(|(index, _)| index).collect()
     }
 
     /// Breaks a connection if an end is paused, frames are held back or a path is blocked.
     pub(crate) fn check_silence(&mut self, connection: usize) {
-        let link = &self.network.connections[connection];
-        let paused = link.endpoints.iter().any(|end| {
+        let connection_state = &self.network.connections[connection];
+        let paused = connection_state.endpoints.iter().any(|end| {
             self.nodes[end.0].paused
                 && self.now.since(self.nodes[end.0].pause_changed_at) >= IDLE_TIMEOUT
         });
-        let has_undelivered = link
+        let has_undelivered = connection_state
             .undelivered
             .iter()
             .any(|undelivered| !undelivered.is_empty());
@@ -281,15 +286,15 @@
             let grace = Duration::from_micros(self.rng.random_range(0..40_000));
             let deliver_until = self.now + grace;
             let silent = self.network.connections[connection].silent;
-            let link = &mut self.network.connections[connection];
-            link.deliver_until[side] = deliver_until;
-            let undelivered = std::mem::take(&mut link.undelivered[side]);
+            let connection_state = &mut self.network.connections[connection];
+            connection_state.deliver_until[side] = deliver_until;
+            let undelivered = std::mem::take(&mut connection_state.undelivered[side]);
             // Frames held back by the network may arrive after the sender has closed the
             // connection.
             if !silent && self.rng.random_bool(0.5) {
-                let arrives = self.rng.random_range(0..=undelivered.len());
+                let arriving = self.rng.random_range(0..=undelivered.len());
                 let wait = Duration::from_millis(self.rng.random_range(40..3000));
-                for frame in undelivered.into_iter().take(arrives) {
+                for frame in undelivered.into_iter().take(arriving) {
                     self.schedule_delivery(self.now + wait, connection, side, frame, true);
                 }
             }
@@ -302,6 +307,7 @@
         }
     }
 
+    /// Tells one end of a broken connection that it has lost its peer.
     pub(crate) fn on_connection_lost(&mut self, connection: usize, side: usize) {
         let endpoints = self.network.connections[connection].endpoints;
         let ((node, from), (_, peer)) = (endpoints[side], endpoints[1 - side]);
@@ -330,11 +336,11 @@
     /// The open connections between two nodes, as indices into [`Network::connections`].
     pub(crate) fn open_connections_between(&self, a: usize, b: usize) -> Vec<usize> {
         let all = self.network.connections.iter().enumerate();
-        let matching = all.filter(|(_, link)| {
-            let [x, y] = [link.endpoints[0].0, link.endpoints[1].0];
-            link.open && ((x, y) == (a, b) || (x, y) == (b, a))
+        let matching = all.filter(|(_, connection)| {
+            let [x, y] = [connection.endpoints[0].0, connection.endpoints[1].0];
+            connection.open && ((x, y) == (a, b) || (x, y) == (b, a))
         });
-        matching.map(|(at, _)| at).collect()
+        matching.map(|(index, _)| index).collect()
     }
 
     /// Blocks traffic from one node to another.
@@ -383,9 +389,9 @@
         }
         let latency = self.sample_latency(node, target);
         if self.rng.random_range(0..1000) < self.network.duplicates_per_mille {
-            let late = latency + Duration::from_millis(self.rng.random_range(0..5000));
+            let duplicate_latency = latency + Duration::from_millis(self.rng.random_range(0..5000));
             let datagram = datagram.clone();
-            self.schedule_datagram(target, late, from, datagram);
+            self.schedule_datagram(target, duplicate_latency, from, datagram);
         }
         self.schedule_datagram(target, latency, from, datagram);
     }
--- a/crates/trial/src/node.rs
+++ b/crates/trial/src/node.rs
@@ -61,9 +61,9 @@
 }
 
 impl Node {
-    pub(crate) fn new(cluster: &ClusterConfig, at: usize) -> Self {
-        let placement = &cluster.placements[at];
-        let nth = cluster.placements[..at]
+    pub(crate) fn new(cluster: &ClusterConfig, index: usize) -> Self {
+        let placement = &cluster.placements[index];
+        let nth = cluster.placements[..index]
             .iter()
             .filter(|other| other.service == placement.service)
             .count();
@@ -75,7 +75,7 @@
                 service: placement.service.clone(),
                 failure_domain: placement.failure_domain.clone(),
                 region: placement.region.clone(),
-                addr: SocketAddr::from(([10, 0, 0, at as u8 + 1], 7000)),
+                addr: SocketAddr::from(([10, 0, 0, index as u8 + 1], 7000)),
             },
             incarnation,
             engine: None,
--- a/crates/trial/src/plan.rs
+++ b/crates/trial/src/plan.rs
@@ -17,8 +17,8 @@
 /// The period over which faults are injected.
 const FAULT_PERIOD: Duration = Duration::from_secs(25);
 
-/// The maximum log staleness in random runs: longer than the log is unavailable in them, and
-/// shorter than [`SETTLE_TIME`].
+/// The maximum log staleness in random runs. It is longer than any log outage in them, and shorter
+/// than [`SETTLE_TIME`].
 const MAX_LOG_STALENESS: Duration = Duration::from_secs(60);
 
 /// Time for the cluster to settle after all faults are repaired. The state of keys whose home was
@@ -35,9 +35,12 @@
 }
 
 impl Plan {
-    /// Generates the plan of a seed. One in three has a single kind of fault, the others have all
-    /// kinds. Without `homes_move` no process ends or is evicted, so each key keeps its home.
+    /// Generates the plan of a seed. One seed in three gets faults of a single kind, the others a
+    /// mix of all kinds. Without `homes_move` no process ends or is evicted, so each key keeps its
+    /// home.
     pub fn new(seed: u64, cluster: &ClusterConfig, homes_move: bool) -> Self {
+        // The constant makes the random numbers differ from those of the world and of
+        // `random_cluster`, which use the same seed.
         let mut rng = StdRng::seed_from_u64(seed ^ 0x7472_6961_6c00);
         let count = rng.random_range(100..800);
         let actions = (0..count)
@@ -87,7 +90,8 @@
     action.max_resends = rng.random_range(0..6);
     match rng.random_range(0..10) {
         0 => action.key = None,
-        // Also used by other callers, and sometimes by the same caller for another body.
+        // This key is also used by other callers, and sometimes by the same caller for another
+        // body.
         1 => action.key = Some(format!("k{}", rng.random_range(0..20)).into()),
         _ => {}
     }
@@ -100,6 +104,8 @@
 /// Number of kinds that end processes or get them evicted by others. These kinds come first.
 const HOME_MOVING_KINDS: u32 = 10;
 
+/// Generates the faults of one kind, a number below [`FAULT_KINDS`], and the repairs of temporary
+/// ones.
 fn random_faults(rng: &mut StdRng, cluster: &ClusterConfig, kind: u32) -> Vec<(Time, Fault)> {
     let at = Time::ZERO + WARM_UP + FAULT_PERIOD.mul_f64(rng.random());
     let a = rng.random_range(0..cluster.placements.len());
--- a/crates/trial/src/process.rs
+++ b/crates/trial/src/process.rs
@@ -24,7 +24,9 @@
             .rng
             .random_range(1.0 - MAX_CLOCK_DRIFT..1.0 + MAX_CLOCK_DRIFT);
         let contacts = (0..2).map(|_| self.rng.random_range(0..self.nodes.len()));
-        let contacts = contacts.map(|at| self.nodes[at].instance.addr).collect();
+        let contacts = contacts
+            .map(|index| self.nodes[index].instance.addr)
+            .collect();
         let mut cfg = Config {
             seed: incarnation.0,
             contacts,
--- a/crates/trial/src/server.rs
+++ b/crates/trial/src/server.rs
@@ -1,5 +1,5 @@
-//! Simulated backend server, with slots, service times, child calls through its own node, the
-//! documented refusal of requests, cancellation, deadlines, and crashes on certain requests.
+//! Simulated backend server, with slots, service times, child calls through its own node, refusal
+//! of requests when its backlog is full, cancellation, deadlines, and crashes on certain requests.
 
 use crate::caller::Waiter;
 use crate::ClusterConfig;
@@ -86,9 +86,9 @@
         })
     }
 
-    /// The body of the request to the child with index `nth`.
-    pub fn child_body(body: &[u8], nth: usize) -> Bytes {
-        Bytes::from([body, format!(">{nth}").as_bytes()].concat())
+    /// The body of the request to the child with index `child_index`.
+    pub fn child_body(body: &[u8], child_index: usize) -> Bytes {
+        Bytes::from([body, format!(">{child_index}").as_bytes()].concat())
     }
 
     /// The complete body of a successful response to a call.
@@ -102,7 +102,7 @@
     pub fn expected_response(&self, operation: usize, body: &[u8]) -> Bytes {
         let children = self.operations[operation].children.iter().enumerate();
         let child_responses: Vec<Bytes> = children
-            .map(|(nth, child)| self.expected_response(*child, &Self::child_body(body, nth)))
+            .map(|(index, child)| self.expected_response(*child, &Self::child_body(body, index)))
             .collect();
         self.response_body(operation, body, &child_responses)
     }
@@ -172,11 +172,14 @@
         let operation = &self.cluster.operations[work.operation];
         let body = String::from_utf8_lossy(&work.body).into_owned();
         let line = format!("{} runs {} {body}", self.nodes[node].name, operation.path);
-        let verdict = self.checker.on_run_started(operation, &work.body);
+        let check_result = self.checker.on_run_started(operation, &work.body);
         self.trace_event(line);
-        self.record_check(verdict);
-        let poison = &mut self.checker.poison_bodies.iter();
-        if let Some(poison) = poison.find(|poison| body.contains(&***poison)).cloned() {
+        self.record_check(check_result);
+        let poison_bodies = &mut self.checker.poison_bodies.iter();
+        if let Some(poison) = poison_bodies
+            .find(|poison| body.contains(&***poison))
+            .cloned()
+        {
             *self.checker.crashes_by_poison.entry(poison).or_default() += 1;
             return self.crash_server(node);
         }
@@ -198,13 +201,13 @@
         let operation = &self.cluster.operations[work.operation];
         let has_unsent_children = !work.failed && work.children_sent < operation.children.len();
         if has_unsent_children && (work.children_pending == 0 || operation.parallel) {
-            let nth = work.children_sent;
-            let child = operation.children[nth];
-            let body = ClusterConfig::child_body(&work.body, nth);
+            let child_index = work.children_sent;
+            let child = operation.children[child_index];
+            let body = ClusterConfig::child_body(&work.body, child_index);
             work.children_sent += 1;
             work.children_pending += 1;
             let run = work.run;
-            self.request_child(node, work_id, nth, run, child, body);
+            self.request_child(node, work_id, child_index, run, child, body);
             return self.continue_work(node, work_id);
         }
         if work.children_pending > 0 {
@@ -249,8 +252,8 @@
     pub(crate) fn on_child_outcome(&mut self, waiter: Waiter, outcome: Option<Outcome>) {
         let Waiter::Child {
             node,
-            work: work_id,
-            nth,
+            work_id,
+            child_index,
             operation,
             body,
             ..
@@ -265,7 +268,8 @@
         work.children_pending -= 1;
         match outcome {
             Some(Outcome::Completed(response)) if response.status == 200 => {
-                work.child_responses.insert(nth, response.body.clone());
+                work.child_responses
+                    .insert(child_index, response.body.clone());
                 if response.body != expected {
                     self.record_violation(&format!(
                         "incomplete response to a child call: {response:?}"
@@ -277,7 +281,7 @@
         self.continue_work(node, work_id);
     }
 
-    /// Ends a run at the node. The server may still be working on the request.
+    /// Reports the end of a run to the node. The server may still be working on the request.
     fn end_run(&mut self, node: usize, run: RunId, end: RunEnd) {
         let incarnation = self.nodes[node].incarnation;
         if run.at == incarnation && self.nodes[node].runs.swap_remove(&run).is_some() {
--- a/crates/trial/src/trace.rs
+++ b/crates/trial/src/trace.rs
@@ -168,7 +168,9 @@
         ["heal"] => Fault::Heal,
         ["silent", a, b] => Fault::Silent(node(a)?, node(b)?),
         ["reset", a, b] => Fault::Reset(node(a)?, node(b)?),
-        ["datagrams", loss, twice] => Fault::Datagrams(loss.parse().ok()?, twice.parse().ok()?),
+        ["datagrams", loss, duplicates] => {
+            Fault::Datagrams(loss.parse().ok()?, duplicates.parse().ok()?)
+        }
         ["log", "down"] => Fault::LogDown(true),
         ["log", "up"] => Fault::LogDown(false),
         ["log", "cut", a] => Fault::LogCut(node(a)?, true),
@@ -178,7 +180,7 @@
         ["log", "expire", keep] => Fault::LogExpire(keep.parse().ok()?),
         ["publish", operators] => Fault::Publish(operators.parse().ok()?),
         ["crash", a] => Fault::Crash(node(a)?),
-        ["slow", service, times] => Fault::Slow((*service).into(), times.parse().ok()?),
+        ["slow", service, factor] => Fault::Slow((*service).into(), factor.parse().ok()?),
         ["poison", body] => Fault::Poison((*body).into()),
         ["surge", service, count] => Fault::Surge((*service).into(), count.parse().ok()?),
         _ => return None,
--- a/crates/trial/src/world.rs
+++ b/crates/trial/src/world.rs
@@ -88,7 +88,7 @@
     /// ```
     pub fn new(seed: u64, cluster: ClusterConfig) -> Self {
         let nodes = (0..cluster.placements.len())
-            .map(|at| Node::new(&cluster, at))
+            .map(|index| Node::new(&cluster, index))
             .collect();
         let mut world = Self {
             now: Time::ZERO,
@@ -206,7 +206,7 @@
     }
 
     /// Passes an input to an engine and applies the outputs. Does nothing if the process is no
-    /// longer incarnation `from`.
+    /// longer this incarnation.
     pub(crate) fn handle_input(&mut self, node: usize, incarnation: Incarnation, input: Input) {
         let node_state = &mut self.nodes[node];
         let now = node_state.local_time(self.now);
@@ -221,10 +221,10 @@
         let outputs = engine.handle(now, input);
         let (version, file) = (engine.rules_version(), engine.journal().file.clone());
         if version != version_before {
-            let verdict = self
+            let check_result = self
                 .checker
                 .on_rules_version(version_before, version, &file);
-            self.record_check(verdict);
+            self.record_check(check_result);
         }
         for output in outputs {
             self.apply_output(node, output);
@@ -250,8 +250,8 @@
         else {
             return;
         };
-        // A timer that stays due would stop the virtual clock. The timers of the node process have
-        // no finer resolution than this.
+        // Without a minimum delay, a timer that stays due would stop the virtual clock. The timers
+        // of the node process have no finer resolution than this minimum.
         let due = node_state.started_at + due.since(Time::ZERO).div_f64(node_state.clock_rate);
         let at = due.max(self.now + Duration::from_micros(50));
         if node_state.scheduled_tick.is_none_or(|tick| tick > at) {
@@ -285,10 +285,10 @@
                 remaining,
                 start_within,
             } => {
-                let verdict = self
-                    .checker
-                    .on_run_submitted(&self.nodes[node], self.now, &request);
-                self.record_check(verdict);
+                let check_result =
+                    self.checker
+                        .on_run_submitted(&self.nodes[node], self.now, &request);
+                self.record_check(check_result);
                 let (deadline, start_by) = (
                     self.now + remaining,
                     start_within.map(|within| self.now + within),
@@ -332,13 +332,14 @@
         }
     }
 
-    pub(crate) fn record_check(&mut self, verdict: Result<(), String>) {
-        if let Err(violation) = verdict {
+    pub(crate) fn record_check(&mut self, check_result: Result<(), String>) {
+        if let Err(violation) = check_result {
             self.record_violation(&violation);
         }
     }
 
-    /// Records a violation, with the seed and the time at which it can be reproduced.
+    /// Records a violation. The report contains the seed and the time, so that it can be
+    /// reproduced.
     pub fn record_violation(&mut self, description: &str) {
         let millis = self.now.as_micros() / 1000;
         let report = format!("seed {} at {millis} ms: {description}", self.seed);
--- a/crates/trial/tests/members.rs
+++ b/crates/trial/tests/members.rs
@@ -7,8 +7,10 @@
 use trial::Fault;
 use trial::World;
 
-const LOOKUP_PRESS: usize = 2;
-const CHARGE: usize = 5;
+/// The lookup of the press service, as an index into [`ClusterConfig::operations`].
+const PRESS_LOOKUP: usize = 2;
+/// The charge of the royalty service, as an index into [`ClusterConfig::operations`].
+const ROYALTY_CHARGE: usize = 5;
 
 /// A world into which `faults` are injected after 12 s without faults.
 fn world(seed: u64, faults: &[Fault]) -> World {
@@ -27,7 +29,7 @@
     for nth in 0..secs * 10 {
         for node in 0..world.nodes.len() {
             if world.is_running(node) && world.nodes[node].stop_requested_at.is_none() {
-                let mut action = Action::new(LOOKUP_PRESS, &format!("l{nth}-{node}-{first}"));
+                let mut action = Action::new(PRESS_LOOKUP, &format!("l{nth}-{node}-{first}"));
                 action.max_resends = 0;
                 world.submit(
                     world.now + Duration::from_millis(100) * nth,
@@ -101,8 +103,8 @@
     let mut world = world(3, &[Fault::Kill(4)]);
     world.run_for(Duration::from_secs(15));
     assert_eq!(count_nodes_listing(&world, 4), 0);
-    let asked = count(&world, "eviction_asked");
-    assert!((1..=2).contains(&asked), "{asked}");
+    let eviction_requests = count(&world, "eviction_asked");
+    assert!((1..=2).contains(&eviction_requests), "{eviction_requests}");
 }
 
 #[test]
@@ -157,10 +159,10 @@
         world.inject_fault(Fault::Heal);
     });
     let first = world.actions.len();
-    let mut action = Action::new(CHARGE, "charge");
+    let mut action = Action::new(ROYALTY_CHARGE, "charge");
     action.max_resends = 0;
     world.submit(world.now, action, Some(0));
     check(&mut world, first, 8, 0);
-    let charge = world.cluster.operations[CHARGE].clone();
+    let charge = world.cluster.operations[ROYALTY_CHARGE].clone();
     assert_eq!(world.checker.run_count(&charge, b"charge"), 1);
 }
--- a/crates/trial/tests/overload.rs
+++ b/crates/trial/tests/overload.rs
@@ -14,7 +14,7 @@
     world
 }
 
-fn check(world: &World) {
+fn assert_no_violations(world: &World) {
     assert!(
         world.checker.violations.is_empty(),
         "{}",
@@ -36,7 +36,7 @@
             }
             world.run_for(Duration::from_secs(1));
         }
-        check(&world);
+        assert_no_violations(&world);
         let shed = world.counters.get("not_run.shed").copied().unwrap_or(0);
         assert!(shed > 1000, "seed {seed}: {shed} shed");
     }
@@ -63,7 +63,7 @@
             }
         }
         world.run_for(Duration::from_secs(70));
-        check(&world);
+        assert_no_violations(&world);
         let poison = &world.cluster.operations[days];
         assert!(
             world.checker.run_count(poison, b"poison") <= 2,
